--- a/roadbend/rental/cloud.py
+++ b/roadbend/autoscaler/cloud.py
@@ -10,8 +10,8 @@
 from roadbend.fleet.messages import number, text
 from roadbend.http.client import Client, NoAnswerError
 from roadbend.http.server import MalformedError
-from roadbend.store.budget import SharedBucket
-from roadbend.store.records import Need
+from roadbend.store.records import Resources
+from roadbend.store.request_budget import SharedTokenBucket
 
 # Most names that one deletion takes, and most machines that one request hires.
 MAX_NAMES = 100
@@ -25,9 +25,9 @@
     """A machine type of the catalog."""
 
     name: str
-    room: Need
+    capacity: Resources
     cache_gb: float
-    pull: float
+    fetch_gb_per_s: float
     price: float
     spot_price: float
     startup: timedelta
@@ -36,11 +36,11 @@
     def to_value(self) -> dict:
         return {
             "name": self.name,
-            "vcpus": self.room.cpus,
-            "gpus": self.room.gpus,
-            "memoryGb": self.room.memory,
+            "vcpus": self.capacity.cpus,
+            "gpus": self.capacity.gpus,
+            "memoryGb": self.capacity.memory,
             "cacheGb": self.cache_gb,
-            "pullGbPerS": self.pull,
+            "pullGbPerS": self.fetch_gb_per_s,
             "price": self.price,
             "lowPrice": self.spot_price,
             "startupS": self.startup.total_seconds(),
@@ -57,7 +57,7 @@
             raise MalformedError("catalog: expected maps with yards")
         machine_type = MachineType(
             text(row.get("name"), "name"),
-            Need(
+            Resources(
                 number(row.get("vcpus"), "vcpus"),
                 number(row.get("gpus"), "gpus"),
                 number(row.get("memoryGb"), "memoryGb"),
@@ -107,7 +107,7 @@
         self._client = client
         self.sharers, self.rps = max(1, sharers), rps
         # Everyone has an equal share; what others say they don't use may be borrowed.
-        self._bucket = SharedBucket(rps * 0.9, self.sharers, 1.5)
+        self._bucket = SharedTokenBucket(rps * 0.9, self.sharers, 1.5)
         self._waiting = [0, 0, 0, 0]
 
     @property
--- a/roadbend/rental/policy.py
+++ b/roadbend/autoscaler/policy.py
@@ -5,9 +5,9 @@
 from dataclasses import dataclass
 from datetime import datetime, timedelta
 
-from roadbend.placement.forecast import Board, Line, Starts
-from roadbend.placement.policy import Pending, Room, allowed, least_of
-from roadbend.rental.cloud import MachineType
+from roadbend.autoscaler.cloud import MachineType
+from roadbend.placement.forecast import MachineTimeline, ScheduleProjection, StartCandidates
+from roadbend.placement.policy import FreeCapacity, PendingTasks, allowed, least_of
 from roadbend.store.records import Job
 
 # Rounds of an array's tasks over which a machine's boot and first fetch are written off.
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True)
-class Option:
+class MachineOption:
     """A type and kind that may be hired in this part, at its price an hour."""
 
     machine_type: MachineType
@@ -29,62 +29,66 @@
 
 
 def options(
-    machine_types: Iterable[MachineType], part: str, refused: set[tuple[str, bool]]
-) -> list[Option]:
+    machine_types: Iterable[MachineType], partition: str, refused: set[tuple[str, bool]]
+) -> list[MachineOption]:
     out = []
     for machine_type in machine_types:
-        if part not in machine_type.zones:
+        if partition not in machine_type.zones:
             continue
         for spot, price in ((False, machine_type.price), (True, machine_type.spot_price)):
             if (machine_type.name, spot) not in refused and price > 0:
-                out.append(Option(machine_type, spot, price))
+                out.append(MachineOption(machine_type, spot, price))
     return out
 
 
-def empty_room(name: str, option: Option, part: str) -> Room:
-    room = option.machine_type.room
-    return Room(
+def empty_room(name: str, option: MachineOption, partition: str) -> FreeCapacity:
+    capacity = option.machine_type.capacity
+    return FreeCapacity(
         name,
         option.machine_type.name,
-        part,
+        partition,
         option.spot,
-        room.cpus,
-        room.gpus,
-        room.memory,
-        total=room,
+        capacity.cpus,
+        capacity.gpus,
+        capacity.memory,
+        total=capacity,
         ready_in=option.machine_type.startup.total_seconds(),
         price=option.price,
-        pull=option.machine_type.pull,
+        fetch_gb_per_s=option.machine_type.fetch_gb_per_s,
     )
 
 
-def cost(item: Pending, option: Option, part: str, alike: int) -> float | None:
+def cost(item: PendingTasks, option: MachineOption, partition: str, alike: int) -> float | None:
     """Price a task. An array fills a machine only as far as it has tasks, and pays for boot and
     fetch over a few rounds of its run; a service stays, and what comes later fills the rest."""
-    if not allowed(item.job, option.machine_type.name, part, option.spot):
+    if not allowed(item.job, option.machine_type.name, partition, option.spot):
         return None
-    count = empty_room("", option, part).count(item.job.spec.need)
+    count = empty_room("", option, partition).count(item.job.spec.resources)
     if count < 1:
         return None
     spec = item.job.spec
     if spec.service:
         return option.price / count
-    run = max(5.0, spec.expected.total_seconds())
+    run = max(5.0, spec.expected_duration.total_seconds())
     # A machine that stays meets a second image before long.
     overhead = ready_after(option, 2 * spec.image_gb, 1.0) / (run * ROUNDS)
     return option.price / min(count, max(1, alike)) * (1.0 + overhead)
 
 
-def cheapest(item: Pending, choices: list[Option], part: str, alike: int) -> Option | None:
+def cheapest(
+    item: PendingTasks, choices: list[MachineOption], partition: str, alike: int
+) -> MachineOption | None:
     priced = [
         (price, at)
         for at, option in enumerate(choices)
-        if (price := cost(item, option, part, alike)) is not None
+        if (price := cost(item, option, partition, alike)) is not None
     ]
     return choices[min(priced)[1]] if priced else None
 
 
-def least_cost(item: Pending, machine_types: Iterable[MachineType], alike: int) -> float | None:
+def least_cost(
+    item: PendingTasks, machine_types: Iterable[MachineType], alike: int
+) -> float | None:
     """The least price a task in any zone, whether it can be had or not: what is dear is told by
     it."""
     machine_types = list(machine_types)
@@ -98,7 +102,7 @@
 
 
 def expensive_machine_types(
-    job: Job, machine_types: Iterable[MachineType], dear: float, part: str
+    job: Job, machine_types: Iterable[MachineType], dear: float, partition: str
 ) -> set[str]:
     """Types on which a task of this job costs over `dear` times the least, when machines are full.
     A job that must spread over zones can't go where the cheap type is: there only this part's types
@@ -106,13 +110,13 @@
     prices: dict[str, float] = {}
     if job.spec.zone_cap < job.spec.task_count:
         machine_types = [
-            machine_type for machine_type in machine_types if part in machine_type.zones
+            machine_type for machine_type in machine_types if partition in machine_type.zones
         ]
     for machine_type in machine_types:
         for option in (
             options([machine_type], machine_type.zones[0], set()) if machine_type.zones else ()
         ):
-            price = cost(Pending(job, 0, False), option, machine_type.zones[0], 1_000_000)
+            price = cost(PendingTasks(job, 0, False), option, machine_type.zones[0], 1_000_000)
             if price is not None:
                 prices[machine_type.name] = min(price, prices.get(machine_type.name, price))
     least = min(prices.values(), default=0.0)
@@ -123,7 +127,7 @@
 class Timing:
     """What the hiring needs to know of queued tasks of one job: seconds."""
 
-    item: Pending
+    item: PendingTasks
     run: float
     slack: float
     image_gb: float = 0.0
@@ -134,22 +138,24 @@
     least: float | None = None
 
 
-def ready_after(option: Option, image_gb: float, boot_factor: float) -> float:
+def ready_after(option: MachineOption, image_gb: float, boot_factor: float) -> float:
     return (
         option.machine_type.startup.total_seconds() * boot_factor
-        + image_gb / option.machine_type.pull
+        + image_gb / option.machine_type.fetch_gb_per_s
     )
 
 
 def in_reach(
-    timing: Timing, choices: list[Option], part: str, boot_factor: float
+    timing: Timing, choices: list[MachineOption], partition: str, boot_factor: float
 ) -> tuple[float, bool]:
     """The slack to the next deadline that a new machine could still meet, and whether there is any.
     What has missed a deadline no longer hurries for it: dear machines hired then would be early for
     nothing."""
     if timing.least is not None:
         prices = [
-            c for o in choices if (c := cost(timing.item, o, part, timing.item.count)) is not None
+            c
+            for o in choices
+            if (c := cost(timing.item, o, partition, timing.item.count)) is not None
         ]
         if min(prices, default=0.0) <= timing.least * LATE_PAYS:
             return timing.slack, True
@@ -162,37 +168,39 @@
 
 def _choose(
     timing: Timing,
-    choices: list[Option],
-    part: str,
+    choices: list[MachineOption],
+    partition: str,
     boot_factor: float,
     alike: int,
     slack: float,
     reach: bool,
-) -> Option | None:
+) -> MachineOption | None:
     """The machine to hire for tasks that would start too late on what there is."""
     item = timing.item
     usable = [o for o in choices if o.machine_type.name not in timing.avoid]
     if not reach and timing.least is not None:
         # Too late for every aim: it takes what is cheap, and else the next place that comes free;
         # being the oldest, it is the first to get one.
-        usable = [o for o in usable if (cost(item, o, part, alike) or 1e18) <= timing.least * HASTE]
+        usable = [
+            o for o in usable if (cost(item, o, partition, alike) or 1e18) <= timing.least * HASTE
+        ]
     # Those that would be in time, if any; a slow boot or fetch may cost more than it saves.
     soon = [o for o in usable if ready_after(o, timing.image_gb, boot_factor) <= slack]
     if not soon and usable:
         # Late anyway: the sooner the better, within reason.
         least = min(
-            (c for o in usable if (c := cost(item, o, part, alike)) is not None), default=0.0
+            (c for o in usable if (c := cost(item, o, partition, alike)) is not None), default=0.0
         )
-        fair = [o for o in usable if (cost(item, o, part, alike) or 1e18) <= least * HASTE]
+        fair = [o for o in usable if (cost(item, o, partition, alike) or 1e18) <= least * HASTE]
         soon = sorted(fair, key=lambda o: ready_after(o, timing.image_gb, boot_factor))[:1]
-    return cheapest(item, soon or usable, part, alike)
+    return cheapest(item, soon or usable, partition, alike)
 
 
 def wanted(
     queue: list[Timing],
-    lines: list[Line],
-    choices: list[Option],
-    part: str,
+    timelines: list[MachineTimeline],
+    choices: list[MachineOption],
+    partition: str,
     boot_factor: float,
     most: int = 1_000_000,
 ) -> dict[tuple[str, bool], int]:
@@ -202,45 +210,50 @@
     late, and that a new machine would start sooner, calls for that machine; those behind it may
     share it."""
     out: dict[tuple[str, bool], int] = {}
-    board = Board(lines, least_of(timing.item.job.spec.need for timing in queue))
+    schedule = ScheduleProjection(
+        timelines, least_of(timing.item.job.spec.resources for timing in queue)
+    )
     alike: dict[object, int] = {}
     for timing in queue:
-        need = timing.item.job.spec.need
-        alike[need] = alike.get(need, 0) + timing.item.count
+        resources = timing.item.job.spec.resources
+        alike[resources] = alike.get(resources, 0) + timing.item.count
     for timing in queue:
         item, spec = timing.item, timing.item.job.spec
-        rows = Starts(item.job, board, timing.avoid)
-        slack, reach = in_reach(timing, choices, part, boot_factor)
-        option: Option | None = None
+        rows = StartCandidates(item.job, schedule, timing.avoid)
+        slack, reach = in_reach(timing, choices, partition, boot_factor)
+        option: MachineOption | None = None
         # A choice goes by how many are alike only where they are fewer than a machine takes.
-        wide = max((empty_room("", o, part).count(spec.need) for o in choices), default=0)
-        chosen: dict[int, Option | None] = {}
-        left = alike[spec.need]
-        alike[spec.need] = left - item.count
+        wide = max((empty_room("", o, partition).count(spec.resources) for o in choices), default=0)
+        chosen: dict[int, MachineOption | None] = {}
+        left = alike[spec.resources]
+        alike[spec.resources] = left - item.count
         for at in range(item.count):
             if most <= 0:
                 return out
             most -= 1
-            begin, _, line = rows.best()
+            begin, _, timeline = rows.best()
             if begin > slack:
                 # Of a gang the last task counts: machines are hired for all of it.
                 if at == 0 or option is not None or spec.gang:
                     count = min(left, wide)
                     if count not in chosen:
                         chosen[count] = _choose(
-                            timing, choices, part, boot_factor, count, slack, reach
+                            timing, choices, partition, boot_factor, count, slack, reach
                         )
                     option = chosen[count]
                 if option is not None:
-                    room = empty_room(f"new-{len(board.lines)}", option, part)
-                    room.ready_in *= boot_factor
-                    if room.ready_in + room.fetch(spec.image, timing.image_gb) < begin - 1.0:
-                        line = Line(room)
-                        rows.join(line)
+                    capacity = empty_room(f"new-{len(schedule.timelines)}", option, partition)
+                    capacity.ready_in *= boot_factor
+                    if (
+                        capacity.ready_in + capacity.fetch(spec.image, timing.image_gb)
+                        < begin - 1.0
+                    ):
+                        timeline = MachineTimeline(capacity)
+                        rows.join(timeline)
                         key = (option.machine_type.name, option.spot)
                         out[key] = out.get(key, 0) + 1
             left -= 1
-            if line is None:
+            if timeline is None:
                 # Nothing can be had for it, nor for those beside it.
                 break
             rows.put(timing.run)
@@ -248,7 +261,7 @@
 
 
 def warm_places(
-    arrivals: list[int], boot: timedelta, window: timedelta, parts: int, most: int
+    arrivals: list[int], boot: timedelta, window: timedelta, partitions: int, most: int
 ) -> int:
     """Places to keep for services that must start sooner than a machine boots: what arrives on
     average while one boots, and one deviation more, over the parts. `arrivals`: the replicas of
@@ -257,7 +270,7 @@
         return 0
     share = boot / window
     mean, spread = sum(arrivals) * share, math.sqrt(sum(n * n for n in arrivals) * share)
-    return min(most, math.ceil((mean + spread) / max(1, parts)))
+    return min(most, math.ceil((mean + spread) / max(1, partitions)))
 
 
 def to_return(
--- a/roadbend/rental/service.py
+++ b/roadbend/autoscaler/service.py
@@ -6,17 +6,8 @@
 from datetime import datetime, timedelta
 
 from roadbend import clock
-from roadbend.fleet.service import Fleet
-from roadbend.http.client import NoAnswerError
-from roadbend.http.server import MalformedError
-from roadbend.log import Log
-from roadbend.placement import forecast
-from roadbend.placement import policy as placing
-from roadbend.placement.runtime import PartRuntime
-from roadbend.placement.shared import Shared
-from roadbend.placement.team_limits import within
-from roadbend.rental import policy
-from roadbend.rental.cloud import (
+from roadbend.autoscaler import policy
+from roadbend.autoscaler.cloud import (
     MAX_HIRED,
     Cloud,
     CloudBusyError,
@@ -25,8 +16,17 @@
     Still,
     read_machine_types,
 )
-from roadbend.rental.returns import Returns
-from roadbend.rental.warm_room import WarmRoom
+from roadbend.autoscaler.scale_in import ScaleIn
+from roadbend.autoscaler.warm_pool import WarmPool
+from roadbend.fleet.service import Fleet
+from roadbend.http.client import NoAnswerError
+from roadbend.http.server import MalformedError
+from roadbend.log import Log
+from roadbend.placement import forecast
+from roadbend.placement import policy as placing
+from roadbend.placement.context import ControllerContext
+from roadbend.placement.leader import PartitionLeader
+from roadbend.placement.quotas import within
 from roadbend.retry import Backoff, drawn
 from roadbend.store import keys
 from roadbend.store.client import ConflictError, LeaseEndedError, UnavailableError, commit, put
@@ -42,7 +42,7 @@
 
 
 @dataclass
-class Boot:
+class BootingMachine:
     """A machine that we hired and that has not reported yet."""
 
     id: str
@@ -54,41 +54,41 @@
 
 
 @dataclass
-class Refusal:
+class CapacityRefusal:
     """Until when a type, zone and kind is not asked for again."""
 
     until: datetime
     pause: timedelta
 
 
-class Rental:
+class Autoscaler:
     """Rents and returns the machines of all parts that this controller owns."""
 
     def __init__(
         self,
-        shared: Shared,
+        context: ControllerContext,
         cloud: Cloud,
         fleet: Fleet,
-        runtimes: dict[str, PartRuntime],
+        leaders: dict[str, PartitionLeader],
         rng: random.Random,
     ):
         self._rng = rng
-        self._shared, self._cloud, self._fleet, self._runtimes = shared, cloud, fleet, runtimes
-        self.refused: dict[tuple[str, str, bool], Refusal] = {}
-        self._boots: dict[str, dict[str, Boot]] = {}
+        self._context, self._cloud, self._fleet, self._leaders = context, cloud, fleet, leaders
+        self.refused: dict[tuple[str, str, bool], CapacityRefusal] = {}
+        self._boots: dict[str, dict[str, BootingMachine]] = {}
         self._names = 0
         self._first_listed: dict[str, datetime] = {}
-        self._warm_room = WarmRoom(shared)
-        self._returns = Returns(shared, cloud)
+        self._warm_pool = WarmPool(context)
+        self._returns = ScaleIn(context, cloud)
 
     # The catalog and the list, once a controller.
 
     def adopt_catalog(self) -> None:
         """What was last seen by anyone, for a start while the cloud is out."""
-        if not self._shared.machine_types and self._shared.view.catalog is not None:
+        if not self._context.machine_types and self._context.view.catalog is not None:
             try:
-                self._shared.machine_types = read_machine_types(self._shared.view.catalog)
-                log.info("catalog-adopted", machine_types=len(self._shared.machine_types))
+                self._context.machine_types = read_machine_types(self._context.view.catalog)
+                log.info("catalog-adopted", machine_types=len(self._context.machine_types))
             except MalformedError as error:
                 log.error("bad-record", key=keys.CATALOG_KEY, error=error)
 
@@ -97,19 +97,19 @@
             self.adopt_catalog()
             try:
                 machine_types = await self._cloud.catalog()
-                self._shared.machine_types = machine_types
+                self._context.machine_types = machine_types
                 await self._keep_catalog(machine_types)
                 # Until it is in the records, a controller that starts in a cloud outage would not
                 # know it.
                 await clock.pause(
-                    timedelta(seconds=20 if self._shared.view.catalog is not None else 1)
+                    timedelta(seconds=20 if self._context.view.catalog is not None else 1)
                 )
             except (NoAnswerError, CloudBusyError, NoCapacityError) as error:
                 log.info("no-catalog", error=str(error)[:60])
-                await clock.pause(timedelta(seconds=1 if not self._shared.machine_types else 4))
+                await clock.pause(timedelta(seconds=1 if not self._context.machine_types else 4))
 
     async def _keep_catalog(self, machine_types) -> None:
-        view = self._shared.view
+        view = self._context.view
         if not view.loaded:
             return
         value = [machine_type.to_value() for machine_type in machine_types.values()]
@@ -120,29 +120,30 @@
         if view.catalog is not None and lasting(view.catalog) == lasting(value):
             return
         rows = [put(keys.CATALOG_KEY, value)]
-        when = {keys.CATALOG_KEY: view.catalog_mod_revision}
+        conditions = {keys.CATALOG_KEY: view.catalog_mod_revision}
         try:
             view.applied(
-                rows, await commit(self._shared.state, when, rows, within=timedelta(seconds=3))
+                rows,
+                await commit(self._context.state, conditions, rows, within=timedelta(seconds=3)),
             )
         except (ConflictError, LeaseEndedError, UnavailableError):
             pass
 
     async def list_loop(self) -> None:
         while True:
-            if not self._runtimes:
+            if not self._leaders:
                 # Soon after a part was taken its machines are to be known.
                 await clock.pause(LIST_SOON)
                 continue
             try:
                 rows = await self._cloud.machines()
-                self._fleet.listing.take(rows)
+                self._fleet.inventory.take(rows)
                 self._sort_listed(rows)
             except (NoAnswerError, CloudBusyError, NoCapacityError) as error:
                 log.debug("no-list", error=str(error)[:60])
             except Exception:
                 log.crash("list-failed")
-            await clock.pause(self._cloud.list_pause(len(self._fleet.listing.rows)))
+            await clock.pause(self._cloud.list_pause(len(self._fleet.inventory.rows)))
 
     def _sort_listed(self, rows: list[Listed]) -> None:
         """Strays: machines of our parts that we don't know. They are used when they report, and
@@ -151,122 +152,132 @@
         ids = {row.id for row in rows}
         self._first_listed = {k: at for k, at in self._first_listed.items() if k in ids}
         for row in rows:
-            runtime = self._runtimes.get(row.zone)
-            if runtime is None or row.id in runtime.machines:
+            leader = self._leaders.get(row.zone)
+            if leader is None or row.id in leader.machines:
                 continue
             self._first_listed.setdefault(row.id, now)
             boots = self._boots.setdefault(row.zone, {})
-            if row.id in self._shared.deleted:
+            if row.id in self._context.deleted:
                 # The list lags: what we deleted still appears in it, and is no stray.
                 continue
             if row.status in ("booting", "running") and row.id not in boots:
-                boots[row.id] = Boot(
+                boots[row.id] = BootingMachine(
                     row.id, row.machine_type, row.spot, now - row.age, row.status == "running"
                 )
 
     # A part's loop.
 
-    async def run(self, runtime: PartRuntime) -> None:
-        part, pause = runtime.part, ROUND
-        while self._shared.ownership.tenure(part) == runtime.tenure:
+    async def run(self, leader: PartitionLeader) -> None:
+        partition, pause = leader.partition, ROUND
+        while self._context.election.leadership(partition) == leader.leadership:
             await clock.pause(pause)
             pause = ROUND
             try:
                 now = clock.now()
-                if self._shared.ownership.may_start(now) and self._shared.machine_types:
-                    hires = self._plan(runtime, now)
+                if self._context.election.may_start(now) and self._context.machine_types:
+                    hires = self._plan(leader, now)
                     # Where looking at everything takes long, it is done less often.
-                    pause = max(ROUND, self._shared.rest(clock.now() - now))
-                    await self._round(runtime, now, *hires)
+                    pause = max(ROUND, self._context.rest(clock.now() - now))
+                    await self._round(leader, now, *hires)
             except (NoAnswerError, CloudBusyError) as error:
-                log.debug("cloud-trouble", part=part, error=str(error)[:60])
+                log.debug("cloud-trouble", partition=partition, error=str(error)[:60])
                 await clock.pause(timedelta(seconds=1))
             except Exception:
-                log.crash("rental-failed", part=part)
+                log.crash("rental-failed", partition=partition)
                 await clock.pause(timedelta(seconds=1))
 
-    def closed(self, part: str, now: datetime) -> set[tuple[str, bool]]:
-        if self._fleet.cuts.is_cut(part, now):
+    def closed(self, partition: str, now: datetime) -> set[tuple[str, bool]]:
+        if self._fleet.reachability.is_cut(partition, now):
             # What is hired behind a cut comes up unheard.
             return {
                 (machine_type, spot)
-                for machine_type in self._shared.machine_types
+                for machine_type in self._context.machine_types
                 for spot in (True, False)
             }
         return {
             (machine_type, spot)
             for (p, machine_type, spot), row in self.refused.items()
-            if p == part and row.until > now
+            if p == partition and row.until > now
         }
 
-    def boot_rooms(self, runtime: PartRuntime, now: datetime) -> list[placing.Room]:
+    def booting_capacities(
+        self, leader: PartitionLeader, now: datetime
+    ) -> list[placing.FreeCapacity]:
         out = []
-        for boot in self._boots.get(runtime.part, {}).values():
-            machine_type = self._shared.machine_types.get(boot.machine_type)
-            if machine_type is None or boot.stray or boot.id in runtime.machines:
+        for boot in self._boots.get(leader.partition, {}).values():
+            machine_type = self._context.machine_types.get(boot.machine_type)
+            if machine_type is None or boot.stray or boot.id in leader.machines:
                 continue
             if now - boot.since > machine_type.startup * 1.8:
                 # It may still come, but others are hired in its place.
                 continue
             price = machine_type.spot_price if boot.spot else machine_type.price
-            room = policy.empty_room(
-                boot.id, policy.Option(machine_type, boot.spot, price), runtime.part
+            capacity = policy.empty_room(
+                boot.id, policy.MachineOption(machine_type, boot.spot, price), leader.partition
+            )
+            capacity.ready_in = max(
+                1.0, (machine_type.startup - (now - boot.since)).total_seconds()
             )
-            room.ready_in = max(1.0, (machine_type.startup - (now - boot.since)).total_seconds())
-            out.append(room)
+            out.append(capacity)
         return out
 
     def _plan(
-        self, runtime: PartRuntime, now: datetime
+        self, leader: PartitionLeader, now: datetime
     ) -> tuple[dict[tuple[str, bool], int], Job | None, int]:
         """What to hire, the service to keep room for, and how many places there are beyond that."""
-        part, operator = runtime.part, self._shared.operator
-        boots = self._boots.setdefault(part, {})
-        for name in [n for n in boots if n in runtime.machines]:
+        partition, operator = leader.partition, self._context.operator
+        boots = self._boots.setdefault(partition, {})
+        for name in [n for n in boots if n in leader.machines]:
             del boots[name]
-        fresh = self.boot_rooms(runtime, now)
-        runtime.booting = fresh
-        queue = self._timed(runtime, self._within_limits(runtime, runtime.queue.pending()))
-        choices = policy.options(self._shared.machine_types.values(), part, self.closed(part, now))
+        fresh = self.booting_capacities(leader, now)
+        leader.booting = fresh
+        queue = self._timed(leader, self._within_limits(leader, leader.queue.pending()))
+        choices = policy.options(
+            self._context.machine_types.values(), partition, self.closed(partition, now)
+        )
         # The forecast writes on the rooms that it is given.
-        lines = runtime.layouts.lines([replace(room) for room in fresh])
+        timelines = leader.projections.timelines([replace(capacity) for capacity in fresh])
         # Of a gang the last task counts, however wide it is.
         widest = max((t.item.count for t in queue if t.item.job.spec.gang), default=0)
-        most = max(runtime.layouts.most_forecast(lines), widest)
+        most = max(leader.projections.most_forecast(timelines), widest)
         want = (
-            policy.wanted(queue, lines, choices, part, operator.boot_factor, most) if queue else {}
+            policy.wanted(queue, timelines, choices, partition, operator.boot_factor, most)
+            if queue
+            else {}
         )
-        model, keep = self._warm_room.wanted(part)
-        have = self._warm_room.available(runtime, model, fresh) if model is not None else 0
-        if model is not None and have < keep and runtime.recovery.knows_machines():
+        model, keep = self._warm_pool.wanted(partition)
+        have = self._warm_pool.available(leader, model, fresh) if model is not None else 0
+        if model is not None and have < keep and leader.recovery.knows_machines():
             dear = policy.expensive_machine_types(
-                model, self._shared.machine_types.values(), operator.dear, part
+                model, self._context.machine_types.values(), operator.dear, partition
             )
             fit = [o for o in choices if o.machine_type.name not in dear]
-            option = policy.cheapest(placing.Pending(model, ((0, 1),), True), fit, part, keep)
+            option = policy.cheapest(
+                placing.PendingTasks(model, ((0, 1),), True), fit, partition, keep
+            )
             if option is not None and not any(
                 machine_type == option.machine_type.name and not spot for machine_type, spot in want
             ):
-                places = policy.empty_room("", option, part).count(model.spec.need)
+                places = policy.empty_room("", option, partition).count(model.spec.resources)
                 want[(option.machine_type.name, option.spot)] = -(-(keep - have) // places)
         return want, model, have - keep
 
     async def _round(
         self,
-        runtime: PartRuntime,
+        leader: PartitionLeader,
         now: datetime,
         want: dict[tuple[str, bool], int],
         model: Job | None,
         surplus: int,
     ) -> None:
-        part, operator = runtime.part, self._shared.operator
-        boots = self._boots.setdefault(part, {})
+        partition, operator = leader.partition, self._context.operator
+        boots = self._boots.setdefault(partition, {})
         for (machine_type, spot), count in want.items():
-            await self._rent_all(runtime, machine_type, spot, count)
-        await self._returns.give_back(runtime, now, model, surplus, self._still(runtime))
+            await self._rent_all(leader, machine_type, spot, count)
+        await self._returns.give_back(leader, now, model, surplus, self._still(leader))
         late = []
         for boot in list(boots.values()):
-            machine_type = self._shared.machine_types.get(boot.machine_type)
+            machine_type = self._context.machine_types.get(boot.machine_type)
             limit = (
                 operator.boot_patience * machine_type.startup
                 if machine_type
@@ -276,38 +287,44 @@
                 limit = min(limit, operator.find_owner)
             # What we hired in an earlier term may long be up, and report to us only now: an owner
             # that got its part back once deleted healthy machines here.
-            since = max(boot.since, runtime.tenure.since)
-            unheard = boot.id not in runtime.machines and boot.id not in runtime.by_machine()
-            if now - since > limit and unheard and not self._fleet.cuts.is_cut(part, now):
+            since = max(boot.since, leader.leadership.acquired_at)
+            unheard = boot.id not in leader.machines and boot.id not in leader.by_machine()
+            if (
+                now - since > limit
+                and unheard
+                and not self._fleet.reachability.is_cut(partition, now)
+            ):
                 late.append(boot.id)
         if late:
-            log.info("never-up", part=part, machines=",".join(late[:5]), count=len(late))
-            await self._cloud.delete(late, still=self._still(runtime))
+            log.info("never-up", partition=partition, machines=",".join(late[:5]), count=len(late))
+            await self._cloud.delete(late, still=self._still(leader))
             for name in late:
                 boots.pop(name, None)
-                runtime.gone(name, "deleted")
+                leader.gone(name, "deleted")
 
-    def _timed(self, runtime: PartRuntime, queue: list[placing.Pending]) -> list[policy.Timing]:
-        out, wall, operator = [], clock.wall(), self._shared.operator
+    def _timed(
+        self, leader: PartitionLeader, queue: list[placing.PendingTasks]
+    ) -> list[policy.Timing]:
+        out, wall, operator = [], clock.wall(), self._context.operator
         boot = max(
-            (machine_type.startup for machine_type in self._shared.machine_types.values()),
+            (machine_type.startup for machine_type in self._context.machine_types.values()),
             default=clock.ZERO,
         ).total_seconds()
         for item in queue:
             spec = item.job.spec
-            run = runtime.layouts.run_seconds(item.job)
-            waited = (wall - item.job.at).total_seconds()
+            run = leader.projections.run_seconds(item.job)
+            waited = (wall - item.job.submitted_at).total_seconds()
             # Estimates are often wrong: the time kept for the run is longer than the likely one.
             kept = 0.0 if spec.service else run * operator.caution
-            avoid = runtime.withheld_types.get(item.job.id, frozenset())
+            avoid = leader.withheld_types.get(item.job.id, frozenset())
             # The last task decides; for the later deadline, which is the last chance, some more is
             # kept.
             sure = kept * 1.3 + 0.5 * boot
-            first, *more = self._shared.deadlines(spec)
+            first, *more = self._context.deadlines(spec)
             later = [forecast.slack(item, waited, sure, x) for x in more]
             first = forecast.slack(item, waited, kept, first)
             least = (
-                policy.least_cost(item, self._shared.machine_types.values(), item.count)
+                policy.least_cost(item, self._context.machine_types.values(), item.count)
                 if later
                 else None
             )
@@ -315,44 +332,46 @@
         return out
 
     def _within_limits(
-        self, runtime: PartRuntime, left: list[placing.Pending]
-    ) -> list[placing.Pending]:
+        self, leader: PartitionLeader, left: list[placing.PendingTasks]
+    ) -> list[placing.PendingTasks]:
         """Nothing is hired for tasks that their team's limit keeps waiting anyway."""
 
-        def room(team: str) -> tuple[float, float] | None:
-            most = self._shared.most_for(team, runtime.part)
+        def capacity(team: str) -> tuple[float, float] | None:
+            most = self._context.most_for(team, leader.partition)
             if most is None:
                 return None
-            used = self._shared.view.used.get(runtime.part, {}).get(team, (0.0, 0.0))
+            used = self._context.view.usage.get(leader.partition, {}).get(team, (0.0, 0.0))
             return most[0] - used[0], most[1] - used[1]
 
-        return within(placing.Allowance(room), left)
+        return within(placing.QuotaAllowance(capacity), left)
 
     async def _rent_all(
-        self, runtime: PartRuntime, machine_type: str, spot: bool, count: int
+        self, leader: PartitionLeader, machine_type: str, spot: bool, count: int
     ) -> None:
         """More than one request rents takes several, as long as the cloud has what is asked for.
         With one a round, and rounds that take longer the more machines there are, a part of more
         than a thousand machines was minutes late."""
         for _ in range(MAX_REQUESTS):
             asked = min(count, MAX_HIRED)
-            got = await self._rent(runtime, machine_type, spot, asked)
+            got = await self._rent(leader, machine_type, spot, asked)
             count -= got
             if got < asked or count <= 0:
                 return
 
-    async def _rent(self, runtime: PartRuntime, machine_type: str, spot: bool, count: int) -> int:
+    async def _rent(
+        self, leader: PartitionLeader, machine_type: str, spot: bool, count: int
+    ) -> int:
         """Gives how many machines the cloud had."""
-        part = runtime.part
+        partition = leader.partition
         self._names += 1
         # Never used again: the term is ours alone, and the number grows within it.
-        name = f"{part}-{runtime.tenure.term}-{self._names}"
-        key = (part, machine_type, spot)
+        name = f"{partition}-{leader.leadership.term}-{self._names}"
+        key = (partition, machine_type, spot)
         waits = Backoff(timedelta(milliseconds=300), timedelta(seconds=10), self._rng)
         for _ in range(6):
             try:
                 got = await self._cloud.rent(
-                    name, machine_type, part, spot, count, self._still(runtime)
+                    name, machine_type, partition, spot, count, self._still(leader)
                 )
                 break
             except NoCapacityError:
@@ -365,12 +384,14 @@
             raise NoAnswerError("hire")
         now = clock.now()
         for machine in got:
-            self._boots.setdefault(part, {})[machine] = Boot(machine, machine_type, spot, now)
-            if machine not in runtime.machines:
-                runtime.rented.add(machine)
+            self._boots.setdefault(partition, {})[machine] = BootingMachine(
+                machine, machine_type, spot, now
+            )
+            if machine not in leader.machines:
+                leader.rented.add(machine)
         log.info(
             "hired",
-            part=part,
+            partition=partition,
             machine_type=machine_type,
             spot=spot,
             wanted=count,
@@ -383,19 +404,24 @@
             self.refused.pop(key, None)
         return len(got)
 
-    def _still(self, runtime: PartRuntime) -> Still:
+    def _still(self, leader: PartitionLeader) -> Still:
         """Machines are hired and given back for a part only while it is ours: a new owner may have
         put work on what we found empty before we stood still."""
-        ownership = self._shared.ownership
+        election = self._context.election
         return lambda: (
-            ownership.tenure(runtime.part) == runtime.tenure and ownership.may_start(clock.now())
+            election.leadership(leader.partition) == leader.leadership
+            and election.may_start(clock.now())
         )
 
     def _refuse(self, key: tuple[str, str, bool]) -> None:
-        operator, now = self._shared.operator, clock.now()
+        operator, now = self._context.operator, clock.now()
         old = self.refused.get(key)
         pause = min(operator.refusal_pause_max, old.pause * 2) if old else operator.refusal_pause
-        self.refused[key] = Refusal(now + drawn(pause, self._rng), pause)
+        self.refused[key] = CapacityRefusal(now + drawn(pause, self._rng), pause)
         log.info(
-            "refused", part=key[0], machine_type=key[1], spot=key[2], pause=pause.total_seconds()
+            "refused",
+            partition=key[0],
+            machine_type=key[1],
+            spot=key[2],
+            pause=pause.total_seconds(),
         )
--- a/roadbend/rental/test_rental.py
+++ b/roadbend/autoscaler/test_autoscaler.py
@@ -5,16 +5,16 @@
 import pytest
 
 from roadbend import clock
+from roadbend.autoscaler import policy
+from roadbend.autoscaler.cloud import read_machine_types
+from roadbend.autoscaler.policy import Timing
+from roadbend.autoscaler.service import MAX_REQUESTS, Autoscaler
 from roadbend.fakes.world import MACHINE_TYPE
 from roadbend.http.server import MalformedError
-from roadbend.placement.forecast import Line
-from roadbend.placement.policy import Room
+from roadbend.placement.forecast import MachineTimeline
+from roadbend.placement.policy import FreeCapacity
 from roadbend.placement.test_placement import pending
-from roadbend.rental import policy
-from roadbend.rental.cloud import read_machine_types
-from roadbend.rental.policy import Timing
-from roadbend.rental.service import MAX_REQUESTS, Rental
-from roadbend.store.records import Need
+from roadbend.store.records import Resources
 
 SMALL = {
     **MACHINE_TYPE,
@@ -29,9 +29,9 @@
 S = timedelta(seconds=1)
 
 
-def busy(seconds: float) -> Line:
-    room = Room("m", "g2", "east", True, 0, 0, 0, total=Need(24, 2, 144))
-    return Line(room, [(seconds, Need(8, 1, 40))])
+def busy(seconds: float) -> MachineTimeline:
+    capacity = FreeCapacity("m", "g2", "east", True, 0, 0, 0, total=Resources(24, 2, 144))
+    return MachineTimeline(capacity, [(seconds, Resources(8, 1, 40))])
 
 
 def choices(refused=()):
@@ -127,14 +127,14 @@
     thousand waiting for minutes."""
 
     async def requests(count: int, *there: int) -> list[int]:
-        rental, left, asked = Rental.__new__(Rental), list(there), []
+        autoscaler, left, asked = Autoscaler.__new__(Autoscaler), list(there), []
 
-        async def rent(_runtime, _machine_type, _spot, count: int) -> int:
+        async def rent(_leader, _machine_type, _spot, count: int) -> int:
             asked.append(count)
             return min(count, left.pop(0))
 
-        rental._rent = rent
-        await rental._rent_all(None, "g2", False, count)
+        autoscaler._rent = rent
+        await autoscaler._rent_all(None, "g2", False, count)
         return asked
 
     assert await requests(120, 50, 50, 50) == [50, 50, 20]
--- a/roadbend/bidding/casa.py
+++ b/roadbend/bidding/casa.py
@@ -19,14 +19,14 @@
 class Bid:
     """An accept message: what a part promises for a job (section 4.2)."""
 
-    part: str
-    node: str
+    partition: str
+    controller: str
     job_time: timedelta
     queue_time: timedelta
     shadow_time: timedelta
     # Tasks of this job that it can start now, and that it could take in all.
-    now: int
-    room: int
+    startable_now: int
+    capacity: int
 
 
 def load_time(load: float, cores: float, speed: float = 1.0) -> timedelta:
@@ -68,7 +68,7 @@
         return sum(row[0] for row in self._rows.values())
 
 
-def allot(
+def allocate(
     job: Job,
     bids: Sequence[Bid],
     omega: float,
@@ -83,23 +83,23 @@
     don't are not drawn: an inverse weight hardly tells a part just in time from one just too
     late."""
     spec = job.spec
-    free = job.free
+    free = job.unassigned
     if not free:
         return {}
     if spec.gang and spec.apart and spec.task_count > 1:
         return _apart(job, bids, omega, rng)
     if spec.together or spec.gang:
         return _whole(job, bids, omega, rng)
-    room = {}
+    capacity = {}
     for bid in bids:
-        cap = spec.zone_cap - ranges.size(job.alloc.get(bid.part, ()))
+        cap = spec.zone_cap - ranges.size(job.allocation.get(bid.partition, ()))
         # Tasks that are over no longer count against a zone, but keeping to the cap needs no proof.
-        room[bid.part] = max(0, min(bid.room, cap))
-    now = {bid.part: min(bid.now, room[bid.part]) for bid in bids}
+        capacity[bid.partition] = max(0, min(bid.capacity, cap))
+    now = {bid.partition: min(bid.startable_now, capacity[bid.partition]) for bid in bids}
     out: dict[str, ranges.Ranges] = {}
     while free:
-        ready = [bid for bid in bids if now[bid.part] > 0 and room[bid.part] > 0]
-        able = ready or [bid for bid in bids if room[bid.part] > 0]
+        ready = [bid for bid in bids if now[bid.partition] > 0 and capacity[bid.partition] > 0]
+        able = ready or [bid for bid in bids if capacity[bid.partition] > 0]
         chosen = draw(
             [bid for bid in able if left is None or response(bid, omega) <= left] or able,
             omega,
@@ -107,34 +107,40 @@
         )
         if chosen is None:
             break
-        part = chosen.part
-        count = min(now[part] if ready else room[part], room[part], slice_most)
+        partition = chosen.partition
+        count = min(
+            now[partition] if ready else capacity[partition], capacity[partition], slice_most
+        )
         piece = ranges.first(free, count)
-        out[part] = ranges.union(out.get(part, ()), piece)
+        out[partition] = ranges.union(out.get(partition, ()), piece)
         free = ranges.minus(free, piece)
         got = ranges.size(piece)
-        now[part] -= min(now[part], got)
-        room[part] -= got
+        now[partition] -= min(now[partition], got)
+        capacity[partition] -= got
         if not ready:
             # The load just drawn is not in the bid: the next slice is drawn among the others first.
-            room[part] = 0 if any(r > 0 for p, r in room.items() if p != part) else room[part]
+            capacity[partition] = (
+                0
+                if any(r > 0 for p, r in capacity.items() if p != partition)
+                else capacity[partition]
+            )
     return out
 
 
 def _whole(
     job: Job, bids: Sequence[Bid], omega: float, rng: random.Random
 ) -> dict[str, ranges.Ranges]:
-    held = [part for part, rs in job.alloc.items() if rs]
+    held = [partition for partition, rs in job.allocation.items() if rs]
     if held:
-        return {held[0]: job.free} if any(bid.part == held[0] for bid in bids) else {}
+        return {held[0]: job.unassigned} if any(bid.partition == held[0] for bid in bids) else {}
     if job.done:
         # Its zone is known only to the part that held it; parts never give back started slices.
         return {}
-    count = ranges.size(job.free)
-    able = [bid for bid in bids if bid.room >= count]
-    ready = [bid for bid in able if bid.now >= count]
+    count = ranges.size(job.unassigned)
+    able = [bid for bid in bids if bid.capacity >= count]
+    ready = [bid for bid in able if bid.startable_now >= count]
     chosen = draw(ready or able, omega, rng)
-    return {} if chosen is None else {chosen.part: job.free}
+    return {} if chosen is None else {chosen.partition: job.unassigned}
 
 
 def _apart(
@@ -142,19 +148,19 @@
 ) -> dict[str, ranges.Ranges]:
     """Shares of a gang that is to be apart: all of it is given out at once, or nothing. As ever,
     parts that can start their shares now come first, and the draw is by inverse time."""
-    if job.alloc or job.done:
+    if job.allocation or job.done:
         return {}
-    now = {bid.part: min(bid.now, job.spec.zone_cap) for bid in bids}
-    room = {bid.part: min(bid.room, job.spec.zone_cap) for bid in bids}
-    amounts = now if sum(now.values()) >= job.spec.task_count else room
+    now = {bid.partition: min(bid.startable_now, job.spec.zone_cap) for bid in bids}
+    capacity = {bid.partition: min(bid.capacity, job.spec.zone_cap) for bid in bids}
+    amounts = now if sum(now.values()) >= job.spec.task_count else capacity
     if sum(amounts.values()) < job.spec.task_count:
         return {}
-    free, open_to, out = job.free, [bid for bid in bids if amounts[bid.part] > 0], {}
+    free, open_to, out = job.unassigned, [bid for bid in bids if amounts[bid.partition] > 0], {}
     while free:
         chosen = draw(open_to, omega, rng)
         open_to.remove(chosen)
-        out[chosen.part] = ranges.first(free, amounts[chosen.part])
-        free = ranges.minus(free, out[chosen.part])
+        out[chosen.partition] = ranges.first(free, amounts[chosen.partition])
+        free = ranges.minus(free, out[chosen.partition])
     return out
 
 
--- a/roadbend/bidding/messages.py
+++ b/roadbend/bidding/messages.py
@@ -6,18 +6,18 @@
 from roadbend.bidding.casa import Bid
 from roadbend.peers.frames import Scanner, Writer
 from roadbend.peers.links import finite
-from roadbend.store.records import Need, Spec
+from roadbend.store.records import JobSpec, Resources
 
 
 @dataclass(frozen=True)
-class Ask:
+class BidRequest:
     """A request, or, with `theirs` set, an inform: what a part must know to bid."""
 
     job: str
     requests: int
     free: int
-    spec: Spec
-    part: str = ""
+    spec: JobSpec
+    partition: str = ""
     theirs: timedelta | None = None
     their_average: timedelta = timedelta()
     # How long the job has waited since its submission.
@@ -27,14 +27,14 @@
         s = self.spec
         out = Writer().text(self.job).put("HI", self.requests, self.free)
         out.text(s.team).text(s.job_class).put("?BI", s.service, s.priority, s.task_count)
-        out.put("ddd", s.need.cpus, s.need.gpus, s.need.memory)
+        out.put("ddd", s.resources.cpus, s.resources.gpus, s.resources.memory)
         out.put("h", -1 if s.machine_types is None else len(s.machine_types))
         for machine_type in s.machine_types or ():
             out.text(machine_type)
         out.maybe(s.zone).put("???", s.together, s.apart, s.spot).text(s.image).put("d", s.image_gb)
-        out.put("ddd", *(x.total_seconds() for x in (s.expected, s.checkpoint, s.save)))
+        out.put("ddd", *(x.total_seconds() for x in (s.expected_duration, s.checkpoint, s.save)))
         out.put("d", -1.0 if s.due is None else s.due.total_seconds())
-        out.text(self.part).put(
+        out.text(self.partition).put(
             "ddd",
             -1.0 if self.theirs is None else self.theirs.total_seconds(),
             self.their_average.total_seconds(),
@@ -42,30 +42,30 @@
         )
         return out.bytes()
 
-    def as_gang(self) -> "Ask":
+    def as_gang(self) -> "BidRequest":
         return replace(self, spec=replace(self.spec, gang=True))
 
     @staticmethod
-    def unpack(data: bytes) -> "Ask":
+    def unpack(data: bytes) -> "BidRequest":
         scan = Scanner(data)
         job, (requests, free) = scan.text(), scan.get("HI")
         team, job_class, (service, priority, task_count) = scan.text(), scan.text(), scan.get("?BI")
-        need = Need(*(finite(x) for x in scan.get("ddd")))
+        resources = Resources(*(finite(x) for x in scan.get("ddd")))
         count = scan.one("h")
         machine_types = None if count < 0 else tuple(scan.text() for _ in range(count))
         zone, (together, apart, spot) = scan.maybe(), scan.get("???")
         image, image_gb = scan.text(), finite(scan.one("d"))
         expected, checkpoint, save = (_span(x) for x in scan.get("ddd"))
         due = scan.one("d")
-        part, (theirs, average, waited) = scan.text(), scan.get("ddd")
+        partition, (theirs, average, waited) = scan.text(), scan.get("ddd")
         scan.end()
-        spec = Spec(
+        spec = JobSpec(
             team,
             job_class,
             service,
             priority,
             task_count,
-            need,
+            resources,
             machine_types,
             zone,
             together,
@@ -79,7 +79,9 @@
             None if due < 0 else _span(due),
         )
         theirs = None if theirs < 0 else _span(theirs)
-        return Ask(job, requests, free, spec, part, theirs, _span(average), _span(waited))
+        return BidRequest(
+            job, requests, free, spec, partition, theirs, _span(average), _span(waited)
+        )
 
 
 def _span(value: float) -> timedelta:
@@ -89,11 +91,11 @@
 def pack_bids(bids: list[Bid]) -> bytes:
     out = Writer().put("H", len(bids))
     for bid in bids:
-        out.text(bid.part).text(bid.node)
+        out.text(bid.partition).text(bid.controller)
         out.put(
             "ddd", *(x.total_seconds() for x in (bid.job_time, bid.queue_time, bid.shadow_time))
         )
-        out.put("II", min(bid.now, 1 << 31), min(bid.room, 1 << 31))
+        out.put("II", min(bid.startable_now, 1 << 31), min(bid.capacity, 1 << 31))
     return out.bytes()
 
 
@@ -101,10 +103,10 @@
     scan = Scanner(data)
     bids = []
     for _ in range(scan.one("H")):
-        part, node = scan.text(), scan.text()
+        partition, controller = scan.text(), scan.text()
         times = [_span(x) for x in scan.get("ddd")]
-        now, room = scan.get("II")
-        bids.append(Bid(part, node, *times, now, room))
+        now, capacity = scan.get("II")
+        bids.append(Bid(partition, controller, *times, now, capacity))
     scan.end()
     return bids
 
--- a/roadbend/bidding/exchange.py
+++ b/roadbend/bidding/requester.py
@@ -11,16 +11,16 @@
 from roadbend import clock
 from roadbend.bidding import casa, messages
 from roadbend.bidding.casa import Bid, Promises
-from roadbend.bidding.messages import Ask
-from roadbend.bidding.offers import Bidder
+from roadbend.bidding.messages import BidRequest
+from roadbend.bidding.responder import Responder
 from roadbend.log import Log
-from roadbend.parts.policy import rendezvous
+from roadbend.partitions.policy import rendezvous
 from roadbend.peers import frames
 from roadbend.peers.frames import FrameError
 from roadbend.peers.links import Link, NoReplyError, Peers
 from roadbend.placement import apart_gangs, gangs
-from roadbend.placement.runtime import PartRuntime
-from roadbend.placement.shared import Shared
+from roadbend.placement.context import ControllerContext
+from roadbend.placement.leader import PartitionLeader
 from roadbend.retry import drawn
 from roadbend.store import keys, ranges, records
 from roadbend.store.client import ConflictError, LeaseEndedError, UnavailableError, commit, put
@@ -38,21 +38,21 @@
 MAX_SHARDS = 16
 
 
-class Exchange:
+class Requester:
     """Asks all parts for bids, records who got what, and offers again what waits too long."""
 
     def __init__(
         self,
-        shared: Shared,
+        context: ControllerContext,
         peers: Peers,
-        runtimes: dict[str, PartRuntime],
+        leaders: dict[str, PartitionLeader],
         closed: Callable[[str, datetime], set[tuple[str, bool]]],
         rng: random.Random,
     ):
-        self._shared, self._peers, self._runtimes, self._closed, self._rng = (
-            shared,
+        self._context, self._peers, self._leaders, self._closed, self._rng = (
+            context,
             peers,
-            runtimes,
+            leaders,
             closed,
             rng,
         )
@@ -70,45 +70,48 @@
 
     # Bidding.
 
-    def _bidder(self, part: str) -> Bidder:
-        shadow = self._shadows.setdefault(part, Promises(self._shared.operator.promise_life))
-        runtime = self._runtimes[part]
-        return Bidder(
-            runtime, self._shared.settings.name, lambda: self._closed(part, clock.now()), shadow
+    def _bidder(self, partition: str) -> Responder:
+        shadow = self._shadows.setdefault(partition, Promises(self._context.operator.promise_life))
+        leader = self._leaders[partition]
+        return Responder(
+            leader,
+            self._context.settings.name,
+            lambda: self._closed(partition, clock.now()),
+            shadow,
         )
 
-    def bids(self, ask: Ask) -> list[Bid]:
+    def bids(self, ask: BidRequest) -> list[Bid]:
         now = clock.now()
         out = []
-        for part, runtime in list(self._runtimes.items()):
-            if self._shared.ownership.tenure(
-                part
-            ) != runtime.tenure or not self._shared.ownership.may_start(now):
+        for partition, leader in list(self._leaders.items()):
+            if self._context.election.leadership(
+                partition
+            ) != leader.leadership or not self._context.election.may_start(now):
                 continue
-            if part == ask.part:
+            if partition == ask.partition:
                 continue
-            bid = self._bidder(part).bid(ask, now)
+            bid = self._bidder(partition).bid(ask, now)
             if bid is not None:
                 out.append(bid)
         return out
 
     def _on_request(self, sender: str, payload: bytes) -> bytes:
-        return messages.pack_bids(self.bids(Ask.unpack(payload)))
+        return messages.pack_bids(self.bids(BidRequest.unpack(payload)))
 
     def _on_inform(self, sender: str, payload: bytes) -> bytes:
-        return messages.pack_bids(self.better(Ask.unpack(payload)))
+        return messages.pack_bids(self.better(BidRequest.unpack(payload)))
 
     def _on_gang_request(self, sender: str, payload: bytes) -> bytes:
-        return messages.pack_bids(self.bids(Ask.unpack(payload).as_gang()))
+        return messages.pack_bids(self.bids(BidRequest.unpack(payload).as_gang()))
 
     def _on_gang_inform(self, sender: str, payload: bytes) -> bytes:
-        return messages.pack_bids(self.better(Ask.unpack(payload).as_gang()))
+        return messages.pack_bids(self.better(BidRequest.unpack(payload).as_gang()))
 
-    def better(self, ask: Ask) -> list[Bid]:
+    def better(self, ask: BidRequest) -> list[Bid]:
         """Bids for a job that waits elsewhere: only under both tests of algorithm 5."""
-        operator, now, out = self._shared.operator, clock.now(), []
+        operator, now, out = self._context.operator, clock.now(), []
         for bid in self.bids(ask):
-            average = self._bidder(bid.part).average_queuing(now)
+            average = self._bidder(bid.partition).average_queuing(now)
             estimate = casa.response(bid, operator.omega)
             # A part that can start it now takes what has waited for long, whatever waits here for
             # other machines: by the averages alone a job can wait for ever beside room that fits
@@ -117,12 +120,12 @@
                 casa.accepts_reoffer(
                     estimate, ask.theirs, average, ask.their_average, operator.varpi
                 )
-                or bid.now > 0
+                or bid.startable_now > 0
                 and ask.waited >= LONG_WAIT
             ):
                 out.append(bid)
             else:
-                self._shadows[bid.part].revoke(ask.job)
+                self._shadows[bid.partition].revoke(ask.job)
         return out
 
     def _on_assign(self, sender: str, payload: bytes) -> bytes:
@@ -130,14 +133,14 @@
         job, value, mod_revision = messages.unpack_assign(payload)
         for shadow in self._shadows.values():
             shadow.revoke(job)
-        view = self._shared.view
+        view = self._context.view
         if value and mod_revision > view.revision:
             try:
                 view.put(keys.job_key(job), cbor2.loads(value), mod_revision)
             except Exception as error:  # cbor2 raises many kinds on hostile input
                 raise FrameError("assign") from error
-        for runtime in self._runtimes.values():
-            runtime.wake_up.set()
+        for leader in self._leaders.values():
+            leader.wake_up.set()
         return b""
 
     def _on_revoke(self, sender: str, payload: bytes) -> None:
@@ -171,18 +174,18 @@
     async def run_rebid(self) -> None:
         """Any live controller offers a recorded job that nobody holds; the hash says who tries
         first."""
-        operator = self._shared.operator
+        operator = self._context.operator
         waiting: dict[str, tuple[datetime, datetime]] = {}
         while True:
             await clock.pause(operator.rebid_every)
             now = clock.now()
-            names = [self._shared.settings.name, *self._peers.alive(now)]
-            free = [job.id for job in self._shared.view.jobs.values() if job.free]
+            names = [self._context.settings.name, *self._peers.alive(now)]
+            free = [job.id for job in self._context.view.jobs.values() if job.unassigned]
             waiting = {name: waiting.get(name, (now, now)) for name in free}
             for name, (since, due) in waiting.items():
                 if now < due:
                     continue
-                mine = rendezvous(name, names) == self._shared.settings.name
+                mine = rendezvous(name, names) == self._context.settings.name
                 if mine or now - since > operator.rebid_every * 4:
                     # The longer it has found nobody, the less often it asks: a burst must not be
                     # all bids.
@@ -195,14 +198,14 @@
     async def _ask(self, link: Link, kind: int, payload: bytes, out: list[Bid]) -> None:
         try:
             out += messages.unpack_bids(
-                await link.call(kind, payload, self._shared.operator.bid_wait)
+                await link.call(kind, payload, self._context.operator.bid_wait)
             )
         except NoReplyError:
             pass
         except FrameError as error:
             log.error("bad-bid", peer=link.peer.name, error=str(error))
 
-    async def gather(self, ask: Ask) -> list[Bid]:
+    async def gather(self, ask: BidRequest) -> list[Bid]:
         again = ask.theirs is not None
         bids = self.better(ask) if again else self.bids(ask)
         kind, payload = frames.INFORM if again else frames.REQUEST, ask.pack()
@@ -213,38 +216,44 @@
                 if not ask.spec.gang or link.known.speaks(frames.GANGS):
                     nursery.start_soon(self._ask, link, kind, payload, bids)
         # One bid a part: while ownership moves, two may answer for it.
-        return list({bid.part: bid for bid in bids}.values())
+        return list({bid.partition: bid for bid in bids}.values())
 
     @staticmethod
     def _left(job: Job) -> timedelta | None:
         return None if job.deadline is None else job.deadline - clock.wall()
 
     async def _distribute(self, name: str) -> None:
-        view = self._shared.view
+        view = self._context.view
         for _ in range(3):
             job = view.jobs.get(name)
-            if job is None or not job.free or name in self._shared.cancelled:
+            if job is None or not job.unassigned or name in self._context.cancelled:
                 return
-            if self._shared.recovery.holds_back(name):
+            if self._context.recovery.holds_back(name):
                 return
-            waited = max(clock.ZERO, clock.wall() - job.at)
-            ask = Ask(
-                name, len(self._peers.links) + 1, ranges.size(job.free), job.spec, waited=waited
+            waited = max(clock.ZERO, clock.wall() - job.submitted_at)
+            ask = BidRequest(
+                name,
+                len(self._peers.links) + 1,
+                ranges.size(job.unassigned),
+                job.spec,
+                waited=waited,
             )
             bids = await self.gather(ask)
             job = view.jobs.get(name)
             if job is None:
                 return
-            shares = casa.allot(
-                job, bids, self._shared.operator.omega, self._rng, left=self._left(job)
+            shares = casa.allocate(
+                job, bids, self._context.operator.omega, self._rng, left=self._left(job)
             )
             if not shares:
                 log.debug("no-bid", job=name, bids=len(bids))
                 return
             fresh = job
-            for part, piece in shares.items():
-                fresh = fresh.with_part(part, ranges.union(fresh.alloc.get(part, ()), piece))
-            if fresh.weight > self._shared.settings.value_bytes * 0.8:
+            for partition, piece in shares.items():
+                fresh = fresh.with_partition(
+                    partition, ranges.union(fresh.allocation.get(partition, ()), piece)
+                )
+            if fresh.weight > self._context.settings.value_bytes * 0.8:
                 # Too many ranges for one value: what is held ends first.
                 return
             if await self.move(job, fresh, bids, set(shares), {}):
@@ -254,25 +263,25 @@
 
     async def run_reoffer(self) -> None:
         while True:
-            await clock.pause(self._shared.operator.reoffer_every)
-            for runtime in list(self._runtimes.values()):
+            await clock.pause(self._context.operator.reoffer_every)
+            for leader in list(self._leaders.values()):
                 try:
-                    await self._reoffer(runtime)
+                    await self._reoffer(leader)
                 except (UnavailableError, LeaseEndedError):
                     pass
                 except Exception:
-                    log.crash("reoffer-failed", part=runtime.part)
+                    log.crash("reoffer-failed", partition=leader.partition)
 
-    async def _reoffer(self, runtime: PartRuntime) -> None:
-        operator, now, part = self._shared.operator, clock.now(), runtime.part
-        if not self._shared.ownership.may_start(now) or part not in self._runtimes:
+    async def _reoffer(self, leader: PartitionLeader) -> None:
+        operator, now, partition = self._context.operator, clock.now(), leader.partition
+        if not self._context.election.may_start(now) or partition not in self._leaders:
             return
-        bidder = self._bidder(part)
-        await self._release_gangs(runtime, now)
+        bidder = self._bidder(partition)
+        await self._release_gangs(leader, now)
         average = bidder.average_queuing(now)
         waits: dict[str, timedelta] = {}
-        for item in runtime.queue.pending():
-            since = runtime.queued.get(item.job.id)
+        for item in leader.queue.pending():
+            since = leader.queued.get(item.job.id)
             # A job that has just come cools down first, whatever the average; so it can't go to and
             # fro.
             if since is not None and now - since >= operator.cool_down:
@@ -290,14 +299,18 @@
         due.sort(key=lambda name: (self._refused_at.get(name, clock.ORIGIN), -waits[name]))
         refused = 0
         for name in due[:MAX_REOFFERED]:
-            job = self._shared.view.jobs.get(name)
-            if job is None or job.spec.zone is not None or self._runtimes.get(part) is not runtime:
+            job = self._context.view.jobs.get(name)
+            if (
+                job is None
+                or job.spec.zone is not None
+                or self._leaders.get(partition) is not leader
+            ):
                 continue
             if apart_gangs.is_apart(job):
                 # Its shares are given back together.
                 continue
             # Where nobody takes what waits longest, all is full: the rest is not asked about now.
-            if await self._offer_again(runtime, bidder, job, average):
+            if await self._offer_again(leader, bidder, job, average):
                 refused = 0
                 continue
             refused += 1
@@ -305,44 +318,46 @@
             if refused >= MAX_REFUSED:
                 break
 
-    async def _release_gangs(self, runtime: PartRuntime, now: datetime) -> None:
+    async def _release_gangs(self, leader: PartitionLeader, now: datetime) -> None:
         """Gives back gangs of which several parts hold tasks, so that they are bid for anew: those
         that are to be apart when they have waited for long, for one of the shares may find no room
         where it is; others at once, since one part must hold them whole."""
-        for name in list(self._shared.view.held.get(runtime.part, ())):
-            job = self._shared.view.jobs[name]
-            if not job.spec.gang or name in self._shared.cancelled:
+        for name in list(self._context.view.assigned_jobs.get(leader.partition, ())):
+            job = self._context.view.jobs[name]
+            if not job.spec.gang or name in self._context.cancelled:
                 continue
-            waits_long = now - runtime.queued.get(name, now) >= LONG_WAIT
-            due = apart_gangs.is_apart(job) and (waits_long or name in runtime.to_release)
+            waits_long = now - leader.queued.get(name, now) >= LONG_WAIT
+            due = apart_gangs.is_apart(job) and (waits_long or name in leader.to_release)
             if not due and not gangs.is_scattered(job):
                 continue
-            when = apart_gangs.may_release(runtime, job)
-            if when is None or len(when) > 4 * self._shared.settings.txn_ops - 1:
+            conditions = apart_gangs.may_release(leader, job)
+            if conditions is None or len(conditions) > 4 * self._context.settings.txn_ops - 1:
                 continue
-            if await self.move(job, replace(job, alloc={}), [], set(), when):
-                log.info("released", part=runtime.part, job=name, tasks=job.spec.task_count)
-                runtime.queued.pop(name, None)
-                runtime.to_release.discard(name)
+            if await self.move(job, replace(job, allocation={}), [], set(), conditions):
+                log.info(
+                    "released", partition=leader.partition, job=name, tasks=job.spec.task_count
+                )
+                leader.queued.pop(name, None)
+                leader.to_release.discard(name)
                 self.submit(name)
 
     async def _offer_again(
-        self, runtime: PartRuntime, bidder: Bidder, job: Job, average: timedelta
+        self, leader: PartitionLeader, bidder: Responder, job: Job, average: timedelta
     ) -> bool:
         """Says whether anybody bid."""
-        operator, part, now = self._shared.operator, runtime.part, clock.now()
-        unplaced = runtime.queue.unplaced(job)
+        operator, partition, now = self._context.operator, leader.partition, clock.now()
+        unplaced = leader.queue.unplaced(job)
         whole = job.spec.together or job.spec.gang
-        if not unplaced or (whole and unplaced != job.alloc.get(part)):
+        if not unplaced or (whole and unplaced != job.allocation.get(partition)):
             return True
-        waited = max(clock.ZERO, clock.wall() - job.at)
+        waited = max(clock.ZERO, clock.wall() - job.submitted_at)
         theirs = bidder.estimate(job, now)
-        ask = Ask(
+        ask = BidRequest(
             job.id,
             len(self._peers.links) + 1,
             ranges.size(unplaced),
             job.spec,
-            part,
+            partition,
             theirs,
             average,
             waited,
@@ -352,21 +367,23 @@
             return False
         # Only tasks not yet placed move. An in-flight start of ours would change the slice's stamp,
         # and the move is made on that stamp too: a task can't both start here and go.
-        job = self._shared.view.jobs.get(job.id)
-        if job is None or self._runtimes.get(part) is not runtime:
+        job = self._context.view.jobs.get(job.id)
+        if job is None or self._leaders.get(partition) is not leader:
             return True
-        view, width = self._shared.view, records.shard_width(self._shared.settings.value_bytes)
+        view, width = self._context.view, records.shard_width(self._context.settings.value_bytes)
         # As many shards as conditions leave room for; the rest is offered next time.
-        unplaced = runtime.queue.unplaced(job)
+        unplaced = leader.queue.unplaced(job)
         # Those that would begin here sooner than the best bidder could have them stay.
-        soonest = min(casa.response(bid, operator.omega) for bid in bids) - job.spec.expected
+        soonest = (
+            min(casa.response(bid, operator.omega) for bid in bids) - job.spec.expected_duration
+        )
         stay = sum(1 for start in bidder.starts(job) if start <= soonest.total_seconds())
         if job.spec.gang:
             # It begins with its last task, and goes as a whole.
             stay = stay if stay == ranges.size(unplaced) else 0
         unplaced = ranges.minus(unplaced, ranges.first(unplaced, stay))
         # Each is a condition of the transaction, beside the job's and the term's.
-        most = 4 * self._shared.settings.txn_ops - 2
+        most = 4 * self._context.settings.txn_ops - 2
         if not job.spec.gang:
             most = min(most, MAX_SHARDS)
         shards = sorted(
@@ -379,29 +396,33 @@
             if a < (n + 1) * width and b > n * width
         )
         unplaced = ranges.normal(unplaced)
-        also = {keys.term_key(part): runtime.tenure.mod_revision}
+        also = {keys.term_key(partition): leader.leadership.mod_revision}
         for n in shards:
-            key = keys.slice_key(part, job.id, n)
+            key = keys.slice_key(partition, job.id, n)
             also[key] = view.mod_revision(key)
         if not unplaced or job.spec.gang and ranges.size(unplaced) < job.spec.task_count:
             return True
-        without = job.with_part(part, ranges.minus(job.alloc.get(part, ()), unplaced))
-        shares = casa.allot(without, bids, operator.omega, self._rng, left=self._left(job))
-        shares.pop(part, None)
+        without = job.with_partition(
+            partition, ranges.minus(job.allocation.get(partition, ()), unplaced)
+        )
+        shares = casa.allocate(without, bids, operator.omega, self._rng, left=self._left(job))
+        shares.pop(partition, None)
         if not shares:
             return True
         gone = ranges.normal(pair for rs in shares.values() for pair in rs)
-        fresh = job.with_part(part, ranges.minus(job.alloc.get(part, ()), gone))
+        fresh = job.with_partition(partition, ranges.minus(job.allocation.get(partition, ()), gone))
         for other, piece in shares.items():
-            fresh = fresh.with_part(other, ranges.union(fresh.alloc.get(other, ()), piece))
-        if fresh.weight > self._shared.settings.value_bytes * 0.8:
+            fresh = fresh.with_partition(
+                other, ranges.union(fresh.allocation.get(other, ()), piece)
+            )
+        if fresh.weight > self._context.settings.value_bytes * 0.8:
             return True
         if await self.move(job, fresh, bids, set(shares), also):
             log.info(
                 "moved",
                 job=job.id,
                 tasks=ranges.size(gone),
-                source=part,
+                source=partition,
                 to=",".join(sorted(shares)),
             )
         return True
@@ -410,25 +431,27 @@
         self, job: Job, fresh: Job, bids: list[Bid], chosen: set[str], also: dict[str, int]
     ) -> bool:
         """Records who holds what; that is the assignment. `also`: further stamps that must hold."""
-        view, key = self._shared.view, keys.job_key(job.id)
-        value = fresh.to_small_value(int(self._shared.settings.value_bytes * 0.95))
+        view, key = self._context.view, keys.job_key(job.id)
+        value = fresh.to_small_value(int(self._context.settings.value_bytes * 0.95))
         rows = [put(key, value)]
-        when = {key: job.mod_revision, **also}
+        conditions = {key: job.mod_revision, **also}
         try:
-            revision = await commit(self._shared.state, when, rows, within=timedelta(seconds=3))
+            revision = await commit(
+                self._context.state, conditions, rows, within=timedelta(seconds=3)
+            )
         except ConflictError:
             with trio.move_on_after(1):
-                await self._shared.reader.sync()
+                await self._context.reader.read_barrier()
             return False
         view.applied(rows, revision)
-        self._shared.observer.job_assigned(fresh, sorted(chosen))
+        self._context.observer.job_assigned(fresh, sorted(chosen))
         log.debug(
             "assigned",
             job=job.id,
-            to=",".join(f"{p}:{ranges.size(fresh.alloc.get(p, ()))}" for p in sorted(chosen)),
+            to=",".join(f"{p}:{ranges.size(fresh.allocation.get(p, ()))}" for p in sorted(chosen)),
             bids=" ".join(self._describe(bid) for bid in bids),
         )
-        tell = {bid.node for bid in bids if bid.part in chosen}
+        tell = {bid.controller for bid in bids if bid.partition in chosen}
         body = messages.pack_assign(job.id, cbor2.dumps(value), revision)
         revoke = messages.pack_revoke(job.id)
         for shadow in self._shadows.values():
@@ -439,20 +462,20 @@
                     nursery.start_soon(self._say, link, frames.ASSIGN, body)
                 else:
                     nursery.start_soon(self._say, link, frames.REVOKE, revoke)
-        for runtime in self._runtimes.values():
-            runtime.wake_up.set()
+        for leader in self._leaders.values():
+            leader.wake_up.set()
         return True
 
     def _describe(self, bid: Bid) -> str:
         """A bid as the log shows it: partition, response time, tasks to start now, tasks in all."""
-        seconds = casa.response(bid, self._shared.operator.omega).total_seconds()
-        return f"{bid.part}:{seconds:.1f}/{bid.now}/{bid.room}"
+        seconds = casa.response(bid, self._context.operator.omega).total_seconds()
+        return f"{bid.partition}:{seconds:.1f}/{bid.startable_now}/{bid.capacity}"
 
     async def _say(self, link: Link, kind: int, payload: bytes) -> None:
         # An assign is answered (the paper's receipt); a revoke is not, and may get lost.
         try:
             if kind == frames.ASSIGN:
-                await link.call(kind, payload, self._shared.operator.bid_wait)
+                await link.call(kind, payload, self._context.operator.bid_wait)
             else:
                 await link.cast(kind, payload)
         except NoReplyError:
--- a/roadbend/bidding/test_casa.py
+++ b/roadbend/bidding/test_casa.py
@@ -15,8 +15,8 @@
 S = timedelta(seconds=1)
 
 
-def bid(part, seconds, now=0, room=10, queue=0.0, shadow=0.0):
-    return Bid(part, f"node-{part}", seconds * S, queue * S, shadow * S, now, room)
+def bid(partition, seconds, now=0, capacity=10, queue=0.0, shadow=0.0):
+    return Bid(partition, f"node-{partition}", seconds * S, queue * S, shadow * S, now, capacity)
 
 
 def made(**changes) -> Job:
@@ -26,7 +26,7 @@
 
 def test_the_draw_goes_by_inverse_response_time():
     rng, bids = random.Random(1), [bid("a", 10), bid("b", 20, queue=10), bid("c", 50, shadow=10)]
-    count = Counter(casa.draw(bids, 1.0, rng).part for _ in range(6000))
+    count = Counter(casa.draw(bids, 1.0, rng).partition for _ in range(6000))
     # Weights 1/10, 1/30, 1/60.
     assert abs(count["a"] / 6000 - 6 / 9) < 0.02 and abs(count["b"] / 6000 - 2 / 9) < 0.02
     assert casa.response(bids[2], 0.0) == 50 * S and casa.response(bids[2], 0.5) == 55 * S
@@ -35,14 +35,14 @@
 
 def test_a_part_that_can_start_now_wins_over_a_faster_promise():
     for seed in range(50):
-        shares = casa.allot(
+        shares = casa.allocate(
             made(legs=1), [bid("a", 1), bid("b", 500, now=1)], 1.0, random.Random(seed)
         )
         assert shares == {"b": ((0, 1),)}
 
 
 def test_arrays_go_out_in_slices_that_fit_the_free_room():
-    shares = casa.allot(
+    shares = casa.allocate(
         made(legs=6), [bid("a", 10, now=2), bid("b", 10, now=3)], 1.0, random.Random(3)
     )
     assert sum(ranges.size(r) for r in shares.values()) == 6
@@ -53,18 +53,23 @@
     for seed in range(50):
         for tasks in (1, 2, 3, 9):
             bids = [bid("a", 1, now=9), bid("b", 100), bid("c", 100)]
-            shares = casa.allot(made(legs=tasks, apart=True), bids, 1.0, random.Random(seed))
+            shares = casa.allocate(made(legs=tasks, apart=True), bids, 1.0, random.Random(seed))
             assert all(ranges.size(r) <= (tasks + 1) // 2 for r in shares.values())
     # With one zone bidding the other half waits.
-    shares = casa.allot(made(legs=9, apart=True), [bid("a", 1, now=9)], 1.0, random.Random(1))
+    shares = casa.allocate(made(legs=9, apart=True), [bid("a", 1, now=9)], 1.0, random.Random(1))
     assert ranges.size(shares["a"]) == 5
 
 
 def test_a_job_that_is_to_be_together_goes_whole_or_not_at_all():
     rng = random.Random(2)
-    assert casa.allot(made(legs=4, together=True), [bid("a", 1, now=3, room=3)], 1.0, rng) == {}
-    shares = casa.allot(
-        made(legs=4, together=True), [bid("a", 1, now=3, room=3), bid("b", 9, room=4)], 1.0, rng
+    assert (
+        casa.allocate(made(legs=4, together=True), [bid("a", 1, now=3, capacity=3)], 1.0, rng) == {}
+    )
+    shares = casa.allocate(
+        made(legs=4, together=True),
+        [bid("a", 1, now=3, capacity=3), bid("b", 9, capacity=4)],
+        1.0,
+        rng,
     )
     assert shares == {"b": ((0, 4),)}
 
@@ -99,10 +104,10 @@
 def test_frames_of_the_bidding_come_back_as_they_went():
     _, spec = read_submission(job(1, rigs=["g2", "ümlaut"], yard="east", due=None))
     for ask in (
-        messages.Ask("run-1", 3, 7, spec),
-        messages.Ask("run-1", 3, 7, spec, "east", 5 * S, 2 * S, 9 * S),
+        messages.BidRequest("run-1", 3, 7, spec),
+        messages.BidRequest("run-1", 3, 7, spec, "east", 5 * S, 2 * S, 9 * S),
     ):
-        assert messages.Ask.unpack(ask.pack()) == ask
+        assert messages.BidRequest.unpack(ask.pack()) == ask
     bids = [bid("a", 1.5, now=2), bid("b", 0)]
     assert messages.unpack_bids(messages.pack_bids(bids)) == bids
     assert messages.unpack_assign(messages.pack_assign("run-1", b"xyz", 9)) == ("run-1", b"xyz", 9)
--- a/roadbend/cli.py
+++ b/roadbend/cli.py
@@ -14,13 +14,13 @@
 from typing import TYPE_CHECKING, Any
 
 from roadbend import __version__, log
-from roadbend.settings import Operator, Settings, SettingsError, load
+from roadbend.settings import OperatorSettings, PlatformSettings, SettingsError, load
 
 if TYPE_CHECKING:
-    from roadbend.node import Node
+    from roadbend.controller import Controller
 
     # Switches something on in a controller that has not started yet.
-    Extension = Callable[[Node], Any]
+    Extension = Callable[[Controller], Any]
 
 # Commands of operators beside starting a controller: the module has a `main(argv)`, and is imported
 # only when it is asked for.
@@ -103,15 +103,16 @@
 
 def _import_controller() -> None:
     """Imported late: checking settings and printing help need none of it."""
-    import roadbend.http.net
-    import roadbend.node  # noqa: F401
+    import roadbend.controller  # noqa: F401
 
 
-def _run(settings: Settings, operator: Operator, extensions: list[Extension]) -> None:
+def _run(
+    settings: PlatformSettings, operator: OperatorSettings, extensions: list[Extension]
+) -> None:
     import trio
 
+    from roadbend.controller import Controller
     from roadbend.http.net import Net
-    from roadbend.node import Node
 
     # Layouts make and drop many small objects that are in no cycle: looking for cycles is left to
     # every 50,000th, and what was imported is never looked at again.
@@ -120,9 +121,9 @@
     gc.enable()
 
     async def start() -> None:
-        node = Node(settings, operator, Net(), random.Random(os.urandom(16)))
+        controller = Controller(settings, operator, Net(), random.Random(os.urandom(16)))
         for install in extensions:
-            install(node)
-        await node.run()
+            install(controller)
+        await controller.run()
 
     trio.run(start)
--- a/roadbend/node.py
+++ b/roadbend/controller.py
@@ -9,31 +9,31 @@
 import trio
 
 from roadbend import clock
-from roadbend.bidding.exchange import Exchange
+from roadbend.autoscaler.cloud import Cloud
+from roadbend.autoscaler.service import Autoscaler
+from roadbend.bidding.requester import Requester
 from roadbend.fleet.service import Fleet
 from roadbend.http.client import Client
 from roadbend.http.net import BACKLOG, Net
 from roadbend.http.server import Request, Response, Server
-from roadbend.intake.limit import Limit
-from roadbend.intake.users import Users
+from roadbend.intake.limit import AdaptiveLimit
+from roadbend.intake.users import JobApi
 from roadbend.log import Log
-from roadbend.parts.ownership import START_FRESH, Ownership
+from roadbend.partitions.election import START_FRESH, LeaderElection
 from roadbend.peers import frames
-from roadbend.peers.heartbeat import Heartbeat
+from roadbend.peers.heartbeat import PeerHeartbeat
 from roadbend.peers.links import Link, Peers
-from roadbend.placement.runtime import PartRuntime
-from roadbend.placement.shared import Shared
-from roadbend.rental.cloud import Cloud
-from roadbend.rental.service import Rental
-from roadbend.settings import Operator, Settings
-from roadbend.store.budget import Budget
-from roadbend.store.client import StateClient
-from roadbend.store.reader import Reader
-from roadbend.store.view import View
+from roadbend.placement.context import ControllerContext
+from roadbend.placement.leader import PartitionLeader
+from roadbend.settings import OperatorSettings, PlatformSettings
+from roadbend.store.client import StateStoreClient
+from roadbend.store.record_reader import RecordReader
+from roadbend.store.record_view import RecordView
+from roadbend.store.request_budget import RequestBudget
 
 log = Log("node")
 # Cancellations that a heartbeat names; with more its list reaches back less far, and says so.
-MAX_TOLD = 1024
+MAX_CANCELLATIONS = 1024
 # Sockets kept for what we open ourselves (the state service 16, the cloud 6, machines asked and
 # told 144, peers), for peers' connections to us, and for connections that are just being closed.
 OWN_SOCKETS = 240
@@ -41,55 +41,63 @@
 SPARE_SOCKETS = 0.1
 
 
-class Node:
+class Controller:
     """A controller: its slices, wired together."""
 
     def __init__(
         self,
-        settings: Settings,
-        operator: Operator,
+        settings: PlatformSettings,
+        operator: OperatorSettings,
         net: Net,
         rng: random.Random,
-        boot: str | None = None,
+        incarnation: str | None = None,
     ):
         self.settings, self.operator, self.net = settings, operator, net
         # The id of this life of the process ends with what it understands beyond version 2 of the
         # frames.
-        self.boot = (boot or secrets.token_hex(6)) + frames.GANGS
+        self.incarnation = (incarnation or secrets.token_hex(6)) + frames.GANGS
         self.began = clock.now()
-        self.budget = Budget(
+        self.budget = RequestBudget(
             settings.state_rps,
             settings.state_write_rps,
-            settings.controllers,
+            settings.controller_count,
             settings.state_write_rps_next,
         )
-        self.state = StateClient(Client(net, settings.state, most=16, keep=8), self.budget, rng=rng)
+        self.state = StateStoreClient(
+            Client(net, settings.state, most=16, keep=8), self.budget, rng=rng
+        )
         self.cloud = Cloud(
-            Client(net, settings.cloud, most=6, keep=2), settings.cloud_rps, settings.controllers
+            Client(net, settings.cloud, most=6, keep=2),
+            settings.cloud_rps,
+            settings.controller_count,
         )
-        self.view = View()
-        self.reader = Reader(self.view, self.state, operator)
+        self.view = RecordView()
+        self.reader = RecordReader(self.view, self.state, operator)
         self.peers = Peers(net, settings.name, settings.peers, rng)
-        self.ownership = Ownership(
-            settings, operator, self.boot, self.state, self.view, self.reader, self.peers
+        self.election = LeaderElection(
+            settings, operator, self.incarnation, self.state, self.view, self.reader, self.peers
+        )
+        self.context = ControllerContext(
+            settings, operator, self.state, self.view, self.reader, self.election
+        )
+        self.leaders: dict[str, PartitionLeader] = {}
+        self.fleet = Fleet(self.context, net, self.cloud, self.peers, self.leaders)
+        self.autoscaler = Autoscaler(self.context, self.cloud, self.fleet, self.leaders, rng)
+        self.requester = Requester(
+            self.context, self.peers, self.leaders, self.autoscaler.closed, rng
         )
-        self.shared = Shared(settings, operator, self.state, self.view, self.reader, self.ownership)
-        self.runtimes: dict[str, PartRuntime] = {}
-        self.fleet = Fleet(self.shared, net, self.cloud, self.peers, self.runtimes)
-        self.rental = Rental(self.shared, self.cloud, self.fleet, self.runtimes, rng)
-        self.exchange = Exchange(self.shared, self.peers, self.runtimes, self.rental.closed, rng)
-        self.users = Users(
-            self.shared,
-            self.exchange.submit,
+        self.users = JobApi(
+            self.context,
+            self.requester.submit,
             self._tell,
-            self.spread,
+            self.propagate_cancellations,
             self.state_refuses_only_us,
-            Limit(ceiling=operator.users_at_once),
+            AdaptiveLimit(ceiling=operator.users_at_once),
         )
-        self.told: OrderedDict[str, datetime] = OrderedDict()
+        self.cancellations: OrderedDict[str, datetime] = OrderedDict()
         # Workers' connections are kept from storms of users, until a living worker would have
         # reported twice.
-        stale = 2.5 * settings.report_every + timedelta(seconds=4)
+        stale = 2.5 * settings.heartbeat_interval + timedelta(seconds=4)
         served = max(64, settings.sockets - OWN_SOCKETS - BACKLOG)
         self.server = Server(
             self.handle,
@@ -100,7 +108,7 @@
         )
         self.peers.handlers[frames.PING] = self._on_ping
         self.view.watchers.append(self._on_record)
-        self.ownership.changed.append(self._on_ownership)
+        self.election.changed.append(self._on_ownership)
         # What else runs as long as the controller does, such as recovery where it is switched on.
         self.background: list[Callable[[], Awaitable[None]]] = []
         self._nursery: trio.Nursery | None = None
@@ -116,7 +124,7 @@
         if path == "/hello":
             if request.method != "POST":
                 return Response(405, {"error": "POST"}, (("allow", "POST"),))
-            return await self.fleet.handle_report(request)
+            return await self.fleet.handle_heartbeat(request)
         if path == "/up":
             if request.method != "GET":
                 return Response(405, {"error": "GET"}, (("allow", "GET"),))
@@ -129,7 +137,7 @@
     def up(self, now: datetime) -> bool:
         """Not up while the state service refuses us and serves a peer; in a common outage all stay
         up and answer 503 quickly."""
-        if self.reader.contact is None or not self.shared.machine_types:
+        if self.reader.contact is None or not self.context.machine_types:
             return False
         return not self.state_refuses_only_us(now)
 
@@ -148,51 +156,54 @@
 
     # Pulses.
 
-    def heartbeat(self) -> Heartbeat:
+    def heartbeat(self) -> PeerHeartbeat:
         now = clock.now()
         contact = self.reader.contact
         span = self.settings.cancel_within * 3
-        while self.told and now - next(iter(self.told.values())) > span:
-            self.told.popitem(last=False)
-        told = list(self.told.items())[-MAX_TOLD:]
-        if len(told) < len(self.told):
-            span = now - told[0][1]
-        return Heartbeat(
-            self.boot,
+        while self.cancellations and now - next(iter(self.cancellations.values())) > span:
+            self.cancellations.popitem(last=False)
+        cancellations = list(self.cancellations.items())[-MAX_CANCELLATIONS:]
+        if len(cancellations) < len(self.cancellations):
+            span = now - cancellations[0][1]
+        return PeerHeartbeat(
+            self.incarnation,
             now - self.began,
             None if contact is None else now - contact,
             (*self.budget.used, self.cloud.used),
-            {part: tenure.term for part, tenure in self.ownership.tenures.items()},
+            {
+                partition: leadership.term
+                for partition, leadership in self.election.leaderships.items()
+            },
             self.fleet.heard(now),
             span,
-            tuple(job for job, _ in told),
+            tuple(job for job, _ in cancellations),
         )
 
     def _on_ping(self, sender: str, payload: bytes) -> bytes:
-        self._learn(Heartbeat.unpack(payload))
+        self._learn(PeerHeartbeat.unpack(payload))
         return self.heartbeat().pack()
 
-    def _took(self, link: Link, heartbeat: Heartbeat, asked: datetime) -> None:
+    def _took(self, link: Link, heartbeat: PeerHeartbeat, asked: datetime) -> None:
         link.known.take(heartbeat, asked, clock.now(), self.reader.contact)
         self._learn(heartbeat)
 
-    def _learn(self, heartbeat: Heartbeat) -> None:
-        for part, term in heartbeat.owned.items():
-            self.ownership.superseded(part, term)
-        if self.shared.cancel(heartbeat.told):
+    def _learn(self, heartbeat: PeerHeartbeat) -> None:
+        for partition, term in heartbeat.led_partitions.items():
+            self.election.depose(partition, term)
+        if self.context.cancel(heartbeat.cancellations):
             # A calm report is answered at a look: what is to be stopped must be marked before the
             # next one comes.
-            for runtime in self.runtimes.values():
-                runtime.stop_dead(clock.now())
+            for leader in self.leaders.values():
+                leader.stop_dead(clock.now())
 
     def _tell(self, job: str) -> None:
         """A user learns from us that its job is cancelled; peers hear of it without the records."""
-        if job not in self.told:
-            self.told[job] = clock.now()
-            while len(self.told) > 4 * MAX_TOLD:
-                self.told.popitem(last=False)
+        if job not in self.cancellations:
+            self.cancellations[job] = clock.now()
+            while len(self.cancellations) > 4 * MAX_CANCELLATIONS:
+                self.cancellations.popitem(last=False)
 
-    async def spread(self) -> None:
+    async def propagate_cancellations(self) -> None:
         """Returns when every controller that owns a part has heard all that we tell users is
         cancelled, or can start nothing any more without having read it in the records."""
         me, heard, read = self.settings.name, set(), []
@@ -204,7 +215,7 @@
             heard.add(link.peer.name)
 
         async def look() -> None:
-            await self.reader.sync()
+            await self.reader.read_barrier()
             read.append(True)
 
         with trio.move_on_after(most.total_seconds()):
@@ -215,7 +226,7 @@
                 while True:
                     # Until the records say who owns what, it may be any of them.
                     owners = (
-                        {own.node for own in self.view.owns.values()}
+                        {own.controller for own in self.view.partition_leaders.values()}
                         if read
                         else set(self.peers.links)
                     )
@@ -228,29 +239,32 @@
 
     def _on_record(self, key: str) -> None:
         if key.startswith("r/term/"):
-            self.ownership.on_record(key)
+            self.election.on_record(key)
         elif key.startswith("r/job/"):
             name = key.removeprefix("r/job/")
-            for part, runtime in self.runtimes.items():
-                if name in self.view.held.get(part, ()) or name in runtime.works():
-                    runtime.wake_up.set()
+            for partition, leader in self.leaders.items():
+                if (
+                    name in self.view.assigned_jobs.get(partition, ())
+                    or name in leader.job_slices()
+                ):
+                    leader.wake_up.set()
         elif key.startswith("r/team/"):
-            for runtime in self.runtimes.values():
-                if runtime.left:
-                    runtime.wake_up.set()
+            for leader in self.leaders.values():
+                if leader.left:
+                    leader.wake_up.set()
 
-    def _on_ownership(self, part: str) -> None:
-        tenure = self.ownership.tenure(part)
-        if tenure is None:
-            self.runtimes.pop(part, None)
+    def _on_ownership(self, partition: str) -> None:
+        leadership = self.election.leadership(partition)
+        if leadership is None:
+            self.leaders.pop(partition, None)
             return
-        runtime = PartRuntime(self.shared, tenure)
-        runtime.order_now = self.fleet.commands.order_now
-        runtime.recovery = self.shared.recovery.for_part(runtime)
-        self.runtimes[part] = runtime
+        leader = PartitionLeader(self.context, leadership)
+        leader.order_now = self.fleet.commands.order_now
+        leader.recovery = self.context.recovery.for_partition(leader)
+        self.leaders[partition] = leader
         if self._nursery is not None:
-            self._nursery.start_soon(runtime.run)
-            self._nursery.start_soon(self.rental.run, runtime)
+            self._nursery.start_soon(leader.run)
+            self._nursery.start_soon(self.autoscaler.run, leader)
 
     # Deaf owners.
 
@@ -260,35 +274,38 @@
         while True:
             await clock.pause(timedelta(seconds=1))
             now = clock.now()
-            for part, runtime in list(self.runtimes.items()):
+            for partition, leader in list(self.leaders.items()):
                 last = max(
-                    (m.reported for m in runtime.machines.values() if m.reported),
-                    default=runtime.tenure.since,
+                    (m.last_heartbeat_at for m in leader.machines.values() if m.last_heartbeat_at),
+                    default=leader.leadership.acquired_at,
                 )
                 heard = any(
                     link.alive(now)
                     and link.known.heartbeat
-                    and link.known.heartbeat.heard.get(part)
+                    and link.known.heartbeat.heard_machines.get(partition)
                     for link in self.peers.links.values()
                 )
-                quiet = now - max(last, runtime.tenure.since) > self.settings.report_every * 2.5
+                quiet = (
+                    now - max(last, leader.leadership.acquired_at)
+                    > self.settings.heartbeat_interval * 2.5
+                )
                 if quiet and heard:
-                    since = silent_since.setdefault(part, now)
-                    if now - since > self.settings.report_every:
-                        silent_since.pop(part, None)
+                    since = silent_since.setdefault(partition, now)
+                    if now - since > self.settings.heartbeat_interval:
+                        silent_since.pop(partition, None)
                         try:
-                            await self.ownership.hand_over_deaf(part)
+                            await self.election.hand_over_deaf(partition)
                         except Exception:
-                            log.crash("hand-over-failed", part=part)
+                            log.crash("hand-over-failed", partition=partition)
                 else:
-                    silent_since.pop(part, None)
+                    silent_since.pop(partition, None)
 
     async def _share_budget(self) -> None:
         while True:
             await clock.pause(timedelta(seconds=1))
             now = clock.now()
             others = [
-                link.known.heartbeat.used
+                link.known.heartbeat.request_rates
                 for link in self.peers.links.values()
                 if link.alive(now) and link.known.heartbeat
             ]
@@ -298,7 +315,12 @@
     # All of it.
 
     async def run(self, *, task_status=trio.TASK_STATUS_IGNORED) -> None:
-        log.info("start", node=self.settings.name, zone=self.settings.zone, boot=self.boot)
+        log.info(
+            "start",
+            controller=self.settings.name,
+            zone=self.settings.zone,
+            incarnation=self.incarnation,
+        )
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             await nursery.start(self.net.listen, self.settings.listen, self.server.serve)
@@ -307,17 +329,17 @@
                 nursery.start_soon(link.run, self.heartbeat, self._took)
             nursery.start_soon(self.server.sweep)
             nursery.start_soon(self.reader.run)
-            nursery.start_soon(self.ownership.run)
-            nursery.start_soon(self.rental.catalog_loop)
-            nursery.start_soon(self.rental.list_loop)
+            nursery.start_soon(self.election.run)
+            nursery.start_soon(self.autoscaler.catalog_loop)
+            nursery.start_soon(self.autoscaler.list_loop)
             nursery.start_soon(self.fleet.commands.send_stops, nursery)
-            nursery.start_soon(self.fleet.silence.watch, nursery)
+            nursery.start_soon(self.fleet.failure_detector.watch, nursery)
             nursery.start_soon(self._listen_for_deafness)
             nursery.start_soon(self._share_budget)
-            nursery.start_soon(self.exchange.run_rebid)
-            nursery.start_soon(self.exchange.run_reoffer)
+            nursery.start_soon(self.requester.run_rebid)
+            nursery.start_soon(self.requester.run_reoffer)
             for _ in range(4):
-                nursery.start_soon(self.exchange.run_worker)
+                nursery.start_soon(self.requester.run_worker)
             for run in self.background:
                 nursery.start_soon(run)
             task_status.started()
--- a/roadbend/fakes/loopback.py
+++ b/roadbend/fakes/loopback.py
@@ -122,7 +122,7 @@
         self.board = Board(self.rules)
         self.state = FakeStateService()
         self.cloud = FakeCloud(nursery, [MACHINE_TYPE], limits.machines, self._worker)
-        self.nodes = {f"node-{n}": addresses.listen[n] for n in range(CONTROLLERS)}
+        self.controllers = {f"node-{n}": addresses.listen[n] for n in range(CONTROLLERS)}
 
     async def start(self) -> None:
         """Begins to listen."""
@@ -144,7 +144,7 @@
         return FakeWorker(
             self._net,
             self.board,
-            self.nodes,
+            self.controllers,
             machine=machine,
             address=address,
             machine_type=machine_type,
--- a/roadbend/fakes/network.py
+++ b/roadbend/fakes/network.py
@@ -17,7 +17,7 @@
         self._nursery = nursery
         self._listeners: dict[str, tuple[str, Accept]] = {}
         self._streams: list[tuple[str, str, trio.abc.Stream, trio.abc.Stream]] = []
-        self._cuts: set[frozenset[str]] = set()
+        self._reachability: set[frozenset[str]] = set()
         # Hosts that nothing reaches, while what they send arrives.
         self.deaf: set[str] = set()
         # Hosts that can't open connections, while they can be reached.
@@ -42,7 +42,7 @@
         self._break(lambda a, b: host in (a, b))
 
     def cut(self, a: str, b: str) -> None:
-        self._cuts.add(frozenset((a, b)))
+        self._reachability.add(frozenset((a, b)))
         self._break(lambda x, y: frozenset((x, y)) == frozenset((a, b)))
 
     def reset(self, a: str, b: str) -> None:
@@ -50,7 +50,7 @@
         self._break(lambda x, y: frozenset((x, y)) == frozenset((a, b)))
 
     def heal(self, a: str, b: str) -> None:
-        self._cuts.discard(frozenset((a, b)))
+        self._reachability.discard(frozenset((a, b)))
 
     def silence(self, host: str) -> None:
         """The host opens no connections any more, and those that it opened break."""
@@ -88,7 +88,7 @@
         if target is None:
             raise ConnectionRefusedError(address)
         if (
-            frozenset((host, target[0])) in self._cuts
+            frozenset((host, target[0])) in self._reachability
             or target[0] in self.deaf
             or host in self.mute
         ):
--- a/roadbend/fakes/previous_version.py
+++ b/roadbend/fakes/previous_version.py
@@ -5,11 +5,11 @@
 import random
 from dataclasses import replace
 
+from roadbend.controller import Controller
 from roadbend.http.net import Net
 from roadbend.http.server import MalformedError, Request, Response, decode
-from roadbend.node import Node
 from roadbend.peers import frames
-from roadbend.settings import Operator, Settings
+from roadbend.settings import OperatorSettings, PlatformSettings
 from roadbend.store import records
 
 # The values and transactions that production's settings allow, where the scenarios' settings are
@@ -17,20 +17,20 @@
 VALUE_BYTES, TXN_OPS = 4096, 8
 
 
-class PreviousVersionNode(Node):
+class PreviousVersionController(Controller):
     """A controller that reads, writes and says only what the version in production does."""
 
     def __init__(
         self,
-        settings: Settings,
-        operator: Operator,
+        settings: PlatformSettings,
+        operator: OperatorSettings,
         net: Net,
         rng: random.Random,
-        boot: str | None = None,
+        incarnation: str | None = None,
     ):
         old = replace(settings, value_bytes=VALUE_BYTES, txn_ops=TXN_OPS, state_write_rps_next=None)
-        super().__init__(old, operator, net, rng, boot)
-        self.boot = self.ownership._boot = self.boot.removesuffix(frames.GANGS)
+        super().__init__(old, operator, net, rng, incarnation)
+        self.incarnation = self.election._incarnation = self.incarnation.removesuffix(frames.GANGS)
         for kind in (frames.GANG_REQUEST, frames.GANG_INFORM):
             del self.peers.handlers[kind]
         self.fleet.commands.order_now = None
--- a/roadbend/fakes/rules.py
+++ b/roadbend/fakes/rules.py
@@ -80,7 +80,7 @@
         return [f"{self.name}/{n}" for n in range(self.body["legs"])]
 
     @property
-    def need(self) -> tuple[float, float, float]:
+    def resources(self) -> tuple[float, float, float]:
         return self.body["vcpus"], self.body["gpus"], self.body["memoryGb"]
 
 
@@ -132,8 +132,8 @@
             return False
         count = body["legs"] if body["shape"] != "batch" else 1
         if any(
-            count * need > limit + EPS
-            for need, limit in zip(self._need(body)[:2], most, strict=True)
+            count * resources > limit + EPS
+            for resources, limit in zip(self._need(body)[:2], most, strict=True)
         ):
             return False
         return any(
@@ -151,8 +151,10 @@
             (body.get("rigs") is None or machine_type["name"] in body["rigs"])
             and body.get("yard") in (None, zone)
             and all(
-                need <= machine_type[name] + EPS
-                for need, name in zip(self._need(body), ("vcpus", "gpus", "memoryGb"), strict=True)
+                resources <= machine_type[name] + EPS
+                for resources, name in zip(
+                    self._need(body), ("vcpus", "gpus", "memoryGb"), strict=True
+                )
             )
         )
 
@@ -351,7 +353,9 @@
             return False
         body, most, used = case.body, self._teams[case.body["crew"]], self._used(case.body["crew"])
         count = len(waiting) if body["shape"] == "group" else 1
-        if any(u + count * n > m + EPS for u, n, m in zip(used, case.need[:2], most, strict=True)):
+        if any(
+            u + count * n > m + EPS for u, n, m in zip(used, case.resources[:2], most, strict=True)
+        ):
             return False
         zones = self._zones(case, waiting[0])
         for place, free in rooms:
@@ -364,7 +368,7 @@
             if (
                 body["together"]
                 and zones - {place.zone}
-                or any(f < n - EPS for f, n in zip(free, case.need, strict=True))
+                or any(f < n - EPS for f, n in zip(free, case.resources, strict=True))
             ):
                 continue
             if body["apart"]:
--- a/roadbend/fakes/scenario.py
+++ b/roadbend/fakes/scenario.py
@@ -8,13 +8,13 @@
 
 from roadbend.fakes.submission import gang, job
 from roadbend.fakes.world import World, world
-from roadbend.settings import Objective, Operator, Team
+from roadbend.settings import OperatorSettings, ServiceLevelObjective, Team
 
 S = timedelta(seconds=1)
 SITES = {
-    "visa": dict(report_every=2.5 * S, lease=18 * S, cancel_within=38 * S),
+    "visa": dict(heartbeat_interval=2.5 * S, lease=18 * S, cancel_within=38 * S),
     "pet": dict(
-        report_every=3 * S,
+        heartbeat_interval=3 * S,
         lease=18 * S,
         cancel_within=48 * S,
         state_rps=80.0,
@@ -26,8 +26,8 @@
 TEAMS = {"red": Team("red", 0, 0, 4, 24), "blue": Team("blue", 0, 0, 4, 30)}
 SERVICE = dict(shape="daemon", dueS=None, loaners=False)
 # Services are to start soon, so their orders go out directly as well.
-AIMS = (Objective("wait", "plans", 0.9, 5 * S),)
-OP = Operator(reoffer_every=2 * S)
+AIMS = (ServiceLevelObjective("wait", "plans", 0.9, 5 * S),)
+OP = OperatorSettings(reoffer_every=2 * S)
 
 
 def name(number: int) -> str:
--- a/roadbend/fakes/search.py
+++ b/roadbend/fakes/search.py
@@ -20,10 +20,10 @@
 import trio.testing
 
 from roadbend import clock
+from roadbend.controller import Controller
 from roadbend.fakes.scenario import AIMS, OP, SERVICE, SITES, TEAMS
 from roadbend.fakes.submission import gang, job
 from roadbend.fakes.world import World, world
-from roadbend.node import Node
 from roadbend.recovery.service import install
 from roadbend.recovery.settings import RecoverySettings
 
@@ -116,7 +116,7 @@
 
     async def crash(self, length: float, rng: random.Random) -> None:
         at = self.node(rng)
-        if f"node-{at}" not in self.world.nodes:
+        if f"node-{at}" not in self.world.controllers:
             return
         self.world.crash(at)
         await trio.sleep(length)
@@ -124,7 +124,7 @@
 
     async def crash_all(self, length: float, rng: random.Random) -> None:
         """All controllers end at once, and return one after the other."""
-        down = [at for at in range(self.world.count) if f"node-{at}" in self.world.nodes]
+        down = [at for at in range(self.world.count) if f"node-{at}" in self.world.controllers]
         for at in down:
             self.world.crash(at)
         await trio.sleep(length)
@@ -134,7 +134,7 @@
 
     def _return(self, at: int) -> None:
         """Starts a controller, unless another fault has ended and started it meanwhile."""
-        if f"node-{at}" not in self.world.nodes:
+        if f"node-{at}" not in self.world.controllers:
             self.world.start(at)
 
     async def stall(self, length: float, rng: random.Random) -> None:
@@ -148,10 +148,10 @@
             await trio.sleep(rng.uniform(0.01, 0.3))
 
     async def hand_over(self, _length: float, rng: random.Random) -> None:
-        node = self.world.nodes.get(f"node-{self.node(rng)}")
-        for part in list(node.runtimes) if node is not None else ():
+        node = self.world.controllers.get(f"node-{self.node(rng)}")
+        for partition in list(node.leaders) if node is not None else ():
             try:
-                await node.ownership.hand_over_deaf(part)
+                await node.election.hand_over_deaf(partition)
             except Exception:
                 logging.getLogger("search").info("no hand-over", exc_info=True)
 
@@ -194,14 +194,14 @@
     async def cut_machines(self, length: float, rng: random.Random) -> None:
         """No controller reaches them, and they reach none."""
         machines = self.some_machines(rng)
-        nodes = [f"node-{n}" for n in range(self.world.count)]
-        await self.world.cut_pairs([(m, node) for m in machines for node in nodes], length)
+        controllers = [f"node-{n}" for n in range(self.world.count)]
+        await self.world.cut_pairs([(m, node) for m in machines for node in controllers], length)
 
     async def flap(self, length: float, rng: random.Random) -> None:
         """Machines are cut off for about as long as a lease, and are back for moments only."""
         machines, end = self.some_machines(rng), trio.current_time() + length
-        nodes = [f"node-{n}" for n in range(self.world.count)]
-        pairs = [(machine, node) for machine in machines for node in nodes]
+        controllers = [f"node-{n}" for n in range(self.world.count)]
+        pairs = [(machine, node) for machine in machines for node in controllers]
         while trio.current_time() < end:
             await self.world.cut_pairs(pairs, rng.uniform(14.0, 24.0))
             await trio.sleep(rng.uniform(0.2, 4.0))
@@ -379,7 +379,7 @@
         await trio.sleep(2)
 
 
-def _switch_recovery_on(node: Node) -> None:
+def _switch_recovery_on(node: Controller) -> None:
     install(node, RecoverySettings())
 
 
--- a/roadbend/fakes/state.py
+++ b/roadbend/fakes/state.py
@@ -70,7 +70,7 @@
         self._to_come = [row for row in self._to_come if row[0] > self._now()]
         for _, body in due:
             try:
-                self.late_done.append(self.multi(body).status)
+                self.late_done.append(self.compare_and_swap(body).status)
             except (KeyError, TypeError, ValueError):
                 self.late_done.append(400)
 
@@ -141,7 +141,7 @@
                 200, {"path": key, "value": value, "stamp": mod_revision, "permit": lease_id}
             )
         if path == "/multi":
-            return self.multi(decode(request.body))
+            return self.compare_and_swap(decode(request.body))
         if path == "/leases":
             self._next_lease += 1
             ttl = decode(request.body)["ttlMs"] / 1000
@@ -163,12 +163,12 @@
             return Response(200, {"ledger": self.revision, "log": rows})
         return Response(404, {"error": "no such path"})
 
-    def multi(self, body: dict) -> Response:
+    def compare_and_swap(self, body: dict) -> Response:
         """Also called by tests that deliver a transaction late."""
-        apply = body.get("apply") or []
-        if len(apply) > self._most[1] or len(body.get("when") or []) > 4 * self._most[1]:
+        changes = body.get("apply") or []
+        if len(changes) > self._most[1] or len(body.get("when") or []) > 4 * self._most[1]:
             raise ValueError("too many changes or conditions")
-        for row in apply:
+        for row in changes:
             if (
                 "write" in row
                 and len(json.dumps(row["value"], separators=(",", ":"))) > self._most[0]
@@ -183,9 +183,9 @@
         ]
         if failed:
             return Response(409, {"failed": failed, "ledger": self.revision})
-        if apply:
+        if changes:
             self.revision += 1
-        for row in apply:
+        for row in changes:
             if "write" in row:
                 key = row["write"]
                 self.keys[key] = (row["value"], self.revision, row.get("permit"))
--- a/roadbend/fakes/test_fakes.py
+++ b/roadbend/fakes/test_fakes.py
@@ -299,10 +299,10 @@
     async with world(count=1) as w:
         w.cloud.refuse_deletion = True
         machine, worker = await started(w)
-        session, seq, heard = (
-            worker.session,
-            worker.seq,
-            w.nodes["node-0"].runtimes["east"].machines[machine],
+        epoch, sequence, heard = (
+            worker.epoch,
+            worker.sequence,
+            w.controllers["node-0"].leaders["east"].machines[machine],
         )
         run = {
             "deaf": lambda: w.deafen([machine], 16),
@@ -313,11 +313,11 @@
         client = Client(w.network.port("node-0"), worker.address)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(run)
-            before = heard.order
+            before = heard.position
             await trio.sleep(8)
             # Reports arrive from the deaf only; commands reach the mute and those whose reports are
             # held back.
-            assert (heard.order > before) == (trouble == "deaf")
+            assert (heard.position > before) == (trouble == "deaf")
             got = True
             try:
                 await client.request("GET", "/inspect", within=timedelta(seconds=1))
@@ -329,7 +329,7 @@
         await trio.sleep(0.2)
         if trouble != "held":
             # A lease that has not run out goes on.
-            assert worker.session == session and worker.seq > seq
+            assert worker.epoch == epoch and worker.sequence > sequence
         await trio.sleep(30)
 
 
@@ -337,25 +337,23 @@
     async with world(count=1) as w:
         w.cloud.refuse_deletion = True
         machine, worker = await started(w)
-        session = worker.session
+        epoch = worker.epoch
         await w.hang([machine], 20)
         await trio.sleep(0.3)
-        assert worker.session == session + 1 and machine not in w.board.where.get(
-            f"{NAME}/0", set()
-        )
+        assert worker.epoch == epoch + 1 and machine not in w.board.where.get(f"{NAME}/0", set())
 
 
 async def test_copies_of_reports_arrive_again_and_are_nobodys_news():
     async with world(count=1) as w:
         machine, worker = await started(w)
-        seen, real = [], w.nodes["node-0"].fleet.handle_report
+        seen, real = [], w.controllers["node-0"].fleet.handle_heartbeat
 
-        async def handle_report(request):
+        async def handle_heartbeat(request):
             answer = await real(request)
             seen.append(answer.status)
             return answer
 
-        w.nodes["node-0"].fleet.handle_report = handle_report
+        w.controllers["node-0"].fleet.handle_heartbeat = handle_heartbeat
         await w.late_reports(1.0, 20, random.Random(2))
         await trio.sleep(45)
         assert (
--- a/roadbend/fakes/troubles.py
+++ b/roadbend/fakes/troubles.py
@@ -15,7 +15,7 @@
     from roadbend.fakes.network import Network
     from roadbend.fakes.state import FakeStateService
     from roadbend.fakes.worker import FakeWorker
-    from roadbend.settings import Settings
+    from roadbend.settings import PlatformSettings
 
 # How late a direct command or a copy of a report may come at the least, in seconds.
 LATE_AT_LEAST = 2.0
@@ -37,7 +37,7 @@
     call: Callable[..., Awaitable[tuple]]
     workers: Callable[[], list[FakeWorker]]
     zones: tuple[str, ...]
-    _sample: Settings
+    _sample: PlatformSettings
     # Asked about every direct command, see `FakeWorker.command_delay`.
     _command_delay: Callable[[], float | None] | None = None
 
--- a/roadbend/fakes/worker.py
+++ b/roadbend/fakes/worker.py
@@ -120,7 +120,7 @@
         self,
         net,
         board: Board,
-        nodes: dict[str, str],
+        controllers: dict[str, str],
         *,
         machine: str,
         address: str,
@@ -136,7 +136,7 @@
         caches_images: bool = False,
     ):
         self._gang_wait_s, self._gang_peer_s = gang_wait_s, gang_peer_s
-        self._net, self._board, self._nodes = net, board, nodes
+        self._net, self._board, self._controllers = net, board, controllers
         self.machine, self.address, self.machine_type, self.zone, self.spot = (
             machine,
             address,
@@ -150,13 +150,13 @@
             fetch_s,
             broken,
         )
-        self.session, self.seq, self.token = 1, 0, 0
+        self.epoch, self.sequence, self.token = 1, 0, 0
         self.tasks: dict[tuple[str, int], _Task] = {}
         self.recall: float | None = None
         self._answered = 0.0
         self._changed = trio.Event()
         self._nursery: trio.Nursery | None = None
-        self._at = sorted(nodes)[0] if nodes else ""
+        self._at = sorted(controllers)[0] if controllers else ""
         # Images fetched already: where they are cached, the next task that needs one begins at
         # once.
         self._caches_images, self._images = caches_images, set[str]()
@@ -191,8 +191,8 @@
             await self._awake.wait()
             self._check_lease()
 
-    def report(self) -> dict:
-        self.seq += 1
+    def heartbeat(self) -> dict:
+        self.sequence += 1
         rows = []
         for task in self.tasks.values():
             row = {"leg": task.name, "try": task.attempt, "status": task.state}
@@ -207,8 +207,8 @@
             "rig": self.machine_type,
             "yard": self.zone,
             "loaners": self.spot,
-            "stint": self.session,
-            "tick": self.seq,
+            "stint": self.epoch,
+            "tick": self.sequence,
             "baton": self.token,
             "recallS": self.recall,
             "legs": rows,
@@ -376,10 +376,10 @@
         )
         self._board.received.append(received)
 
-    def take(self, answer: dict, sent: float, session: int) -> bool:
+    def take(self, answer: dict, sent: float, epoch: int) -> bool:
         """A 200: its token and session decide whether it counts."""
         if (
-            session != self.session
+            epoch != self.epoch
             or answer.get("baton", -1) < self.token
             or trio.current_time() - sent > 4
         ):
@@ -394,7 +394,7 @@
     async def handle(self, request: Request) -> Response:
         await self._up()
         if request.path == "/inspect":
-            return Response(200, self.report())
+            return Response(200, self.heartbeat())
         body = decode(request.body)
         delay = self.command_delay()
         if delay is not None:
@@ -402,8 +402,8 @@
             # The sender never hears of it.
             await trio.sleep(3600)
         if not self._command(body):
-            return Response(409, self.report())
-        return Response(200, self.report())
+            return Response(409, self.heartbeat())
+        return Response(200, self.heartbeat())
 
     async def _command_late(self, body: dict, delay: float) -> None:
         """A direct command that was held up: it counts if token and session still match."""
@@ -413,7 +413,7 @@
 
     def _command(self, body: dict) -> bool:
         """Carries out a direct command; False where token or session refuse it."""
-        if body["baton"] < self.token or body["stint"] != self.session:
+        if body["baton"] < self.token or body["stint"] != self.epoch:
             return False
         self.token = max(self.token, body["baton"])
         self.execute(body["orders"])
@@ -427,7 +427,7 @@
                 server = Server(self.handle, most=32)
                 await nursery.start(self._net.listen, self.address, server.serve)
                 nursery.start_soon(self._lease)
-                clients = {name: Client(self._net, at) for name, at in self._nodes.items()}
+                clients = {name: Client(self._net, at) for name, at in self._controllers.items()}
                 while True:
                     await self._round(clients)
         finally:
@@ -445,14 +445,14 @@
     def _check_lease(self) -> None:
         if trio.current_time() - self._answered > self._lease_s:
             self._wipe()
-            self.session += 1
+            self.epoch += 1
             self._answered = trio.current_time()
             self._changed.set()
 
     async def _round(self, clients: dict[str, Client]) -> None:
         await self._up()
         self._changed = trio.Event()
-        sent, session, body = trio.current_time(), self.session, self.report()
+        sent, epoch, body = trio.current_time(), self.epoch, self.heartbeat()
         for see in self.sent:
             see(self, body)
         try:
@@ -463,7 +463,7 @@
             status, answer = 0, None
         await self._up()
         if status == 200 and isinstance(answer, dict):
-            self.take(answer, sent, session)
+            self.take(answer, sent, epoch)
             await trio.sleep(0.5)
             with trio.move_on_after(self._report_s - 0.5):
                 await self._changed.wait()
--- a/roadbend/fakes/world.py
+++ b/roadbend/fakes/world.py
@@ -9,9 +9,10 @@
 import trio
 
 from roadbend import clock
+from roadbend.controller import Controller
 from roadbend.fakes.cloud import FakeCloud
 from roadbend.fakes.network import Network
-from roadbend.fakes.previous_version import PreviousVersionNode
+from roadbend.fakes.previous_version import PreviousVersionController
 from roadbend.fakes.rules import Rules
 from roadbend.fakes.stalls import HOST, Stalls
 from roadbend.fakes.state import FakeStateService
@@ -20,8 +21,7 @@
 from roadbend.fakes.worker import Board, FakeWorker
 from roadbend.http.client import Client, NoAnswerError
 from roadbend.http.server import Server
-from roadbend.node import Node
-from roadbend.settings import Operator, Peer, Settings, Team
+from roadbend.settings import OperatorSettings, Peer, PlatformSettings, Team
 
 ZONES = ("east", "north", "west")
 MACHINE_TYPE = {
@@ -38,7 +38,7 @@
 }
 
 
-def settings_for(at: int, count: int, **changes) -> Settings:
+def settings_for(at: int, count: int, **changes) -> PlatformSettings:
     names = [f"node-{n}" for n in range(count)]
     values = dict(
         name=names[at],
@@ -51,7 +51,7 @@
         zones=ZONES[:count],
         teams={"red": Team("red", 0, 0, 4, 6), "blue": Team("blue", 0, 0, 4, 12)},
         clock_off=timedelta(milliseconds=50),
-        report_every=timedelta(seconds=2.5),
+        heartbeat_interval=timedelta(seconds=2.5),
         lease=timedelta(seconds=18),
         cancel_within=timedelta(seconds=38),
         state_rps=250.0,
@@ -62,7 +62,7 @@
         list_lag=timedelta(seconds=5),
         sockets=1000,
     )
-    return Settings(**{**values, **changes})
+    return PlatformSettings(**{**values, **changes})
 
 
 class World(Troubles, UserBehaviour):
@@ -72,11 +72,11 @@
         self,
         nursery: trio.Nursery,
         count: int,
-        operator: Operator,
+        operator: OperatorSettings,
         capacity: int,
         changes: dict,
         caches_images: bool = False,
-        equip: Callable[[Node], None] | None = None,
+        equip: Callable[[Controller], None] | None = None,
     ):
         self._caches_images = caches_images
         # Switches on what a controller of today's version has beside its core.
@@ -97,7 +97,7 @@
         self._sample = sample
         self.broken_machines: set[str] = set()
         self.cloud = FakeCloud(nursery, [MACHINE_TYPE], capacity, self._worker)
-        self.nodes: dict[str, Node] = {}
+        self.controllers: dict[str, Controller] = {}
         self._scopes: dict[str, trio.CancelScope] = {}
         self.addresses = {f"node-{n}": f"node-{n}:80" for n in range(count)}
         self._boots = 0
@@ -124,7 +124,7 @@
             for task in worker.tasks.values():
                 case = self.rules.cases.get(task.name.rpartition("/")[0])
                 if task.state != "ended" and case is not None:
-                    free = [f - n for f, n in zip(free, case.need, strict=True)]
+                    free = [f - n for f, n in zip(free, case.resources, strict=True)]
             if worker.place.machine not in self.broken_machines:
                 rooms.append((worker.place, tuple(free)))
         return hung, rooms
@@ -180,7 +180,7 @@
             zone=zone,
             spot=spot,
             broken=machine in self.broken_machines,
-            report_s=self._sample.report_every.total_seconds(),
+            report_s=self._sample.heartbeat_interval.total_seconds(),
             lease_s=self._sample.lease.total_seconds(),
             gang_wait_s=self._sample.gang_wait.total_seconds(),
             gang_peer_s=self._sample.gang_peer.total_seconds(),
@@ -189,34 +189,34 @@
         worker.command_delay = self.command_delay
         return worker
 
-    def start(self, at: int, previous_version: bool = False) -> Node:
+    def start(self, at: int, previous_version: bool = False) -> Controller:
         name = f"node-{at}"
         settings = settings_for(at, self.count, **self._changes)
         self._boots += 1
         boot = f"boot-{self._boots}"
-        make = PreviousVersionNode if previous_version else Node
-        node = make(
+        make = PreviousVersionController if previous_version else Controller
+        controller = make(
             settings, self.operator, self.network.port(name), random.Random(self._boots), boot
         )
         if self._equip is not None and not previous_version:
-            self._equip(node)
+            self._equip(controller)
         scope = trio.CancelScope()
-        self.nodes[name], self._scopes[name] = node, scope
+        self.controllers[name], self._scopes[name] = controller, scope
 
         async def run():
             HOST.set(name)
             with scope:
-                await node.run()
+                await controller.run()
 
         self.nursery.start_soon(run)
-        return node
+        return controller
 
     def crash(self, at: int) -> None:
         """Ends without a word: no cleaning up reaches anyone."""
         name = f"node-{at}"
         self.network.unregister(name)
         self._scopes[name].cancel()
-        self.nodes.pop(name, None)
+        self.controllers.pop(name, None)
 
     async def call(
         self, at: int, method: str, path: str, body: Any = None, within: float = 5
@@ -257,15 +257,19 @@
             await trio.sleep(step)
         return False
 
-    def owner(self, part: str) -> str | None:
-        held = [name for name, node in self.nodes.items() if node.ownership.tenure(part)]
+    def owner(self, partition: str) -> str | None:
+        held = [
+            name
+            for name, controller in self.controllers.items()
+            if controller.election.leadership(partition)
+        ]
         return held[0] if len(held) == 1 else None
 
     async def settled(self) -> bool:
         return await self.until(
             lambda: (
                 all(self.owner(zone) for zone in self.zones)
-                and all(node.up(clock.now()) for node in self.nodes.values())
+                and all(controller.up(clock.now()) for controller in self.controllers.values())
             ),
             30,
         )
@@ -275,11 +279,11 @@
 async def world(
     count: int = 3,
     capacity: int = 8,
-    operator: Operator | None = None,
+    operator: OperatorSettings | None = None,
     previous_version: bool = False,
     judge: Callable[[list[str]], None] | None = None,
     caches_images: bool = False,
-    equip: Callable[[Node], None] | None = None,
+    equip: Callable[[Controller], None] | None = None,
     **changes,
 ) -> AsyncIterator[World]:
     """`judge` gets the broken rules at the end; without it, one broken rule fails. With
@@ -287,7 +291,7 @@
     every controller of today's version before it starts."""
     async with trio.open_nursery() as nursery:
         made = World(
-            nursery, count, operator or Operator(), capacity, changes, caches_images, equip
+            nursery, count, operator or OperatorSettings(), capacity, changes, caches_images, equip
         )
         for at in range(count):
             made.start(at, previous_version)
--- a/roadbend/fleet/listing.py
+++ b/roadbend/fleet/cloud_inventory.py
@@ -1,12 +1,12 @@
 """The cloud's list of our machines, as last read."""
 
-from roadbend.rental.cloud import Listed
+from roadbend.autoscaler.cloud import Listed
 
 # Machines remembered as having been listed once, beside those that are listed now.
 MAX_REMEMBERED = 16_384
 
 
-class MachineList:
+class CloudInventory:
     """What the cloud last listed, and what it once listed and lists no more."""
 
     def __init__(self) -> None:
--- a/roadbend/fleet/deletions.py
+++ b/roadbend/fleet/deletions.py
@@ -5,8 +5,8 @@
 import trio
 
 from roadbend import clock
+from roadbend.autoscaler.cloud import MAX_NAMES, Cloud, CloudBusyError, NoCapacityError
 from roadbend.http.client import NoAnswerError
-from roadbend.rental.cloud import MAX_NAMES, Cloud, CloudBusyError, NoCapacityError
 
 # For how long deletions are gathered, and how old they may be when they go out: after longer this
 # process stood still, and what it found silent may have been heard since.
--- a/roadbend/fleet/commands.py
+++ b/roadbend/fleet/direct_commands.py
@@ -8,14 +8,14 @@
 
 from roadbend import clock
 from roadbend.fleet import messages
-from roadbend.fleet.ended_attempts import Key
-from roadbend.fleet.machines import Direct, Machine
+from roadbend.fleet.machines import DirectStart, Machine
+from roadbend.fleet.terminations import TaskKey
 from roadbend.http.client import Client, NoAnswerError
 from roadbend.http.net import Net
 from roadbend.http.server import MalformedError
 from roadbend.log import Log
-from roadbend.placement.runtime import PartRuntime
-from roadbend.placement.shared import Shared
+from roadbend.placement.context import ControllerContext
+from roadbend.placement.leader import PartitionLeader
 from roadbend.store import records
 from roadbend.store.records import Attempt
 
@@ -36,29 +36,33 @@
 SENT_FOR = timedelta(seconds=20)
 
 
-class Commands:
+class DirectCommands:
     """Sends direct commands for all parts that this controller owns."""
 
-    def __init__(self, shared: Shared, net: Net, runtimes: dict[str, PartRuntime]):
-        self._shared, self._net, self._runtimes = shared, net, runtimes
+    def __init__(self, context: ControllerContext, net: Net, leaders: dict[str, PartitionLeader]):
+        self._context, self._net, self._leaders = context, net, leaders
         self._direct = trio.CapacityLimiter(MAX_COMMANDS)
         self._nursery: trio.Nursery | None = None
         # Machines to which kills are on their way: one that hangs holds up its own kills only, and
         # however many hang, what waits here is bounded by the machines.
         self._stopping: set[str] = set()
 
-    async def _send_kills(self, runtime: PartRuntime, machine: str, orders: list[dict]) -> None:
+    async def _send_kills(self, leader: PartitionLeader, machine: str, orders: list[dict]) -> None:
         self._stopping.add(machine)
         try:
-            await self.command(runtime, machine, orders)
+            await self.command(leader, machine, orders)
         finally:
             self._stopping.discard(machine)
 
-    async def command(self, runtime: PartRuntime, machine: str, orders: list[dict]) -> None:
-        target = runtime.machines.get(machine)
+    async def command(self, leader: PartitionLeader, machine: str, orders: list[dict]) -> None:
+        target = leader.machines.get(machine)
         if target is None:
             return
-        body = {"baton": runtime.reports.token(target), "stint": target.order[0], "orders": orders}
+        body = {
+            "baton": leader.heartbeats.token(target),
+            "stint": target.position[0],
+            "orders": orders,
+        }
         client = Client(self._net, target.address, most=1, keep=0)
         try:
             async with self._direct:
@@ -67,63 +71,63 @@
             log.debug("command-lost", machine=machine, error=error)
 
     def order_now(
-        self, runtime: PartRuntime, machine: str, rows: list[tuple[Key, Attempt]]
+        self, leader: PartitionLeader, machine: str, rows: list[tuple[TaskKey, Attempt]]
     ) -> None:
         if self._nursery is not None:
-            self._nursery.start_soon(self._order_now, runtime, machine, rows)
+            self._nursery.start_soon(self._order_now, leader, machine, rows)
 
     async def _order_now(
-        self, runtime: PartRuntime, name: str, rows: list[tuple[Key, Attempt]]
+        self, leader: PartitionLeader, name: str, rows: list[tuple[TaskKey, Attempt]]
     ) -> None:
         try:
-            await self._start_directly(runtime, name, rows)
+            await self._start_directly(leader, name, rows)
         except Exception:
             log.crash("order-failed", machine=name)
 
     async def _start_directly(
-        self, runtime: PartRuntime, name: str, rows: list[tuple[Key, Attempt]]
+        self, leader: PartitionLeader, name: str, rows: list[tuple[TaskKey, Attempt]]
     ) -> None:
         """Starts that must not wait for the machine's next report. Once each; where no answer says
         what became of it, the machine's token is raised, so that the order is refused should it
         arrive later (`machines.Direct`)."""
-        machine = runtime.machines.get(name)
+        machine = leader.machines.get(name)
         if machine is None or machine.incarnation >= MAX_INCARNATIONS:
             return
         async with self._direct:
-            now, recorded = clock.now(), runtime.by_machine().get(name, {})
-            ownership = self._shared.ownership
+            now, recorded = clock.now(), leader.by_machine().get(name, {})
+            election = self._context.election
             rows = [
                 (key, attempt)
                 for key, attempt in rows
                 if key in recorded
                 and recorded[key][1] == attempt
-                and key not in runtime.stops
-                and key not in runtime.ended
-                and runtime.live(key[0])
+                and key not in leader.stops
+                and key not in leader.ended
+                and leader.live(key[0])
             ]
             if (
                 not rows
-                or runtime.machines.get(name) is not machine
-                or not machine.ours
-                or not runtime.usable(machine, now, self._shared.settings.report_every * 2.2)
-                or ownership.tenure(runtime.part) != runtime.tenure
-                or not ownership.may_start(now)
+                or leader.machines.get(name) is not machine
+                or not machine.token_confirmed
+                or not leader.usable(machine, now, self._context.settings.heartbeat_interval * 2.2)
+                or election.leadership(leader.partition) != leader.leadership
+                or not election.may_start(now)
             ):
                 return
-            session = machine.order[0]
+            epoch = machine.position[0]
             for key, attempt in rows:
-                machine.direct[key] = Direct(attempt.number, session)
-            machine.unchanged_mark = None
-            machine.lease_from = now
+                machine.direct[key] = DirectStart(attempt.number, epoch)
+            machine.unchanged_version = None
+            machine.lease_started_at = now
             orders = [messages.run(*key, attempt.number) for key, attempt in rows]
-            body = {"baton": runtime.reports.token(machine), "stint": session, "orders": orders}
-            client, report = Client(self._net, machine.address, most=1, keep=0), None
+            body = {"baton": leader.heartbeats.token(machine), "stint": epoch, "orders": orders}
+            client, heartbeat = Client(self._net, machine.address, most=1, keep=0), None
             try:
                 status, answer = await client.request(
                     "POST", "/commands", body, within=DIRECT_WITHIN
                 )
                 if status == 200:
-                    report = messages.read_report(answer)
+                    heartbeat = messages.parse_heartbeat(answer)
                 elif status in (400, 409):
                     # Nothing was executed, nor will be.
                     for key, attempt in rows:
@@ -132,27 +136,27 @@
                     return
             except (NoAnswerError, MalformedError) as error:
                 log.debug("command-lost", machine=name, error=error)
-        if report is not None and report.machine == name:
+        if heartbeat is not None and heartbeat.machine == name:
             for key, attempt in rows:
                 row = machine.direct.get(key)
                 if row is not None and row.attempt == attempt.number:
-                    row.order = report.order
+                    row.acknowledged_position = heartbeat.position
             return
-        log.info("direct-unanswered", part=runtime.part, machine=name)
-        if runtime.machines.get(name) is machine:
+        log.info("direct-unanswered", partition=leader.partition, machine=name)
+        if leader.machines.get(name) is machine:
             machine.fence()
-            await self._raise_token(runtime, machine)
+            await self._raise_token(leader, machine)
 
-    async def _raise_token(self, runtime: PartRuntime, machine: Machine) -> None:
+    async def _raise_token(self, leader: PartitionLeader, machine: Machine) -> None:
         """Shows the machine its raised token at once, by a command without orders: until its next
         report's answer brings the token, a held order to start would still be carried out, perhaps
         after a user was told that the job is cancelled."""
         for _ in range(FENCE_TRIES):
-            if runtime.machines.get(machine.id) is not machine or machine.ours:
+            if leader.machines.get(machine.id) is not machine or machine.token_confirmed:
                 return
             body = {
-                "baton": runtime.reports.token(machine),
-                "stint": machine.order[0],
+                "baton": leader.heartbeats.token(machine),
+                "stint": machine.position[0],
                 "orders": [],
             }
             client = Client(self._net, machine.address, most=1, keep=0)
@@ -172,22 +176,22 @@
             now = clock.now()
             if len(sent) > MAX_SENT:
                 sent = {k: at for k, at in sent.items() if now - at < SENT_FOR}
-            for runtime in list(self._runtimes.values()):
+            for leader in list(self._leaders.values()):
                 orders: dict[str, list[dict]] = {}
-                with runtime.lock:
-                    runtime.stop_dead(now)
-                    for key, stop in runtime.stops.items():
-                        mark = (runtime.tenure.term, key, stop.attempt, stop.grace)
+                with leader.lock:
+                    leader.stop_dead(now)
+                    for key, stop in leader.stops.items():
+                        mark = (leader.leadership.term, key, stop.attempt, stop.grace)
                         if now - sent.get(mark, clock.ORIGIN) < KILL_EVERY:
                             continue
-                        spaced_out = runtime.recovery.spaces_out(key, stop, now)
+                        spaced_out = leader.recovery.spaces_out(key, stop, now)
                         if spaced_out or stop.machine in self._stopping:
                             continue
-                        if stop.machine in runtime.machines:
+                        if stop.machine in leader.machines:
                             sent[mark] = now
                             grace = stop.grace.total_seconds()
                             orders.setdefault(stop.machine, []).append(
                                 messages.kill(*key, stop.attempt, grace)
                             )
                 for machine, rows in orders.items():
-                    nursery.start_soon(self._send_kills, runtime, machine, rows)
+                    nursery.start_soon(self._send_kills, leader, machine, rows)
--- a/roadbend/fleet/silence.py
+++ b/roadbend/fleet/failure_detector.py
@@ -8,18 +8,18 @@
 import trio
 
 from roadbend import clock
+from roadbend.autoscaler.cloud import Cloud, CloudBusyError, NoCapacityError
 from roadbend.fleet import messages
-from roadbend.fleet.cuts import ZoneCuts
+from roadbend.fleet.cloud_inventory import CloudInventory
 from roadbend.fleet.deletions import Deletions
-from roadbend.fleet.listing import MachineList
 from roadbend.fleet.machines import Machine
+from roadbend.fleet.zone_reachability import ZoneReachability
 from roadbend.http.client import Client, NoAnswerError
 from roadbend.http.net import Net
 from roadbend.http.server import MalformedError
 from roadbend.log import Log
-from roadbend.placement.runtime import PartRuntime
-from roadbend.placement.shared import Shared
-from roadbend.rental.cloud import Cloud, CloudBusyError, NoCapacityError
+from roadbend.placement.context import ControllerContext
+from roadbend.placement.leader import PartitionLeader
 
 log = Log("fleet")
 # Machines asked at once; each takes a connection. And machines that are looked into, those that
@@ -47,25 +47,29 @@
     heard: datetime | None
     last: datetime
 
-    def silence(self) -> timedelta:
+    def failure_detector(self) -> timedelta:
         return clock.now() - self.last
 
 
-class SilenceWatch:
+class FailureDetector:
     """Looks after the silent machines of all parts that this controller owns."""
 
     def __init__(
         self,
-        shared: Shared,
+        context: ControllerContext,
         net: Net,
         cloud: Cloud,
-        listing: MachineList,
-        cuts: ZoneCuts,
+        inventory: CloudInventory,
+        reachability: ZoneReachability,
         heard_elsewhere: HeardElsewhere,
-        runtimes: dict[str, PartRuntime],
+        leaders: dict[str, PartitionLeader],
     ):
-        self._shared, self._net, self._runtimes = shared, net, runtimes
-        self._listing, self._cuts, self._heard_elsewhere = listing, cuts, heard_elsewhere
+        self._context, self._net, self._leaders = context, net, leaders
+        self._inventory, self._reachability, self._heard_elsewhere = (
+            inventory,
+            reachability,
+            heard_elsewhere,
+        )
         self._deletions = Deletions(cloud)
         self._probing: set[tuple[str, str]] = set()
         self._connections = trio.CapacityLimiter(MAX_PROBES)
@@ -79,18 +83,18 @@
             await clock.pause(timedelta(seconds=1))
             self.note_time(last)
             last = clock.now()
-            for runtime in list(self._runtimes.values()):
+            for leader in list(self._leaders.values()):
                 try:
-                    self._look(runtime, nursery)
+                    self._look(leader, nursery)
                 except Exception:
-                    log.crash("watch-failed", part=runtime.part)
+                    log.crash("watch-failed", partition=leader.partition)
 
     def note_time(self, last: datetime) -> None:
         """A second was to pass. Where far more did, this process stood still while its clocks ran
         on, and all machines look silent; what they sent is still to be read."""
         now = clock.now()
         still = now - last - timedelta(seconds=1)
-        if still > self._shared.settings.report_every / 2:
+        if still > self._context.settings.heartbeat_interval / 2:
             log.info("stood-still", seconds=f"{still.total_seconds():.1f}")
             self._stalls.append((now, still))
 
@@ -99,155 +103,164 @@
         the seconds in which we did listen add up, so that the dead are still found."""
         return now - since - sum((still for at, still in self._stalls if at > since), clock.ZERO)
 
-    def _look(self, runtime: PartRuntime, nursery: trio.Nursery) -> None:
+    def _look(self, leader: PartitionLeader, nursery: trio.Nursery) -> None:
         now = clock.now()
-        operator, settings = self._shared.operator, self._shared.settings
-        since = runtime.tenure.since
-        index = runtime.by_machine()
+        operator, settings = self._context.operator, self._context.settings
+        since = leader.leadership.acquired_at
+        index = leader.by_machine()
         silent = []
-        for name in runtime.machines.keys() | index.keys():
-            machine = runtime.machines.get(name)
+        for name in leader.machines.keys() | index.keys():
+            machine = leader.machines.get(name)
             # What counts is not that it reports, but that it hears us.
-            last = machine.heard_us if machine is not None else None
+            last = machine.acknowledged_at if machine is not None else None
             if last is None:
                 overdue = self._silence(since, now) > operator.find_owner
             else:
-                overdue = self._silence(last, now) > settings.report_every * operator.silent_reports
-            listed = self._listing.rows.get(name)
+                overdue = (
+                    self._silence(last, now) > settings.heartbeat_interval * operator.silent_reports
+                )
+            listed = self._inventory.rows.get(name)
             if listed is not None and listed.status == "failed":
                 overdue = True
             recalled = (
-                machine is not None and machine.recall_at is not None and now > machine.recall_at
+                machine is not None and machine.reclaim_at is not None and now > machine.reclaim_at
             )
-            doubted = machine is not None and machine.doubted
+            suspected = machine is not None and machine.suspected
             if (
                 overdue
-                or doubted
+                or suspected
                 or recalled
                 and last is not None
-                and now - last > settings.report_every * 2
+                and now - last > settings.heartbeat_interval * 2
             ):
                 silent.append(name)
-        self._cuts.note(runtime, index.keys(), now)
+        self._reachability.note(leader, index.keys(), now)
         # The longest silent first, and only so many at once.
         ages = {
-            name: m.heard_us or since if (m := runtime.machines.get(name)) else since
+            name: m.acknowledged_at or since if (m := leader.machines.get(name)) else since
             for name in silent
         }
         for name in sorted(silent, key=ages.__getitem__):
             if len(self._probing) >= MAX_SUSPECTS:
                 break
-            if (runtime.part, name) not in self._probing:
-                self._probing.add((runtime.part, name))
-                nursery.start_soon(self._probe, runtime, name)
+            if (leader.partition, name) not in self._probing:
+                self._probing.add((leader.partition, name))
+                nursery.start_soon(self._probe, leader, name)
 
-    async def _probe(self, runtime: PartRuntime, name: str) -> None:
+    async def _probe(self, leader: PartitionLeader, name: str) -> None:
         try:
-            await self._probe_once(runtime, name)
+            await self._probe_once(leader, name)
         except Exception:
             log.crash("probe-failed", machine=name)
         finally:
-            self._probing.discard((runtime.part, name))
+            self._probing.discard((leader.partition, name))
 
-    async def _inspect(self, runtime: PartRuntime, name: str, address: str) -> bool:
+    async def _inspect(self, leader: PartitionLeader, name: str, address: str) -> bool:
         """Asks the machine itself. Its answer is newer than all that it said before we asked; if it
         counts from further back, or shows a lower token than it has carried, it has begun anew."""
-        machine = runtime.machines.get(name)
-        before = (machine.order, machine.incarnation, machine.ours) if machine is not None else None
+        machine = leader.machines.get(name)
+        before = (
+            (machine.position, machine.incarnation, machine.token_confirmed)
+            if machine is not None
+            else None
+        )
         client = Client(self._net, address, most=1, keep=0)
         for _ in range(2):
             try:
                 status, body = await client.request(
                     "GET", "/inspect", within=timedelta(seconds=0.7)
                 )
-                report = messages.read_report(body) if status == 200 else None
+                heartbeat = messages.parse_heartbeat(body) if status == 200 else None
             except (NoAnswerError, MalformedError):
                 continue
-            if report is None or report.machine != name:
+            if heartbeat is None or heartbeat.machine != name:
                 continue
             if (
                 machine is not None
-                and runtime.machines.get(name) is machine
+                and leader.machines.get(name) is machine
                 and machine.incarnation == before[1]
             ):
-                machine.doubted = False
+                machine.suspected = False
                 if (
-                    report.order <= before[0]
+                    heartbeat.position <= before[0]
                     or before[2]
-                    and report.token < runtime.reports.token(machine)
+                    and heartbeat.token < leader.heartbeats.token(machine)
                 ):
-                    runtime.reports.begin_incarnation(machine, report.order)
+                    leader.heartbeats.begin_incarnation(machine, heartbeat.position)
             return True
         return False
 
-    async def _probe_once(self, runtime: PartRuntime, name: str) -> None:
+    async def _probe_once(self, leader: PartitionLeader, name: str) -> None:
         """Asks a silent machine; deletes it where nothing speaks for it."""
-        probe = await self._ask(runtime, name)
-        if probe.answered and probe.silence() < self._shared.settings.lease * 1.5:
+        probe = await self._ask(leader, name)
+        if probe.answered and probe.failure_detector() < self._context.settings.lease * 1.5:
             # It lives and will report, or end its lease; till then nothing more is put on it.
             await clock.pause(PROBE_PAUSE)
             return
         if probe.took > PROBE_WITHIN:
             # Its answers may lie unread: we stood still while we asked.
             return
-        machine = runtime.machines.get(name)
+        machine = leader.machines.get(name)
         if machine is not None:
-            machine.doubted = False
+            machine.suspected = False
             if self._was_heard_meanwhile(machine, probe):
                 return
-        if self._shared.ownership.tenure(runtime.part) != runtime.tenure:
+        if self._context.election.leadership(leader.partition) != leader.leadership:
             return
-        if self._may_be_alive(runtime, machine, probe):
-            log.info("doubt", part=runtime.part, machine=name)
-        elif await self._fence(runtime, machine, name):
+        if self._may_be_alive(leader, machine, probe):
+            log.info("doubt", partition=leader.partition, machine=name)
+        elif await self._fence(leader, machine, name):
             return
-        self._expire(runtime, name)
+        self._expire(leader, name)
         await clock.pause(PROBE_PAUSE)
 
-    async def _ask(self, runtime: PartRuntime, name: str) -> _Probe:
+    async def _ask(self, leader: PartitionLeader, name: str) -> _Probe:
         """Asks the machine itself, once there is a connection for it."""
         async with self._connections:
-            machine, listed = runtime.machines.get(name), self._listing.rows.get(name)
+            machine, listed = leader.machines.get(name), self._inventory.rows.get(name)
             address = machine.address if machine else (listed.address if listed else "")
             failed = listed is not None and listed.status == "failed"
             began = clock.now()
-            heard = machine.heard_us if machine else None
-            answered = bool(address) and not failed and await self._inspect(runtime, name, address)
+            heard = machine.acknowledged_at if machine else None
+            answered = bool(address) and not failed and await self._inspect(leader, name, address)
             took = clock.now() - began
-        return _Probe(name, answered, failed, took, heard, heard or runtime.tenure.since)
+        return _Probe(name, answered, failed, took, heard, heard or leader.leadership.acquired_at)
 
     def _was_heard_meanwhile(self, machine: Machine, probe: _Probe) -> bool:
-        if machine.heard_us != probe.heard:
+        if machine.acknowledged_at != probe.heard:
             return True
         return (
-            probe.heard is not None and probe.silence() < self._shared.settings.report_every * 1.3
+            probe.heard is not None
+            and probe.failure_detector() < self._context.settings.heartbeat_interval * 1.3
         )
 
-    def _may_be_alive(self, runtime: PartRuntime, machine: Machine | None, probe: _Probe) -> bool:
+    def _may_be_alive(
+        self, leader: PartitionLeader, machine: Machine | None, probe: _Probe
+    ) -> bool:
         """Whether a machine that did not answer may only be out of our reach."""
         recalled = (
             machine is not None
-            and machine.recall_at is not None
-            and clock.now() > machine.recall_at
+            and machine.reclaim_at is not None
+            and clock.now() > machine.reclaim_at
         )
         if probe.failed or recalled:
             return False
-        if machine is not None and machine.reported is not None:
-            if machine.reported - probe.last > timedelta(seconds=4):
+        if machine is not None and machine.last_heartbeat_at is not None:
+            if machine.last_heartbeat_at - probe.last > timedelta(seconds=4):
                 # Deaf: its reports reach us, our answers don't reach it. It runs what it has until
                 # its lease ends; then it is replaced.
                 return (
-                    probe.silence() < self._shared.settings.lease * 0.8
-                    or self._cuts.common_cause(runtime, probe.name, clock.now())
+                    probe.failure_detector() < self._context.settings.lease * 0.8
+                    or self._reachability.common_cause(leader, probe.name, clock.now())
                 )
         # A machine that reports to our peers is not dead: it is we who can't be reached.
         elsewhere = (
-            self._heard_elsewhere(runtime.part, probe.name, clock.now())
-            and probe.silence() < self._shared.settings.lease * 1.5
+            self._heard_elsewhere(leader.partition, probe.name, clock.now())
+            and probe.failure_detector() < self._context.settings.lease * 1.5
         )
-        return elsewhere or self._cuts.common_cause(runtime, probe.name, clock.now())
+        return elsewhere or self._reachability.common_cause(leader, probe.name, clock.now())
 
-    async def _fence(self, runtime: PartRuntime, machine: Machine | None, name: str) -> bool:
+    async def _fence(self, leader: PartitionLeader, machine: Machine | None, name: str) -> bool:
         """Deletes a machine; says whether it is proven gone."""
         if machine is not None:
             # From here on no order goes to it, so the deletion can't overtake one.
@@ -256,38 +269,46 @@
             await self._deletions.delete(name)
         except CloudBusyError as error:
             # Not carried out.
-            log.info("fence-refused", part=runtime.part, machine=name, error=str(error)[:60])
+            log.info(
+                "fence-refused", partition=leader.partition, machine=name, error=str(error)[:60]
+            )
             if machine is not None:
                 machine.fencing = False
             return False
         except (NoAnswerError, NoCapacityError) as error:
-            log.info("fence-failed", part=runtime.part, machine=name, error=str(error)[:60])
+            log.info(
+                "fence-failed", partition=leader.partition, machine=name, error=str(error)[:60]
+            )
             if machine is not None:
                 # The deletion may still be carried out: should it report again, it gets nothing
                 # new.
                 machine.draining, machine.fencing = "fence", False
             return False
-        log.info("fenced", part=runtime.part, machine=name)
-        runtime.gone(name, "deleted")
+        log.info("fenced", partition=leader.partition, machine=name)
+        leader.gone(name, "deleted")
         return True
 
-    def _expire(self, runtime: PartRuntime, name: str) -> None:
+    def _expire(self, leader: PartitionLeader, name: str) -> None:
         """No deletion to be had: the worker's own lease is the proof, where it is one."""
-        now, s, margin = clock.now(), self._shared.settings, self._shared.operator.state_margin
-        machine = runtime.machines.get(name)
-        if machine is not None and machine.ours:
+        now, s, margin = clock.now(), self._context.settings, self._context.operator.state_margin
+        machine = leader.machines.get(name)
+        if machine is not None and machine.token_confirmed:
             # It has carried our token, so only our answers count, the last one at `lease_from`.
             sure = (
-                machine.lease_from is not None
-                and now > machine.lease_from + s.lease * (1 + 2 * clock.DRIFT) + margin
+                machine.lease_started_at is not None
+                and now > machine.lease_started_at + s.lease * (1 + 2 * clock.DRIFT) + margin
             )
         else:
             # A former owner renews for cancel_within - lease at most after we took over.
-            last = machine.lease_from if machine and machine.lease_from else runtime.tenure.since
+            last = (
+                machine.lease_started_at
+                if machine and machine.lease_started_at
+                else leader.leadership.acquired_at
+            )
             sure = now > max(
-                runtime.tenure.since + s.cancel_within * (1 + 2 * clock.DRIFT) + margin,
+                leader.leadership.acquired_at + s.cancel_within * (1 + 2 * clock.DRIFT) + margin,
                 last + s.lease * (1 + 2 * clock.DRIFT) + margin,
             )
-        if sure and runtime.by_machine().get(name):
-            log.info("lease-over", part=runtime.part, machine=name)
-            runtime.gone(name, "lease")
+        if sure and leader.by_machine().get(name):
+            log.info("lease-over", partition=leader.partition, machine=name)
+            leader.gone(name, "lease")
--- a/roadbend/fleet/messages.py
+++ b/roadbend/fleet/messages.py
@@ -10,7 +10,7 @@
 MAX_NOTICE = 30 * 86400.0
 
 
-class TaskReport(NamedTuple):
+class TaskStatus(NamedTuple):
     """A task as a report shows it."""
 
     job: str
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True)
-class Report:
+class WorkerHeartbeat:
     """A worker's report."""
 
     machine: str
@@ -30,17 +30,17 @@
     machine_type: str
     zone: str
     spot: bool
-    session: int
-    seq: int
+    epoch: int
+    sequence: int
     token: int
     notice: float | None
-    tasks: tuple[TaskReport, ...]
+    tasks: tuple[TaskStatus, ...]
     # The tasks as they came, to compare the next report with.
-    rows: list
+    reported_tasks: list
 
     @property
-    def order(self) -> tuple[int, int]:
-        return (self.session, self.seq)
+    def position(self) -> tuple[int, int]:
+        return (self.epoch, self.sequence)
 
 
 def whole(value: Any, name: str) -> int:
@@ -86,7 +86,7 @@
     return job, int(task_index)
 
 
-def read_report(data: Any) -> Report:
+def parse_heartbeat(data: Any) -> WorkerHeartbeat:
     if not isinstance(data, dict):
         raise MalformedError("report: expected a map")
     rows = data.get("legs")
@@ -101,7 +101,7 @@
         job, task_index = split_task(text(row.get("leg"), "leg"))
         cause = row.get("cause")
         tasks.append(
-            TaskReport(
+            TaskStatus(
                 job,
                 task_index,
                 whole(row.get("try"), "try"),
@@ -111,7 +111,7 @@
             )
         )
     notice = data.get("recallS")
-    return Report(
+    return WorkerHeartbeat(
         text(data.get("hitch"), "hitch"),
         text(data.get("address"), "address"),
         text(data.get("rig"), "rig"),
--- a/roadbend/fleet/ended_attempts.py
+++ b/roadbend/fleet/terminations.py
@@ -13,7 +13,7 @@
 log = Log("fleet")
 
 
-class Key(NamedTuple):
+class TaskKey(NamedTuple):
     """A task: its job and its index."""
 
     job: str
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True)
-class AttemptEnd:
+class Termination:
     """A proof that an attempt is gone from its machine. `cause` is what proves it: the end that the
     machine reported, `absent` from a current report, `deleted`, or `lease`."""
 
@@ -31,11 +31,11 @@
     cause: str
 
 
-class EndedAttempts:
+class Terminations:
     """The proofs that one owner has and that are not in the records yet, a task at a time."""
 
     def __init__(self) -> None:
-        self._ends: dict[Key, AttemptEnd] = {}
+        self._ends: dict[TaskKey, Termination] = {}
         # Grows with every proof that is noted or withdrawn.
         self.changes = 0
         # What a transaction records that is on its way, or of which nobody knows whether it was
@@ -48,21 +48,21 @@
     def __len__(self) -> int:
         return len(self._ends)
 
-    def __getitem__(self, key: tuple[str, int]) -> AttemptEnd:
-        return self._ends[Key(*key)]
+    def __getitem__(self, key: tuple[str, int]) -> Termination:
+        return self._ends[TaskKey(*key)]
 
-    def __iter__(self) -> Iterator[Key]:
+    def __iter__(self) -> Iterator[TaskKey]:
         return iter(list(self._ends))
 
-    def items(self) -> list[tuple[Key, AttemptEnd]]:
+    def items(self) -> list[tuple[TaskKey, Termination]]:
         return list(self._ends.items())
 
-    def note(self, key: tuple[str, int], end: AttemptEnd) -> None:
+    def note(self, key: tuple[str, int], end: Termination) -> None:
         """The first proof stands, unless the task turns out to be done."""
-        known = self._ends.get(Key(*key))
+        known = self._ends.get(TaskKey(*key))
         if known is not None and (known.done or not end.done):
             return
-        self._ends[Key(*key)] = end
+        self._ends[TaskKey(*key)] = end
         self.changes += 1
         log.info(
             "attempt-gone",
@@ -86,12 +86,12 @@
         """A later report shows the attempt alive: whatever proved its end proves nothing. What is
         done stays done, and what may be recorded already stays gone. The report may also be one
         that was held back, of a session that is over by now."""
-        end = self._ends.get(Key(*key))
+        end = self._ends.get(TaskKey(*key))
         if end is None or end.done:
             return
         kept = key in self._in_transaction
         if not kept:
-            del self._ends[Key(*key)]
+            del self._ends[TaskKey(*key)]
             self.changes += 1
         log.warning(
             "proof-contradicted",
@@ -104,6 +104,6 @@
             withdrawn=not kept,
         )
 
-    def keep_only(self, is_recorded: Callable[[Key, AttemptEnd], bool]) -> None:
+    def keep_only(self, is_recorded: Callable[[TaskKey, Termination], bool]) -> None:
         """Drops what the records do not name any more."""
         self._ends = {key: end for key, end in self._ends.items() if is_recorded(key, end)}
--- a/roadbend/fleet/test_large_fleet.py
+++ b/roadbend/fleet/test_large_fleet.py
@@ -5,11 +5,11 @@
 
 import trio
 
+from roadbend.autoscaler.cloud import Listed
 from roadbend.fakes.submission import job
 from roadbend.fakes.world import world
-from roadbend.fleet import listing
-from roadbend.fleet.listing import MachineList
-from roadbend.rental.cloud import Listed
+from roadbend.fleet import cloud_inventory
+from roadbend.fleet.cloud_inventory import CloudInventory
 from roadbend.settings import Team
 
 
@@ -22,13 +22,13 @@
 
 def test_a_machine_that_left_a_list_of_thousands_is_known_to_be_gone(monkeypatch):
     """With more than 4,096 names the list once forgot what it had shown before."""
-    machines = MachineList()
+    machines = CloudInventory()
     machines.take(listed(range(6000)))
     machines.take(listed(range(100, 6000)))
     assert machines.has_left("m-000099") and not machines.has_left("m-000100")
     assert not machines.has_left("m-009999")
     # It is bounded all the same; what left first is forgotten first.
-    monkeypatch.setattr(listing, "MAX_REMEMBERED", 150)
+    monkeypatch.setattr(cloud_inventory, "MAX_REMEMBERED", 150)
     machines.take(listed(range(200, 6000)))
     assert machines.has_left("m-000199") and not machines.has_left("m-000049")
     assert len(machines._was_listed) == 5800 + 150
@@ -40,9 +40,9 @@
     async with world(count=1, teams={"red": Team("red", 0, 0, 4, 40)}, capacity=20) as w:
         assert await w.submit(0, job(1, legs=8, yard="east", shape="daemon", dueS=None)) == 201
         assert await w.until(lambda: len(w.board.running("run-000001")) == 8, 60)
-        commands, underway = w.nodes["node-0"].fleet.commands, []
+        commands, underway = w.controllers["node-0"].fleet.commands, []
 
-        async def hang(runtime, machine, orders):
+        async def hang(leader, machine, orders):
             underway.append(machine)
             await trio.sleep(60)
 
@@ -67,7 +67,7 @@
     async with world(
         capacity=MACHINES,
         teams={"red": Team("red", 0, 0, 0, 0)},
-        report_every=timedelta(seconds=20),
+        heartbeat_interval=timedelta(seconds=20),
         lease=timedelta(seconds=144),
         cancel_within=timedelta(seconds=300),
         cloud_rps=30.0,
--- a/roadbend/fleet/test_lives.py
+++ b/roadbend/fleet/test_machine_incarnations.py
@@ -7,7 +7,7 @@
 
 from roadbend.fakes.submission import job
 from roadbend.fakes.world import world
-from roadbend.settings import Operator
+from roadbend.settings import OperatorSettings
 from roadbend.store import keys
 
 SERVICE = {"shape": "daemon", "expectedS": 0.0, "dueS": None, "loaners": False}
@@ -38,19 +38,19 @@
     """Under an earlier term the deletion is another controller's memory; under ours it may have
     left it."""
     async with world(count=1) as w:
-        node = w.nodes["node-0"]
-        runtime = node.runtimes["east"]
+        controller = w.controllers["node-0"]
+        leader = controller.leaders["east"]
         assert (await w.call(0, "POST", "/hello", late("m-77")))[0] == 200
-        assert (await w.call(0, "POST", "/hello", late("m-78", baton=runtime.reports.token())))[
+        assert (await w.call(0, "POST", "/hello", late("m-78", baton=leader.heartbeats.token())))[
             0
         ] == 503
-        assert "m-78" not in runtime.machines
+        assert "m-78" not in leader.machines
         assert await w.submit(0, job(1, **SERVICE), None) == 201
         await trio.sleep(2)
-        assert "m-77" not in runtime.by_machine()
+        assert "m-77" not in leader.by_machine()
         assert await w.until(lambda: w.board.running("run-000001"), 60)
         # It never comes back: it is looked into, deleted by name, and forgotten.
-        assert await w.until(lambda: "m-77" not in runtime.machines, 60)
+        assert await w.until(lambda: "m-77" not in leader.machines, 60)
 
 
 async def test_late_copies_neither_renew_nor_count_as_a_sign_of_life():
@@ -61,25 +61,25 @@
         worker = w.cloud.machines[name].worker
         copies = []
         for _ in range(3):
-            copies.append(worker.report())
+            copies.append(worker.heartbeat())
             await trio.sleep(3)
-        runtime = w.nodes["node-0"].runtimes["east"]
+        leader = w.controllers["node-0"].leaders["east"]
         for body in copies:
-            before = runtime.machines[name].reported
+            before = leader.machines[name].last_heartbeat_at
             assert (await w.call(0, "POST", "/hello", body))[0] == 503
-            assert runtime.machines[name].reported == before
+            assert leader.machines[name].last_heartbeat_at == before
         # To a node that does not own the part, the newest of them counts once, the others not at
         # all.
-        fleet = w.nodes["node-1"].fleet
+        fleet = w.controllers["node-1"].fleet
         for body in (copies[2], copies[2], copies[0], copies[1]):
             assert (await w.call(1, "POST", "/hello", body))[0] == 421
-            at = fleet._foreign_reports["east"][name]
+            at = fleet._foreign_heartbeats["east"][name]
             await trio.sleep(1)
         assert at[1] == (copies[2]["stint"], copies[2]["tick"])
         await trio.sleep(3)
         assert (
-            w.nodes["node-1"].fleet.heard(
-                fleet._foreign_reports["east"][name][0] + timedelta(seconds=7)
+            w.controllers["node-1"].fleet.heard(
+                fleet._foreign_heartbeats["east"][name][0] + timedelta(seconds=7)
             )
             == {}
         )
@@ -92,14 +92,17 @@
         assert await w.until(lambda: w.board.running("run-000003"), 60)
         name = machine_of(w, "run-000003/0")
         await trio.sleep(10)
-        runtime = w.nodes["node-0"].runtimes["east"]
-        previous_version = [w.cloud.machines[name].worker.report() for _ in range(30)]
+        leader = w.controllers["node-0"].leaders["east"]
+        previous_version = [w.cloud.machines[name].worker.heartbeat() for _ in range(30)]
         # What it held a moment ago: nothing, under the token that it had; the task was not there
         # yet.
         copies = [{**body, "legs": []} for body in previous_version]
         w.cloud.reboot(name)
         assert await w.until(
-            lambda: runtime.machines[name].incarnation == 1 and runtime.machines[name].ours, 20
+            lambda: (
+                leader.machines[name].incarnation == 1 and leader.machines[name].token_confirmed
+            ),
+            20,
         )
         for body in copies:
             assert (await w.call(0, "POST", "/hello", body))[0] == 503
@@ -108,7 +111,7 @@
         assert {home for _, _, home in w.board.starts} == {name}
         await trio.sleep(30)
         assert w.board.running("run-000003") and name in w.cloud.machines
-        assert runtime.machines[name].incarnation <= 2, "copies must not make it look anew for ever"
+        assert leader.machines[name].incarnation <= 2, "copies must not make it look anew for ever"
 
 
 async def test_a_deaf_machine_gets_nothing_new_and_is_replaced_on_proof():
@@ -166,7 +169,7 @@
     back at once in the middle of an election, the state service is out for a moment."""
     for seed in range(3):
         rng = random.Random(seed)
-        async with world(operator=Operator(reoffer_every=timedelta(seconds=2))) as w:
+        async with world(operator=OperatorSettings(reoffer_every=timedelta(seconds=2))) as w:
             for n in range(10, 16):
                 tasks = rng.randint(1, 3)
                 assert (
@@ -183,7 +186,7 @@
                 ]
                 choice = rng.random()
                 if up and choice < 0.5:
-                    copies.append(rng.choice(up).worker.report())
+                    copies.append(rng.choice(up).worker.heartbeat())
                 elif up and choice < 0.55:
                     w.cloud.reboot(rng.choice(up).id)
                 elif choice < 0.62:
@@ -205,5 +208,7 @@
 
                 assert await w.until(over, 150, 1.0), (seed, n)
             assert await w.until(lambda: len(w.board.running("run-000020")) == 2, 60)
-            parts = w.state.starting("r/term/")
-            assert len({keys.term_key(z) for z in ("east", "north", "west")} & parts.keys()) == 3
+            partitions = w.state.starting("r/term/")
+            assert (
+                len({keys.term_key(z) for z in ("east", "north", "west")} & partitions.keys()) == 3
+            )
--- a/roadbend/fleet/test_machines.py
+++ b/roadbend/fleet/test_machines.py
@@ -7,20 +7,20 @@
 
 from roadbend import clock
 from roadbend.fakes.submission import job
-from roadbend.fleet import messages, reading
-from roadbend.fleet.ended_attempts import AttemptEnd, EndedAttempts
-from roadbend.fleet.machines import Direct, Machine, Stop
+from roadbend.fleet import heartbeat_evaluation, messages
+from roadbend.fleet.machines import DirectStart, Machine, StopOrder
+from roadbend.fleet.terminations import Termination, Terminations
 from roadbend.http.server import MalformedError
 from roadbend.intake.messages import read_submission
-from roadbend.store.records import Attempt, Job, Need
-from roadbend.store.view import Work
+from roadbend.store.record_view import JobSlice
+from roadbend.store.records import Attempt, Job, Resources
 
 TERM = 7
 NOW = clock.ORIGIN + timedelta(seconds=100)
 KEY = ("run-000001", 0)
 
 
-def report(token=TERM, seq=5, session=1, tasks=(), **more):
+def heartbeat(token=TERM, sequence=5, epoch=1, tasks=(), **more):
     rows = [
         {"leg": task_index, "try": attempt, "status": state, "cause": cause, "colour": "ignored"}
         for task_index, attempt, state, cause in tasks
@@ -31,14 +31,14 @@
         "rig": "g2",
         "yard": "east",
         "loaners": False,
-        "stint": session,
-        "tick": seq,
+        "stint": epoch,
+        "tick": sequence,
         "baton": token,
         "recallS": None,
         "legs": rows,
         **more,
     }
-    return messages.read_report(body)
+    return messages.parse_heartbeat(body)
 
 
 class Desk:
@@ -47,17 +47,19 @@
     def __init__(self):
         name, spec = read_submission(job(1))
         self.job = Job(name, spec, clock.wall(), {"east": ((0, 1),)})
-        self.recorded = {KEY: (Work(name, "east", "red", Need(8, 1, 40)), Attempt(70, "m-1"))}
+        self.recorded = {
+            KEY: (JobSlice(name, "east", "red", Resources(8, 1, 40)), Attempt(70, "m-1"))
+        }
         self.machine = Machine("m-1", "m-1:1", "g2", "east", False)
-        self.stops, self.ended = {}, EndedAttempts()
+        self.stops, self.ended = {}, Terminations()
         self.jobs = {name: self.job}
         self.may_start = True
         self.elsewhere: dict = {}
 
     def take(self, *args, **kwargs):
-        seen = report(*args, **kwargs)
+        seen = heartbeat(*args, **kwargs)
         assert self.machine.admit(seen, 0, NOW)
-        expected = reading.Expected(
+        expected = heartbeat_evaluation.MachineExpectation(
             "east",
             self.recorded,
             self.jobs,
@@ -66,7 +68,7 @@
             self.may_start,
             self.elsewhere.get,
         )
-        return reading.read(self.machine, seen, TERM, expected, NOW)
+        return heartbeat_evaluation.read(self.machine, seen, TERM, expected, NOW)
 
 
 def verbs(orders):
@@ -78,28 +80,28 @@
     nothing."""
     machine = Machine("m-1", "m-1:1", "g2", "east", False)
 
-    def settled(seq: int, session: int = 1, current: bool = True) -> bool:
-        seen = report(seq=seq, session=session)
+    def settled(sequence: int, epoch: int = 1, current: bool = True) -> bool:
+        seen = heartbeat(sequence=sequence, epoch=epoch)
         return machine.settled(KEY, 70, seen, current)
 
     assert settled(5)
-    machine.direct[KEY] = Direct(70, 1)
-    assert not settled(5) and settled(1, session=2)
+    machine.direct[KEY] = DirectStart(70, 1)
+    assert not settled(5) and settled(1, epoch=2)
     # Answered: what was sent before that answer proves nothing yet.
-    machine.direct[KEY].order = (1, 7)
+    machine.direct[KEY].acknowledged_position = (1, 7)
     assert not settled(6) and not settled(7) and settled(8)
     # Never answered: the machine must show the higher token first.
-    machine.direct[KEY].order = None
+    machine.direct[KEY].acknowledged_position = None
     incarnation = machine.incarnation
     machine.fence()
-    assert machine.incarnation == incarnation + 1 and not machine.ours
+    assert machine.incarnation == incarnation + 1 and not machine.token_confirmed
     assert settled(9) and not settled(9, current=False)
 
 
 def test_a_recorded_attempt_is_ordered_again_until_it_shows():
     desk = Desk()
     assert verbs(desk.take()) == [("run", "run-000001/0", 70)]
-    assert verbs(desk.take(seq=6, tasks=[("run-000001/0", 70, "fetching", None)])) == []
+    assert verbs(desk.take(sequence=6, tasks=[("run-000001/0", 70, "fetching", None)])) == []
     assert not desk.ended
 
 
@@ -114,7 +116,7 @@
     desk.jobs = {}
     assert desk.take(token=TERM - 1) == [] and not desk.ended
     # The same report under our own token does: no order of anyone is still on its way.
-    desk.take(seq=6)
+    desk.take(sequence=6)
     assert desk.ended[KEY].cause == "absent" and not desk.ended[KEY].done
 
 
@@ -122,7 +124,7 @@
     desk = Desk()
     desk.take(token=TERM - 1, tasks=[("run-000001/0", 70, "ended", "stopped")])
     assert not desk.ended
-    desk.take(token=TERM - 1, seq=6, tasks=[("run-000001/0", 70, "ended", "done")])
+    desk.take(token=TERM - 1, sequence=6, tasks=[("run-000001/0", 70, "ended", "done")])
     assert desk.ended[KEY].done
 
 
@@ -131,29 +133,29 @@
     ended = [("run-000001/0", 70, "ended", "done")]
     assert desk.take(tasks=ended) == []
     desk.recorded = {}
-    assert verbs(desk.take(seq=6, tasks=ended)) == [("forget", "run-000001/0", 70)]
+    assert verbs(desk.take(sequence=6, tasks=ended)) == [("forget", "run-000001/0", 70)]
 
 
 def test_a_task_that_the_records_do_not_know_is_killed():
     desk = Desk()
     orders = desk.take(tasks=[("run-000001/0", 69, "running", None)])
     assert ("kill", "run-000001/0", 69) in verbs(orders)
-    assert desk.machine.foreign == 1
+    assert desk.machine.unrecorded_tasks == 1
 
 
 def test_a_saving_task_is_ended_by_a_kill_without_grace_when_it_takes_too_long():
     desk = Desk()
-    desk.stops[KEY] = Stop(70, timedelta(seconds=3), "preempted", NOW, "m-1")
+    desk.stops[KEY] = StopOrder(70, timedelta(seconds=3), "preempted", NOW, "m-1")
     first = desk.take(tasks=[("run-000001/0", 70, "flushing", None)])
     assert first[0]["windDownS"] == 3.0
     desk.machine.tasks[KEY].since -= timedelta(seconds=10)
-    again = desk.take(seq=6, tasks=[("run-000001/0", 70, "flushing", None)])
+    again = desk.take(sequence=6, tasks=[("run-000001/0", 70, "flushing", None)])
     assert again[0]["windDownS"] == 0.0
 
 
 def test_a_task_moved_elsewhere_is_not_ordered_again():
     desk = Desk()
-    desk.jobs = {"run-000001": replace(desk.job, alloc={})}
+    desk.jobs = {"run-000001": replace(desk.job, allocation={})}
     assert desk.take() == []
     assert KEY in desk.ended
 
@@ -161,20 +163,20 @@
 def test_an_attempt_that_is_proven_gone_is_not_ordered_while_the_records_name_it():
     for cause in ("lease", "absent", "error", "deleted"):
         desk = Desk()
-        desk.ended.note(KEY, AttemptEnd(70, "m-1", False, cause))
-        assert desk.take(session=2, seq=6) == [] and desk.ended[KEY].cause == cause
+        desk.ended.note(KEY, Termination(70, "m-1", False, cause))
+        assert desk.take(epoch=2, sequence=6) == [] and desk.ended[KEY].cause == cause
 
 
 def test_a_later_report_that_shows_an_attempt_alive_withdraws_the_proof_but_not_a_result(caplog):
     desk = Desk()
-    desk.ended.note(KEY, AttemptEnd(70, "m-1", False, "lease"))
+    desk.ended.note(KEY, Termination(70, "m-1", False, "lease"))
     with caplog.at_level("WARNING"):
         assert desk.take(tasks=[("run-000001/0", 70, "running", None)]) == []
     assert KEY not in desk.ended
     for word in ("proof-contradicted", "run-000001", "index=0", "attempt=70", "machine=m-1"):
         assert word in caplog.text
-    desk.take(seq=6, tasks=[("run-000001/0", 70, "ended", "done")])
-    desk.take(seq=7, tasks=[("run-000001/0", 70, "running", None)])
+    desk.take(sequence=6, tasks=[("run-000001/0", 70, "ended", "done")])
+    desk.take(sequence=7, tasks=[("run-000001/0", 70, "running", None)])
     assert desk.ended[KEY].done
 
 
@@ -191,16 +193,18 @@
 
 def test_a_report_that_is_not_newer_is_not_taken_in_and_renews_nothing():
     machine = Machine("m-1", "m-1:1", "g2", "east", False)
-    assert machine.admit(report(seq=5), TERM, NOW) and machine.lease_from == NOW
+    assert machine.admit(heartbeat(sequence=5), TERM, NOW) and machine.lease_started_at == NOW
     later = NOW + timedelta(seconds=9)
-    for seq in (5, 4):
-        machine.doubted = False
-        assert not machine.admit(report(seq=seq), TERM, later) and machine.doubted
-    assert machine.is_latest(report(seq=5)) and machine.lease_from == NOW
+    for sequence in (5, 4):
+        machine.suspected = False
+        assert not machine.admit(heartbeat(sequence=sequence), TERM, later) and machine.suspected
+    assert machine.is_latest(heartbeat(sequence=5)) and machine.lease_started_at == NOW
     # A lower token than the machine has carried: it began anew, or the copy is of a former life.
-    machine.ours = True
-    assert not machine.admit(report(token=TERM - 1, seq=9), TERM, later)
-    assert machine.admit(report(seq=6), TERM, later) and not machine.is_latest(report(seq=5))
+    machine.token_confirmed = True
+    assert not machine.admit(heartbeat(token=TERM - 1, sequence=9), TERM, later)
+    assert machine.admit(heartbeat(sequence=6), TERM, later) and not machine.is_latest(
+        heartbeat(sequence=5)
+    )
 
 
 @pytest.mark.parametrize(
@@ -219,4 +223,4 @@
 )
 def test_malformed_reports_are_refused(change):
     with pytest.raises(MalformedError):
-        report(**change)
+        heartbeat(**change)
--- a/roadbend/fleet/test_standing_still.py
+++ b/roadbend/fleet/test_process_pauses.py
@@ -3,9 +3,9 @@
 import pytest
 import trio
 
+from roadbend.autoscaler.cloud import CloudBusyError
 from roadbend.fakes.submission import job
 from roadbend.fakes.world import world
-from roadbend.rental.cloud import CloudBusyError
 from roadbend.settings import Team
 
 
@@ -17,13 +17,13 @@
             await w.submit(0, job(1, legs=16, yard="east", shape="daemon", dueS=None), None) == 201
         )
         assert await w.until(lambda: len(w.board.running("run-000001")) == 16, 60)
-        silence, asked = w.nodes["node-0"].fleet.silence, []
+        failure_detector, asked = w.controllers["node-0"].fleet.failure_detector, []
 
-        async def probe(runtime, name):
+        async def probe(leader, name):
             asked.append(name)
-            silence._probing.discard((runtime.part, name))
+            failure_detector._probing.discard((leader.partition, name))
 
-        silence._probe = probe
+        failure_detector._probe = probe
         await trio.sleep(3)
         assert asked == []
         trio.lowlevel.current_clock().jump(6)
@@ -42,15 +42,15 @@
     async with world(count=1) as w:
         assert await w.submit(0, job(1, yard="east", shape="daemon", dueS=None), None) == 201
         assert await w.until(lambda: w.board.running("run-000001"), 60)
-        node = w.nodes["node-0"]
-        machine, runtime = next(iter(w.board.where["run-000001/0"])), node.runtimes["east"]
-        still = node.rental._still(runtime)
+        controller = w.controllers["node-0"]
+        machine, leader = next(iter(w.board.where["run-000001/0"])), controller.leaders["east"]
+        still = controller.autoscaler._still(leader)
         assert still()
-        node.ownership._forget("east", "for the test")
+        controller.election._forget("east", "for the test")
         assert not still()
         for call in (
-            node.cloud.delete([machine], still=still),
-            node.cloud.rent("h-1", "g2", "east", False, 1, still),
+            controller.cloud.delete([machine], still=still),
+            controller.cloud.rent("h-1", "g2", "east", False, 1, still),
         ):
             with pytest.raises(CloudBusyError):
                 await call
--- a/roadbend/intake/limit.py
+++ b/roadbend/intake/limit.py
@@ -8,7 +8,7 @@
 from datetime import timedelta
 
 
-class Limit:
+class AdaptiveLimit:
     """How many requests may be in progress, by how long they take."""
 
     def __init__(self, floor: int = 4, ceiling: int = 64):
--- a/roadbend/intake/messages.py
+++ b/roadbend/intake/messages.py
@@ -4,12 +4,12 @@
 from datetime import timedelta
 from typing import Any
 
+from roadbend.autoscaler.cloud import MachineType
 from roadbend.errors import RoadbendError
 from roadbend.fleet.messages import flag, number, text, whole
 from roadbend.http.server import MalformedError
-from roadbend.rental.cloud import MachineType
 from roadbend.settings import Team
-from roadbend.store.records import PRIORITY, Need, Spec
+from roadbend.store.records import PRIORITY, JobSpec, Resources
 
 ID = re.compile(r"run-[0-9]{1,20}\Z")
 MAX_TASKS = 100_000
@@ -54,7 +54,7 @@
     return job
 
 
-def read_submission(data: Any) -> tuple[str, Spec]:
+def read_submission(data: Any) -> tuple[str, JobSpec]:
     job = read_id(data)
     shape = data.get("shape")
     if shape not in ("batch", "daemon", "group"):
@@ -65,12 +65,12 @@
     task_count = whole(data.get("legs"), "legs")
     if not 1 <= task_count <= MAX_TASKS:
         raise MalformedError("legs: out of range")
-    need = Need(
+    resources = Resources(
         _amount(data.get("vcpus"), "vcpus"),
         _amount(data.get("gpus"), "gpus"),
         _amount(data.get("memoryGb"), "memoryGb"),
     )
-    if need.cpus <= 0 and need.gpus <= 0 and need.memory <= 0:
+    if resources.cpus <= 0 and resources.gpus <= 0 and resources.memory <= 0:
         raise MalformedError("vcpus: a task that takes nothing")
     machine_types = data.get("rigs")
     if machine_types is not None:
@@ -85,13 +85,13 @@
         )
     yard = data.get("yard")
     due = data.get("dueS")
-    return job, Spec(
+    return job, JobSpec(
         team=text(data.get("crew"), "crew", MAX_NAME),
         job_class=text(data.get("lane"), "lane", MAX_NAME),
         service=shape == "daemon",
         priority=PRIORITY[rank],
         task_count=task_count,
-        need=need,
+        resources=resources,
         machine_types=machine_types,
         zone=None if yard is None else text(yard, "yard", MAX_NAME),
         together=flag(data.get("together"), "together"),
@@ -99,7 +99,7 @@
         spot=flag(data.get("loaners"), "loaners"),
         image=text(data.get("bundle"), "bundle", MAX_NAME),
         image_gb=_amount(data.get("imageGb"), "imageGb"),
-        expected=_seconds(data.get("expectedS"), "expectedS"),
+        expected_duration=_seconds(data.get("expectedS"), "expectedS"),
         checkpoint=_seconds(data.get("milestoneS"), "milestoneS"),
         save=_seconds(data.get("stowS"), "stowS"),
         due=None if due is None else _seconds(due, "dueS"),
@@ -107,12 +107,12 @@
     )
 
 
-def can_run(spec: Spec, teams: dict[str, Team], machine_types: dict[str, MachineType]) -> None:
+def can_run(spec: JobSpec, teams: dict[str, Team], machine_types: dict[str, MachineType]) -> None:
     team = teams.get(spec.team)
     if team is None:
         raise NeverRunsError("unknown team")
     # A service and a gang need all of their tasks at once, an array one at a time.
-    total = spec.need.times(spec.task_count if spec.service or spec.gang else 1)
+    total = spec.resources.times(spec.task_count if spec.service or spec.gang else 1)
     for want, most, name in (
         (total.cpus, team.cpus_max, "vcpus"),
         (total.gpus, team.gpus_max, "gpus"),
@@ -124,9 +124,9 @@
         for machine_type in machine_types.values()
         if (spec.machine_types is None or machine_type.name in spec.machine_types)
         and (spec.zone is None or spec.zone in machine_type.zones)
-        and spec.need.cpus <= machine_type.room.cpus + 1e-9
-        and spec.need.gpus <= machine_type.room.gpus + 1e-9
-        and spec.need.memory <= machine_type.room.memory + 1e-9
+        and spec.resources.cpus <= machine_type.capacity.cpus + 1e-9
+        and spec.resources.gpus <= machine_type.capacity.gpus + 1e-9
+        and spec.resources.memory <= machine_type.capacity.memory + 1e-9
     ]
     if not fits:
         raise NeverRunsError("a task fits no allowed machine type")
--- a/roadbend/intake/test_intake.py
+++ b/roadbend/intake/test_intake.py
@@ -5,12 +5,12 @@
 import pytest
 import trio
 
+from roadbend.autoscaler.cloud import read_machine_types
 from roadbend.fakes.submission import job
 from roadbend.fakes.world import MACHINE_TYPE, settings_for, world
 from roadbend.http.server import MalformedError
-from roadbend.intake.limit import Limit
+from roadbend.intake.limit import AdaptiveLimit
 from roadbend.intake.messages import NeverRunsError, can_run, read_submission
-from roadbend.rental.cloud import read_machine_types
 
 NAN, INF = float("nan"), float("inf")
 
@@ -77,7 +77,7 @@
     for key in ("rigs", "yard", "dueS"):
         body.pop(key)
     assert read_submission({**body, "colour": "ignored"}) == (name, spec)
-    assert spec.need.gpus == 0 and spec.due is None
+    assert spec.resources.gpus == 0 and spec.due is None
 
 
 @pytest.mark.parametrize("field", sorted(job(1).keys() - {"rigs", "yard", "dueS"}))
@@ -201,7 +201,7 @@
 
 
 def test_the_limit_shrinks_as_times_grow_and_recovers():
-    limit = Limit(floor=4, ceiling=64)
+    limit = AdaptiveLimit(floor=4, ceiling=64)
     for _ in range(200):
         assert limit.enter(1.0)
         limit.leave(timedelta(milliseconds=10))
