--- a/roadbend/intake/users.py
+++ b/roadbend/intake/users.py
@@ -10,7 +10,7 @@
 from roadbend.http.client import NoAnswerError
 from roadbend.http.server import MalformedError, Request, Response, decode
 from roadbend.intake import messages
-from roadbend.intake.limit import Limit
+from roadbend.intake.limit import AdaptiveLimit
 from roadbend.intake.messages import (
     STATUS_ABORTED,
     STATUS_DONE,
@@ -19,7 +19,7 @@
     NeverRunsError,
 )
 from roadbend.log import Log
-from roadbend.placement.shared import Shared
+from roadbend.placement.context import ControllerContext
 from roadbend.store import keys, ranges, records
 from roadbend.store.client import ConflictError, RefusedError, UnavailableError, commit, delete, put
 from roadbend.store.records import Job
@@ -33,7 +33,7 @@
 STALE = timedelta(seconds=1.6)
 
 
-class Ends:
+class FinalStateCache:
     """Final states, which never change: a bounded cache before the state service."""
 
     def __init__(self, most: int = MAX_ENDS):
@@ -53,27 +53,27 @@
     return (("retry-after", str(seconds)),)
 
 
-class Users:
+class JobApi:
     """The users' interface: submit, query, cancel."""
 
     def __init__(
         self,
-        shared: Shared,
+        context: ControllerContext,
         submit: Callable[[str], None],
         told: Callable[[str], None],
-        spread: Callable[[], Awaitable[None]],
+        propagate_cancellations: Callable[[], Awaitable[None]],
         state_refuses_only_us: Callable[[datetime], bool],
-        limit: Limit,
+        limit: AdaptiveLimit,
     ):
-        self._shared, self._submit, self._told, self._state_refuses_only_us = (
-            shared,
+        self._context, self._submit, self._told, self._state_refuses_only_us = (
+            context,
             submit,
             told,
             state_refuses_only_us,
         )
-        self._spread = spread
+        self._propagate_cancellations = propagate_cancellations
         self.limit = limit
-        self.ends = Ends()
+        self.ends = FinalStateCache()
 
     async def handle(self, request: Request) -> Response:
         path, method = request.path, request.method
@@ -111,16 +111,20 @@
     def _known(self, job: Job) -> tuple[str, int, int]:
         """Status, done and running of a live job, for display."""
         running = done = 0
-        for part, rows in self._shared.view.slices.items():
+        for partition, rows in self._context.view.job_slices.items():
             piece = rows.get(job.id)
             if piece is not None:
-                running += len(piece.run)
-                done += ranges.size(ranges.minus(piece.done, job.done)) if part in job.alloc else 0
+                running += len(piece.attempts)
+                done += (
+                    ranges.size(ranges.minus(piece.done, job.done))
+                    if partition in job.allocation
+                    else 0
+                )
         done += ranges.size(job.done)
         return (STATUS_RUNNING if running else STATUS_PENDING), done, running
 
     async def _post(self, request: Request) -> Response:
-        shared = self._shared
+        context = self._context
         try:
             data = decode(request.body)
             name = messages.read_id(data)
@@ -134,28 +138,28 @@
         end = self.ends.get(name)
         if end is not None:
             return self._ended(name, end, 200)
-        if name in shared.view.jobs:
+        if name in context.view.jobs:
             with trio.move_on_after(2):
-                await shared.reader.sync()
+                await context.reader.read_barrier()
                 return await self._state(name, 200)
             return self._later("no state")
         if not self._fresh(clock.now()):
             return self._later("no state")
-        if not shared.machine_types:
+        if not context.machine_types:
             # Not decided yet: the machine types are not known.
             return self._later("starting")
         try:
-            messages.can_run(spec, shared.settings.teams, shared.machine_types)
+            messages.can_run(spec, context.settings.teams, context.machine_types)
         except NeverRunsError as error:
             return await self._refuse(name, 422, str(error))
-        if name in shared.view.unrecorded:
+        if name in context.view.unrecorded:
             # Machines run it though no record names it; it is accepted once they have stopped.
             return self._later("being recovered")
         job = Job(name, spec, clock.wall())
         value = job.to_value()
-        if records.weigh(value) > shared.settings.value_bytes * LARGEST:
+        if records.weigh(value) > context.settings.value_bytes * LARGEST:
             return await self._refuse(name, 400, "rigs: more names than a record holds")
-        settings = shared.settings
+        settings = context.settings
         widest = settings.widest_apart_gang if spec.apart else settings.widest_gang
         if spec.gang and spec.task_count > widest:
             # It can never run: its first tasks would give up before its last one is recorded.
@@ -163,31 +167,35 @@
         rows = [put(keys.job_key(name), value)]
         if spec.gang:
             rows.insert(0, put(keys.gang_key(name), 1))
-        when = {keys.job_key(name): 0, keys.fin_key(name): 0, keys.unrecorded_key(name): 0}
+        conditions = {
+            keys.job_key(name): 0,
+            keys.job_end_key(name): 0,
+            keys.unrecorded_key(name): 0,
+        }
         try:
-            revision = await commit(shared.state, when, rows, within=timedelta(seconds=2.5))
+            revision = await commit(context.state, conditions, rows, within=timedelta(seconds=2.5))
         except ConflictError:
             # Known already, by an earlier try or by our own unanswered one.
             with trio.move_on_after(2):
-                await shared.reader.sync()
-                if name in shared.view.jobs:
+                await context.reader.read_barrier()
+                if name in context.view.jobs:
                     self._submit(name)
-                elif name in shared.view.unrecorded:
+                elif name in context.view.unrecorded:
                     return self._later("being recovered")
                 return await self._state(name, 200)
             return self._later("no state")
-        shared.view.applied(rows, revision)
+        context.view.applied(rows, revision)
         log.info(
             "accepted",
             job=name,
             team=spec.team,
             tasks=spec.task_count,
             service=spec.service,
-            expected=spec.expected.total_seconds(),
+            expected=spec.expected_duration.total_seconds(),
             due=None if spec.due is None else spec.due.total_seconds(),
             image=f"{spec.image}:{spec.image_gb:.1f}",
         )
-        shared.observer.job_accepted(job, request.trace_parent)
+        context.observer.job_accepted(job, request.trace_parent)
         self._submit(name)
         return Response(201, {"id": name, "status": STATUS_PENDING})
 
@@ -200,13 +208,13 @@
         if not self._fresh(clock.now()):
             return self._later("no state")
         with trio.move_on_after(2):
-            await self._shared.reader.sync()
+            await self._context.reader.read_barrier()
             answer = await self._state(name, 200)
             return answer if answer.status in (200, 503) else Response(status, {"error": why})
         return self._later("no state")
 
     async def _fetch_end(self, name: str) -> tuple[str, int] | None:
-        found = await self._shared.state.get(keys.fin_key(name))
+        found = await self._context.state.get(keys.job_end_key(name))
         if found is None:
             return None
         value, _ = found
@@ -222,14 +230,14 @@
 
     async def _state(self, name: str, status: int) -> Response:
         """The state after a read barrier that the caller has passed."""
-        job = self._shared.view.jobs.get(name)
+        job = self._context.view.jobs.get(name)
         if job is not None:
             word, done, running = self._known(job)
             return Response(status, {"id": name, "status": word, "done": done, "running": running})
         end = self.ends.get(name) or await self._fetch_end(name)
         if end is not None:
             return self._ended(name, end, status)
-        if name in self._shared.view.unrecorded or not self._shared.recovery.knows_jobs():
+        if name in self._context.view.unrecorded or not self._context.recovery.knows_jobs():
             # Machines may run it though no record names it.
             return self._later("recovering")
         return Response(404, {"error": "no such job"})
@@ -243,14 +251,14 @@
         if not self._fresh(clock.now()):
             return self._later("no state")
         with trio.move_on_after(1.6):
-            await self._shared.reader.sync()
+            await self._context.reader.read_barrier()
             return await self._state(name, 200)
         return self._later("no state")
 
     def _fresh(self, now: datetime) -> bool:
         """Without contact nobody waits for a read or a write that can't come: refused at once."""
-        contact = self._shared.reader.contact
-        return self._shared.view.loaded and contact is not None and now - contact < STALE
+        contact = self._context.reader.contact
+        return self._context.view.loaded and contact is not None and now - contact < STALE
 
     def _later(self, why: str) -> Response:
         """Where the state service refuses us alone, the connection is closed too: the next try
@@ -262,7 +270,7 @@
     async def _withdraw(self, name: str) -> Response:
         if not messages.valid_id(name):
             return Response(404, {"error": "no such job"})
-        shared = self._shared
+        context = self._context
         end = self.ends.get(name)
         if end is not None:
             return self._ended(name, end, 200)
@@ -270,10 +278,10 @@
             return self._later("no state")
         with trio.move_on_after(4):
             for _ in range(8):
-                job = shared.view.jobs.get(name)
+                job = context.view.jobs.get(name)
                 if job is None:
-                    await shared.reader.sync()
-                    job = shared.view.jobs.get(name)
+                    await context.reader.read_barrier()
+                    job = context.view.jobs.get(name)
                 if job is None:
                     end = await self._fetch_end(name)
                     return (
@@ -284,22 +292,22 @@
                 done = self._known(job)[1]
                 rows = [
                     delete(keys.job_key(name)),
-                    put(keys.fin_key(name), records.fin_value(STATUS_ABORTED, done)),
+                    put(keys.job_end_key(name), records.job_end_value(STATUS_ABORTED, done)),
                 ]
                 if job.spec.gang:
                     rows.append(delete(keys.gang_key(name)))
-                when = {keys.job_key(name): job.mod_revision, keys.fin_key(name): 0}
+                conditions = {keys.job_key(name): job.mod_revision, keys.job_end_key(name): 0}
                 try:
                     revision = await commit(
-                        shared.state, when, rows, within=timedelta(seconds=2.5), urgent=True
+                        context.state, conditions, rows, within=timedelta(seconds=2.5), urgent=True
                     )
                 except ConflictError:
-                    await shared.reader.sync()
+                    await context.reader.read_barrier()
                     continue
                 # Recorded before it is told. Owners stop the tasks of a job that is no longer live.
-                shared.view.applied(rows, revision)
+                context.view.applied(rows, revision)
                 log.info("cancelled", job=name)
-                shared.observer.job_over(job, STATUS_ABORTED)
+                context.observer.job_over(job, STATUS_ABORTED)
                 return await self._told_all(name, (STATUS_ABORTED, done))
         return self._later("no state")
 
@@ -309,6 +317,6 @@
         as that."""
         if end[0] == STATUS_ABORTED:
             self._told(name)
-            await self._spread()
+            await self._propagate_cancellations()
         self.ends.put(name, *end)
         return self._ended(name, end, 200)
--- a/roadbend/parts/ownership.py
+++ b/roadbend/partitions/election.py
@@ -14,22 +14,22 @@
 from roadbend import clock
 from roadbend.http.client import NoAnswerError
 from roadbend.log import Log
-from roadbend.parts import policy
+from roadbend.partitions import policy
 from roadbend.peers.links import Peers
-from roadbend.settings import Operator, Settings
+from roadbend.settings import OperatorSettings, PlatformSettings
 from roadbend.store import keys
 from roadbend.store.client import (
     ConflictError,
     LeaseEndedError,
     RefusedError,
-    StateClient,
+    StateStoreClient,
     UnavailableError,
     commit,
     delete,
     put,
 )
-from roadbend.store.reader import Reader
-from roadbend.store.view import View
+from roadbend.store.record_reader import RecordReader
+from roadbend.store.record_view import RecordView
 
 log = Log("parts")
 # An owner starts tasks only on records that it read this lately; so whoever records a cancellation
@@ -41,30 +41,30 @@
 
 
 @dataclass(frozen=True)
-class Tenure:
+class Leadership:
     """Our ownership of a part under one term."""
 
-    part: str
+    partition: str
     term: int
     mod_revision: int
-    since: datetime
+    acquired_at: datetime
 
 
-class Ownership:
+class LeaderElection:
     """Which parts this controller owns, and for how long it may act on that."""
 
     def __init__(
         self,
-        settings: Settings,
-        operator: Operator,
-        boot: str,
-        state: StateClient,
-        view: View,
-        reader: Reader,
+        settings: PlatformSettings,
+        operator: OperatorSettings,
+        incarnation: str,
+        state: StateStoreClient,
+        view: RecordView,
+        reader: RecordReader,
         peers: Peers,
     ):
         self.lock = threading.RLock()
-        self._settings, self._operator, self._boot = settings, operator, boot
+        self._settings, self._operator, self._incarnation = settings, operator, incarnation
         self._state, self._view, self._reader, self._peers = state, view, reader, peers
         self._zones = {settings.name: settings.zone, **{p.name: p.zone for p in settings.peers}}
         self._lease_id: int | None = None
@@ -75,20 +75,20 @@
         self._declining_until: dict[str, datetime] = {}
         # Terms that machines have seen and the records have lost, by part.
         self._lost_terms: dict[str, int] = {}
-        self.tenures: dict[str, Tenure] = {}
+        self.leaderships: dict[str, Leadership] = {}
         self.changed: list[Callable[[str], None]] = []
 
     # What others ask.
 
-    def parts(self) -> list[str]:
+    def partitions(self) -> list[str]:
         zones = set(self._settings.zones) | set(self._zones.values())
         catalog = self._view.catalog
         if isinstance(catalog, list):
             zones.update(z for machine_type in catalog for z in machine_type.get("yards", ()))
         return sorted(zones)
 
-    def tenure(self, part: str) -> Tenure | None:
-        return self.tenures.get(part)
+    def leadership(self, partition: str) -> Leadership | None:
+        return self.leaderships.get(partition)
 
     def may_start(self, now: datetime) -> bool:
         """Our lease counts and the records were read lately: cancellations reach us soon."""
@@ -111,43 +111,43 @@
         )
         return until is not None and now < until
 
-    def holder(self, part: str) -> str | None:
-        own = self._view.owns.get(part)
-        return own.node if own else None
+    def leader_of(self, partition: str) -> str | None:
+        own = self._view.partition_leaders.get(partition)
+        return own.controller if own else None
 
     # What happens to us.
 
-    def superseded(self, part: str, term: int) -> None:
+    def depose(self, partition: str, term: int) -> None:
         """Somebody holds a higher term; whoever says so, we step down at once."""
         with self.lock:
-            mine = self.tenures.get(part)
+            mine = self.leaderships.get(partition)
             if mine is None or mine.term >= term:
                 return
-            del self.tenures[part]
-        log.info("stepped-down", part=part, term=mine.term, higher=term)
-        self._tell(part)
+            del self.leaderships[partition]
+        log.info("stepped-down", partition=partition, term=mine.term, higher=term)
+        self._tell(partition)
 
-    def raise_above(self, part: str, term: int) -> None:
+    def raise_above(self, partition: str, term: int) -> None:
         """Machines have seen a term that the records have lost: as long as ours is not above it
         they refuse our answers. The part is taken again under a higher one."""
-        self._lost_terms[part] = max(term, self._lost_terms.get(part, 0))
+        self._lost_terms[partition] = max(term, self._lost_terms.get(partition, 0))
 
     def on_record(self, key: str) -> None:
         if key.startswith("r/term/"):
-            for part, term in list(self._view.terms.items()):
-                self.superseded(part, term.number)
+            for partition, term in list(self._view.terms.items()):
+                self.depose(partition, term.number)
 
     def _drop_all(self, why: str) -> None:
         with self.lock:
-            parts = list(self.tenures)
-            self.tenures.clear()
-        for part in parts:
-            log.info("lost", part=part, why=why)
-            self._tell(part)
+            partitions = list(self.leaderships)
+            self.leaderships.clear()
+        for partition in partitions:
+            log.info("lost", partition=partition, why=why)
+            self._tell(partition)
 
-    def _tell(self, part: str) -> None:
+    def _tell(self, partition: str) -> None:
         for call in self.changed:
-            call(part)
+            call(partition)
 
     # The loop.
 
@@ -180,8 +180,8 @@
                 self._lease_id = lease_id
             else:
                 await self._state.renew(self._lease_id)
-                mine = self._view.nodes.get(self._settings.name)
-                if mine is None or mine.boot != self._boot:
+                mine = self._view.controllers.get(self._settings.name)
+                if mine is None or mine.incarnation != self._incarnation:
                     # A late transaction of a former life, or of a lease that we gave up, took it
                     # away.
                     await self._announce(self._lease_id)
@@ -203,23 +203,25 @@
     async def _announce(self, lease_id: int) -> None:
         """Our name among the live ones. A former life may still have the same transaction on its
         way: with what was there as the condition, it can't come after ours."""
-        key = keys.node_key(self._settings.name)
-        rows = [put(key, {"boot": self._boot}, lease_id)]
-        when = {key: self._view.mod_revision(key)}
+        key = keys.controller_key(self._settings.name)
+        rows = [put(key, {"boot": self._incarnation}, lease_id)]
+        conditions = {key: self._view.mod_revision(key)}
         self._view.applied(
             rows,
-            await commit(self._state, when, rows, within=self._operator.own_lease / 2, urgent=True),
+            await commit(
+                self._state, conditions, rows, within=self._operator.own_lease / 2, urgent=True
+            ),
         )
 
     async def _read(self) -> bool:
         """Waits for a read that begins now; says whether it came in time."""
         with trio.move_on_after(READ_WITHIN.total_seconds()):
-            await self._reader.sync()
+            await self._reader.read_barrier()
             return True
         return False
 
     def _live(self, now: datetime) -> set[str]:
-        live = set(self._view.nodes) | {self._settings.name}
+        live = set(self._view.controllers) | {self._settings.name}
         for name in live:
             self._alive_since.setdefault(name, now)
         for name in set(self._alive_since) - live:
@@ -232,79 +234,90 @@
             return
         me = self._settings.name
         live = self._live(now)
-        for part in self.parts():
-            own = self._view.owns.get(part)
-            mine = self.tenures.get(part)
+        for partition in self.partitions():
+            own = self._view.partition_leaders.get(partition)
+            mine = self.leaderships.get(partition)
             if own is None:
-                since = self._absent.setdefault(part, now)
+                since = self._absent.setdefault(partition, now)
                 if mine is not None:
-                    self._forget(part, "key gone")
-                if now < self._declining_until.get(part, now) and len(live) > 1:
+                    self._forget(partition, "key gone")
+                if now < self._declining_until.get(partition, now) and len(live) > 1:
                     continue
-                first = policy.preferred(part, self._zones, live - self._declining(part, now))
+                first = policy.preferred(
+                    partition, self._zones, live - self._declining(partition, now)
+                )
                 grace = clock.ZERO if first == me else self._operator.takeover_grace * 2
-                local = self._zones.get(me) == part
-                if not local and not any(self._zones.get(n) == part for n in live):
+                local = self._zones.get(me) == partition
+                if not local and not any(self._zones.get(n) == partition for n in live):
                     # Its own controller is not up: at the start it is likely on its way.
                     grace += self._operator.takeover_grace
                 if now - since >= grace:
-                    await self._take(part, 0, now)
+                    await self._take(partition, 0, now)
                 continue
-            self._absent.pop(part, None)
-            if own.node == me and own.boot != self._boot:
+            self._absent.pop(partition, None)
+            if own.controller == me and own.incarnation != self._incarnation:
                 # Ours from before a restart: back at once, under a new term.
-                await self._take(part, own.mod_revision, now)
-            elif own.node == me and mine is None:
-                await self._release(part)
-            elif mine is not None and own.node == me and self._lost_terms.get(part, 0) >= mine.term:
-                log.info("term-lost", part=part, term=mine.term, seen=self._lost_terms[part])
-                await self._take(part, own.mod_revision, now)
-            elif mine is not None and own.node != me:
-                self._forget(part, "held by another")
+                await self._take(partition, own.mod_revision, now)
+            elif own.controller == me and mine is None:
+                await self._release(partition)
+            elif (
+                mine is not None
+                and own.controller == me
+                and self._lost_terms.get(partition, 0) >= mine.term
+            ):
+                log.info(
+                    "term-lost",
+                    partition=partition,
+                    term=mine.term,
+                    seen=self._lost_terms[partition],
+                )
+                await self._take(partition, own.mod_revision, now)
+            elif mine is not None and own.controller != me:
+                self._forget(partition, "held by another")
             elif mine is not None:
-                await self._maybe_hand_over(part, mine, live, now)
+                await self._maybe_hand_over(partition, mine, live, now)
 
-    def _declining(self, part: str, now: datetime) -> set[str]:
+    def _declining(self, partition: str, now: datetime) -> set[str]:
         me = self._settings.name
-        return {me} if now < self._declining_until.get(part, now) else set()
+        return {me} if now < self._declining_until.get(partition, now) else set()
 
-    def _forget(self, part: str, why: str) -> None:
+    def _forget(self, partition: str, why: str) -> None:
         with self.lock:
-            gone = self.tenures.pop(part, None)
+            gone = self.leaderships.pop(partition, None)
         if gone is not None:
-            log.info("lost", part=part, why=why)
-            self._tell(part)
+            log.info("lost", partition=partition, why=why)
+            self._tell(partition)
 
-    async def _take(self, part: str, own_mod_revision: int, now: datetime) -> None:
-        old = self._view.terms.get(part)
-        number = max(old.number if old else 0, self._lost_terms.get(part, 0)) + 1
+    async def _take(self, partition: str, own_mod_revision: int, now: datetime) -> None:
+        old = self._view.terms.get(partition)
+        number = max(old.number if old else 0, self._lost_terms.get(partition, 0)) + 1
         me = self._settings.name
         rows = [
-            put(keys.term_key(part), {"n": number, "node": me}),
+            put(keys.term_key(partition), {"n": number, "node": me}),
             put(
-                keys.own_key(part),
-                {"node": me, "boot": self._boot, "term": number},
+                keys.leader_key(partition),
+                {"node": me, "boot": self._incarnation, "term": number},
                 self._lease_id,
             ),
         ]
-        when = {
-            keys.term_key(part): old.mod_revision if old else 0,
-            keys.own_key(part): own_mod_revision,
+        conditions = {
+            keys.term_key(partition): old.mod_revision if old else 0,
+            keys.leader_key(partition): own_mod_revision,
         }
         try:
             revision = await commit(
-                self._state, when, rows, within=self._operator.own_lease / 2, urgent=True
+                self._state, conditions, rows, within=self._operator.own_lease / 2, urgent=True
             )
         except ConflictError:
             # Somebody was faster, or an unanswered try of our own went through: the records tell.
             if not await self._read():
                 return
-            own, term = self._view.owns.get(part), self._view.terms.get(part)
+            own, term = self._view.partition_leaders.get(partition), self._view.terms.get(partition)
             if not (
                 own
                 and term
-                and own.boot == self._boot
-                and own.node == me
+                and own.incarnation == self._incarnation
+                and own.controller == me
                 and own.term == term.number
             ):
                 return
@@ -319,27 +332,29 @@
         # records are back.
         if not await self._read():
             return
-        term = self._view.terms.get(part)
-        if term is None or term.number != number or term.node != me:
+        term = self._view.terms.get(partition)
+        if term is None or term.number != number or term.controller != me:
             return
         # If its own controller is alive and still left it to us, it is not handed back at once.
         for name, zone in self._zones.items():
-            if zone == part and name != me and name in self._view.nodes:
-                self._declining_until[f"{part}>{name}"] = now + timedelta(seconds=25)
+            if zone == partition and name != me and name in self._view.controllers:
+                self._declining_until[f"{partition}>{name}"] = now + timedelta(seconds=25)
         with self.lock:
-            self.tenures[part] = Tenure(part, number, term.mod_revision, clock.now())
-        log.info("took", part=part, term=number)
-        self._tell(part)
+            self.leaderships[partition] = Leadership(
+                partition, number, term.mod_revision, clock.now()
+            )
+        log.info("took", partition=partition, term=number)
+        self._tell(partition)
 
-    async def _release(self, part: str) -> None:
-        own = self._view.owns.get(part)
+    async def _release(self, partition: str) -> None:
+        own = self._view.partition_leaders.get(partition)
         if own is None:
             return
-        rows = [delete(keys.own_key(part))]
+        rows = [delete(keys.leader_key(partition))]
         try:
             revision = await commit(
                 self._state,
-                {keys.own_key(part): own.mod_revision},
+                {keys.leader_key(partition): own.mod_revision},
                 rows,
                 within=timedelta(seconds=2),
                 urgent=True,
@@ -349,13 +364,13 @@
             await self._read()
 
     async def _maybe_hand_over(
-        self, part: str, mine: Tenure, live: set[str], now: datetime
+        self, partition: str, mine: Leadership, live: set[str], now: datetime
     ) -> None:
         me = self._settings.name
-        first = policy.preferred(part, self._zones, live)
-        if first == me or first is None or now - mine.since < self._operator.hand_back_after:
+        first = policy.preferred(partition, self._zones, live)
+        if first == me or first is None or now - mine.acquired_at < self._operator.hand_back_after:
             return
-        if self._zones.get(first) != part or self._zones.get(me) == part:
+        if self._zones.get(first) != partition or self._zones.get(me) == partition:
             return
         link = self._peers.links.get(first)
         if (
@@ -371,17 +386,17 @@
             or heartbeat.contact_age > timedelta(seconds=2)
         ):
             return
-        if now < self._declining_until.get(f"{part}>{first}", now):
+        if now < self._declining_until.get(f"{partition}>{first}", now):
             return
-        log.info("hand-back", part=part, to=first)
-        self._declining_until[part] = now + self._operator.takeover_grace * 4
-        self._declining_until[f"{part}>{first}"] = now + timedelta(seconds=30)
-        self._forget(part, "handed back")
-        await self._release(part)
+        log.info("hand-back", partition=partition, to=first)
+        self._declining_until[partition] = now + self._operator.takeover_grace * 4
+        self._declining_until[f"{partition}>{first}"] = now + timedelta(seconds=30)
+        self._forget(partition, "handed back")
+        await self._release(partition)
 
-    async def hand_over_deaf(self, part: str) -> None:
+    async def hand_over_deaf(self, partition: str) -> None:
         """Our part's workers reach others but not us."""
         now = clock.now()
-        self._declining_until[part] = now + timedelta(seconds=20)
-        self._forget(part, "deaf to its workers")
-        await self._release(part)
+        self._declining_until[partition] = now + timedelta(seconds=20)
+        self._forget(partition, "deaf to its workers")
+        await self._release(partition)
--- a/roadbend/parts/policy.py
+++ b/roadbend/partitions/policy.py
@@ -18,11 +18,11 @@
     )
 
 
-def preferred(part: str, zones: dict[str, str], live: Iterable[str]) -> str | None:
+def preferred(partition: str, zones: dict[str, str], live: Iterable[str]) -> str | None:
     """A live controller of the part's own zone, else any live one."""
     live = list(live)
-    local = [name for name in live if zones.get(name) == part]
-    return rendezvous(part, local or live)
+    local = [name for name in live if zones.get(name) == partition]
+    return rendezvous(partition, local or live)
 
 
 def renew_until(
--- a/roadbend/parts/test_parts.py
+++ b/roadbend/partitions/test_election.py
@@ -7,7 +7,7 @@
 from roadbend import clock
 from roadbend.fakes.submission import job
 from roadbend.fakes.world import world
-from roadbend.parts import policy
+from roadbend.partitions import policy
 from roadbend.peers.heartbeat import PeerState
 from roadbend.store import keys
 
@@ -46,15 +46,15 @@
 
 async def test_a_former_owners_late_transaction_fails():
     async with world() as w:
-        node = w.nodes["node-0"]
-        mod_revision = node.ownership.tenure("east").mod_revision
+        controller = w.controllers["node-0"]
+        mod_revision = controller.election.leadership("east").mod_revision
         late = {
             "when": [{"path": keys.term_key("east"), "stamp": mod_revision}],
             "apply": [{"write": "r/slice/east/run-9", "value": {}}],
         }
         w.crash(0)
         assert await w.until(lambda: w.owner("east") is not None, 20)
-        assert w.state.multi(late).status == 409
+        assert w.state.compare_and_swap(late).status == 409
 
 
 async def test_two_who_race_for_a_part_never_both_get_it():
@@ -63,7 +63,11 @@
         seen = set()
         for _ in range(200):
             await trio.sleep(0.1)
-            owners = [name for name, node in w.nodes.items() if node.ownership.tenure("east")]
+            owners = [
+                name
+                for name, controller in w.controllers.items()
+                if controller.election.leadership("east")
+            ]
             assert len(owners) <= 1
             seen.update(owners)
         assert len(seen) == 1
@@ -71,12 +75,12 @@
 
 async def test_whoever_hears_of_a_higher_term_steps_down_at_once():
     async with world() as w:
-        node = w.nodes["node-0"]
-        mine = node.ownership.tenure("east")
-        node.ownership.superseded("east", mine.term)
-        assert node.ownership.tenure("east") == mine
-        node.ownership.superseded("east", mine.term + 1)
-        assert node.ownership.tenure("east") is None and "east" not in node.runtimes
+        controller = w.controllers["node-0"]
+        mine = controller.election.leadership("east")
+        controller.election.depose("east", mine.term)
+        assert controller.election.leadership("east") == mine
+        controller.election.depose("east", mine.term + 1)
+        assert controller.election.leadership("east") is None and "east" not in controller.leaders
 
 
 async def test_an_owner_that_its_workers_cannot_reach_hands_the_part_over():
--- a/roadbend/peers/links.py
+++ b/roadbend/peers/links.py
@@ -14,7 +14,7 @@
 from roadbend.log import Log
 from roadbend.peers import frames
 from roadbend.peers.frames import FrameError, Splitter
-from roadbend.peers.heartbeat import Heartbeat, PeerState
+from roadbend.peers.heartbeat import PeerHeartbeat, PeerState
 from roadbend.retry import Backoff
 from roadbend.settings import Peer
 
@@ -96,8 +96,8 @@
 
     async def run(
         self,
-        heartbeat: Callable[[], Heartbeat],
-        took: Callable[["Link", Heartbeat, datetime], None],
+        heartbeat: Callable[[], PeerHeartbeat],
+        took: Callable[["Link", PeerHeartbeat, datetime], None],
     ) -> None:
         waits = Backoff(timedelta(milliseconds=200), timedelta(seconds=1), self._rng)
         while True:
@@ -124,14 +124,14 @@
 
     async def beat(
         self,
-        heartbeat: Callable[[], Heartbeat],
-        took: Callable[["Link", Heartbeat, datetime], None],
+        heartbeat: Callable[[], PeerHeartbeat],
+        took: Callable[["Link", PeerHeartbeat, datetime], None],
     ) -> bool:
         """Exchanges pulses once; says whether the peer has taken ours."""
         asked = clock.now()
         try:
             reply = await self.call(frames.PING, heartbeat().pack(), HEARTBEAT_TIMEOUT)
-            took(self, Heartbeat.unpack(reply), asked)
+            took(self, PeerHeartbeat.unpack(reply), asked)
             return True
         except (NoReplyError, FrameError):
             return False
--- a/roadbend/peers/test_peers.py
+++ b/roadbend/peers/test_peers.py
@@ -9,7 +9,7 @@
 from roadbend import clock
 from roadbend.peers import frames
 from roadbend.peers.frames import FrameError, Splitter
-from roadbend.peers.heartbeat import Heartbeat, PeerState
+from roadbend.peers.heartbeat import PeerHeartbeat, PeerState
 from roadbend.peers.links import Peers
 from roadbend.settings import Peer
 
@@ -51,7 +51,7 @@
 
 
 def test_a_pulse_comes_back_as_it_went():
-    heartbeat = Heartbeat(
+    heartbeat = PeerHeartbeat(
         "b1",
         9 * S,
         None,
@@ -61,7 +61,7 @@
         60 * S,
         ("run-1", "run-2"),
     )
-    assert Heartbeat.unpack(heartbeat.pack()) == heartbeat
+    assert PeerHeartbeat.unpack(heartbeat.pack()) == heartbeat
 
 
 def known(heartbeat, asked, contact, waited=0 * S):
@@ -72,21 +72,21 @@
 
 def test_a_peers_list_of_cancellations_covers_only_an_unbroken_life():
     t = clock.ORIGIN + 1000 * S
-    alive = Heartbeat("b1", 500 * S, 20 * S, (0, 0), span=100 * S)
+    alive = PeerHeartbeat("b1", 500 * S, 20 * S, (0, 0), cancellations_span=100 * S)
     assert known(alive, t, t - 20 * S).reach(t - 20 * S) == t
     # It restarted after our last contact: what its former process told users is unknown.
-    newborn = Heartbeat("b2", 5 * S, None, (0, 0), span=100 * S)
+    newborn = PeerHeartbeat("b2", 5 * S, None, (0, 0), cancellations_span=100 * S)
     assert known(newborn, t, t - 20 * S).reach(t - 20 * S) == t - 20 * S
     # Its list does not go back far enough.
-    short = Heartbeat("b1", 500 * S, 20 * S, (0, 0), span=10 * S)
+    short = PeerHeartbeat("b1", 500 * S, 20 * S, (0, 0), cancellations_span=10 * S)
     assert known(short, t, t - 20 * S).reach(t - 20 * S) == t - 20 * S
     # It may have counted back from when its answer came, not from when it was asked: it restarted
     # just after our last contact, and its answer took 1.4 s.
-    slow = Heartbeat("b2", 1.2 * S, None, (0, 0), span=100 * S)
+    slow = PeerHeartbeat("b2", 1.2 * S, None, (0, 0), cancellations_span=100 * S)
     assert known(slow, t, t - 1 * S, 1.4 * S).reach(t - 1 * S) == t - 1 * S
     assert known(slow, t, t - 1.3 * S, 1.4 * S).reach(t - 1.3 * S) == t - 1.3 * S
     # Its clock may run fast, and what it told at the very edge of its list may have been cut off.
-    edge = Heartbeat("b1", 500 * S, 20 * S, (0, 0), span=20 * S)
+    edge = PeerHeartbeat("b1", 500 * S, 20 * S, (0, 0), cancellations_span=20 * S)
     assert known(edge, t, t - 20 * S).reach(t - 20 * S) == t - 20 * S
     # Without any contact of our own there is nothing to build on.
     assert known(alive, t, None).reach(None) is None
--- a/roadbend/placement/shared.py
+++ b/roadbend/placement/context.py
@@ -6,16 +6,16 @@
 from datetime import datetime, timedelta
 
 from roadbend import clock
+from roadbend.autoscaler.cloud import MachineType
 from roadbend.observer import Observer
-from roadbend.parts.ownership import Ownership
+from roadbend.partitions.election import LeaderElection
 from roadbend.placement import policy
 from roadbend.placement.recovery_hooks import Recovery
-from roadbend.rental.cloud import MachineType
-from roadbend.settings import Operator, Settings
-from roadbend.store.client import StateClient
-from roadbend.store.reader import Reader
-from roadbend.store.records import Job, Spec
-from roadbend.store.view import View
+from roadbend.settings import OperatorSettings, PlatformSettings
+from roadbend.store.client import StateStoreClient
+from roadbend.store.record_reader import RecordReader
+from roadbend.store.record_view import RecordView
+from roadbend.store.records import Job, JobSpec
 
 # For how many times as long as it took to work out a layout or a round of hiring it serves, with a
 # whole core.
@@ -30,15 +30,15 @@
 
 
 @dataclass
-class Shared:
+class ControllerContext:
     """What a controller's parts have in common."""
 
-    settings: Settings
-    operator: Operator
-    state: StateClient
-    view: View
-    reader: Reader
-    ownership: Ownership
+    settings: PlatformSettings
+    operator: OperatorSettings
+    state: StateStoreClient
+    view: RecordView
+    reader: RecordReader
+    election: LeaderElection
     machine_types: dict[str, MachineType] = field(default_factory=dict)
     # Jobs that a peer told its user are cancelled, before the records say so here.
     cancelled: OrderedDict[str, datetime] = field(default_factory=OrderedDict)
@@ -63,7 +63,7 @@
         of which we have a quarter it may take a quarter of what it might of a whole one; a
         controller that holds the parts of others, too, looks at each of them less often. So reports
         are still answered."""
-        return took * (REST / self.settings.cpu * max(1, len(self.ownership.tenures)))
+        return took * (REST / self.settings.cpu * max(1, len(self.election.leaderships)))
 
     def cancel(self, jobs: Iterable[str]) -> bool:
         """Takes in what peers told their users; says whether any of it is news. Once the records
@@ -83,7 +83,7 @@
     def factor(self, job_class: str) -> float:
         return self.factors.get(job_class, 1.0)
 
-    def start_within(self, spec: Spec) -> timedelta | None:
+    def start_within(self, spec: JobSpec) -> timedelta | None:
         """How soon a task should start, where an aim says so, of its class or of work in a
         guarantee."""
         rows = [
@@ -94,7 +94,7 @@
         ]
         return min(rows, default=None) if spec.service or spec.gang else None
 
-    def deadlines(self, spec: Spec) -> tuple[float, ...]:
+    def deadlines(self, spec: JobSpec) -> tuple[float, ...]:
         """The times of its due time at which a job's aims count, the first one first."""
         found = self._deadlines.get(spec.job_class)
         if found is None:
@@ -109,15 +109,15 @@
             self._deadlines[spec.job_class] = found
         return found
 
-    def patience(self, spec: Spec, boot: timedelta) -> timedelta:
+    def patience(self, spec: JobSpec, boot: timedelta) -> timedelta:
         """How long a service may be held back from machines on which it is dear."""
         within = self.start_within(spec)
         spare = (within - boot * 1.1) / 2 if within is not None else clock.ZERO
         return max(self.operator.dear_wait, spare)
 
     def learn(self, job: Job, ran: timedelta) -> None:
-        if job.spec.expected > timedelta(seconds=1):
-            x = min(4.0, max(0.25, ran / job.spec.expected))
+        if job.spec.expected_duration > timedelta(seconds=1):
+            x = min(4.0, max(0.25, ran / job.spec.expected_duration))
             self.factors[job.spec.job_class] = 0.93 * self.factor(job.spec.job_class) + 0.07 * x
             while len(self.factors) > MAX_CLASSES:
                 self.factors.pop(next(iter(self.factors)))
@@ -131,8 +131,10 @@
         return self.guarantee[1]
 
     def begun(self, job: Job) -> bool:
-        rows = (works.get(job.id) for works in self.view.slices.values())
-        return bool(job.done) or any(work is not None and (work.run or work.done) for work in rows)
+        rows = (job_slices.get(job.id) for job_slices in self.view.job_slices.values())
+        return bool(job.done) or any(
+            job_slice is not None and (job_slice.attempts or job_slice.done) for job_slice in rows
+        )
 
     def overdue(self, now: datetime) -> dict[str, dict[str, int]]:
         """Team -> jobs that have begun nothing for long, with their priority. Whatever the order of
@@ -143,7 +145,7 @@
             self.overdue_jobs = {}
             for job in self.view.jobs.values():
                 if (
-                    limit <= wall - job.at < limit * 3
+                    limit <= wall - job.submitted_at < limit * 3
                     and job.id not in self.cancelled
                     and not self.begun(job)
                 ):
@@ -155,35 +157,35 @@
         row = self.settings.teams.get(team)
         return None if row is None else (row.cpus_max or float("inf"), row.gpus_max or float("inf"))
 
-    def most_for(self, team: str, part: str) -> tuple[float, float] | None:
+    def most_for(self, team: str, partition: str) -> tuple[float, float] | None:
         """What a part may use for a team at most: the limit less what other parts have set
         aside."""
         most = self.limits(team)
         if most is None:
             return None
-        use = self.view.teams.get(team)
-        others = [row for name, row in use.parts.items() if name != part] if use else []
+        use = self.view.quotas.get(team)
+        others = [row for name, row in use.partitions.items() if name != partition] if use else []
         return most[0] - sum(c for c, _ in others), most[1] - sum(g for _, g in others)
 
-    def room_left(self, spec: Spec, part: str) -> int:
+    def room_left(self, spec: JobSpec, partition: str) -> int:
         """How many more of a job's tasks its team's limit lets a part start."""
-        most = self.most_for(spec.team, part)
+        most = self.most_for(spec.team, partition)
         if most is None:
             return 0
-        used = self.view.used.get(part, {}).get(spec.team, (0.0, 0.0))
-        return policy.fits_in((most[0] - used[0], most[1] - used[1]), spec.need)
+        used = self.view.usage.get(partition, {}).get(spec.team, (0.0, 0.0))
+        return policy.fits_in((most[0] - used[0], most[1] - used[1]), spec.resources)
 
 
-def within_guarantee(jobs: Iterable[Job], settings: Settings) -> set[str]:
+def within_guarantee(jobs: Iterable[Job], settings: PlatformSettings) -> set[str]:
     """Jobs that fit into their team's guarantee together with its earlier unfinished jobs."""
     used: dict[str, list[float]] = {}
     out = set()
-    for job in sorted(jobs, key=lambda j: (j.at, j.id)):
+    for job in sorted(jobs, key=lambda j: (j.submitted_at, j.id)):
         team = settings.teams.get(job.spec.team)
         if team is None:
             continue
         sums = used.setdefault(team.name, [0.0, 0.0])
-        total = job.spec.need.times(job.spec.task_count)
+        total = job.spec.resources.times(job.spec.task_count)
         sums[0] += total.cpus
         sums[1] += total.gpus
         fits = (team.cpus <= 0 or sums[0] <= team.cpus) and (team.gpus <= 0 or sums[1] <= team.gpus)
--- a/roadbend/placement/gang_room.py
+++ b/roadbend/placement/gang_reservations.py
@@ -9,10 +9,10 @@
 
 from roadbend.log import Log
 from roadbend.placement import policy
-from roadbend.placement.policy import Pending, Room
+from roadbend.placement.policy import FreeCapacity, PendingTasks
 
 if TYPE_CHECKING:
-    from roadbend.placement.runtime import PartRuntime
+    from roadbend.placement.leader import PartitionLeader
 
 log = Log("placement")
 # How long a gang waits before room is kept for it, how long that is, and for how long then not.
@@ -23,69 +23,69 @@
 SPARE = 1.5
 
 
-def keep_for_gangs(runtime: PartRuntime, now: datetime) -> None:
+def keep_for_gangs(leader: PartitionLeader, now: datetime) -> None:
     """Reserves machines for the first of the gangs that have waited for long, if it could begin
     on them once what runs there has ended."""
-    gangs = [item for item in runtime.left if item.job.spec.gang]
-    if not gangs or runtime.keeping_until > now:
+    gangs = [item for item in leader.left if item.job.spec.gang]
+    if not gangs or leader.keeping_until > now:
         return
     for item in gangs:
-        if now - runtime.queued.get(item.job.id, now) < PATIENCE:
+        if now - leader.queued.get(item.job.id, now) < PATIENCE:
             continue
-        machines = machines_for(runtime, item)
+        machines = machines_for(leader, item)
         if not machines:
             continue
-        log.info("keep-room", part=runtime.part, job=item.job.id, machines=len(machines))
+        log.info("keep-room", partition=leader.partition, job=item.job.id, machines=len(machines))
         until = now + KEEP
         for machine in machines:
-            runtime.kept_for_gangs[machine] = (item.job.id, until)
-        runtime.keeping_until = until + PAUSE
+            leader.gang_reservations_by_machine[machine] = (item.job.id, until)
+        leader.keeping_until = until + PAUSE
         return
 
 
-def kept_from(runtime: PartRuntime, item: Pending) -> set[str]:
+def kept_from(leader: PartitionLeader, item: PendingTasks) -> set[str]:
     """The machines that an item keeps off for the sake of a gang. Work of higher priority does
     not wait for one."""
     out = set()
-    for machine, (name, _) in runtime.kept_for_gangs.items():
-        gang = runtime.live(name)
+    for machine, (name, _) in leader.gang_reservations_by_machine.items():
+        gang = leader.live(name)
         if name != item.job.id and gang is not None:
             if gang.spec.priority >= item.job.spec.priority:
                 out.add(machine)
     return out
 
 
-def machines_for(runtime: PartRuntime, item: Pending) -> list[str]:
+def machines_for(leader: PartitionLeader, item: PendingTasks) -> list[str]:
     """The machines with the most room for the gang, counting what will end by itself as free; none
     where all of them together are too few."""
     chosen, places = [], 0
-    rows = [(places_on(runtime, item, room), room.id) for room in runtime.rooms()]
+    rows = [(places_on(leader, item, capacity), capacity.id) for capacity in leader.capacities()]
     for count, machine in sorted(rows, key=lambda row: (-row[0], row[1])):
         if count == 0 or places >= item.count * SPARE:
             break
-        if machine in runtime.reservations or machine in runtime.kept_for_gangs:
+        if machine in leader.reservations or machine in leader.gang_reservations_by_machine:
             continue
         chosen.append(machine)
         places += count
     return chosen if places >= item.count else []
 
 
-def places_on(runtime: PartRuntime, item: Pending, room: Room) -> int:
+def places_on(leader: PartitionLeader, item: PendingTasks, capacity: FreeCapacity) -> int:
     """How many tasks of a gang fit on a machine once all that ends by itself has ended."""
     job = item.job
-    if not policy.allowed(job, room.machine_type, room.zone, room.spot):
+    if not policy.allowed(job, capacity.machine_type, capacity.zone, capacity.spot):
         return 0
-    trial = Room(
-        room.id,
-        room.machine_type,
-        room.zone,
-        room.spot,
-        room.cpus,
-        room.gpus,
-        room.memory,
+    trial = FreeCapacity(
+        capacity.id,
+        capacity.machine_type,
+        capacity.zone,
+        capacity.spot,
+        capacity.cpus,
+        capacity.gpus,
+        capacity.memory,
     )
-    for key, (work, _) in runtime.by_machine().get(room.id, {}).items():
-        other = runtime.live(key[0])
+    for key, (job_slice, _) in leader.by_machine().get(capacity.id, {}).items():
+        other = leader.live(key[0])
         if other is None or not other.spec.service:
-            trial.give(work.need)
-    return trial.count(job.spec.need)
+            trial.give(job_slice.resources)
+    return trial.count(job.spec.resources)
--- a/roadbend/placement/runtime.py
+++ b/roadbend/placement/leader.py
@@ -12,22 +12,22 @@
 import trio
 
 from roadbend import clock
-from roadbend.fleet.ended_attempts import AttemptEnd, EndedAttempts, Key
-from roadbend.fleet.machines import Machine, Stop
+from roadbend.fleet.machines import Machine, StopOrder
+from roadbend.fleet.terminations import TaskKey, Termination, Terminations
 from roadbend.log import Log
-from roadbend.parts.ownership import Tenure
-from roadbend.placement import ends, gangs, policy, starts, team_limits
-from roadbend.placement.batch import Batch
-from roadbend.placement.layouts import Layouts
-from roadbend.placement.policy import Pending, Room
-from roadbend.placement.queue import Queue
-from roadbend.placement.recovery_hooks import PartRecovery
-from roadbend.placement.reports import Reports
-from roadbend.placement.shared import Shared
+from roadbend.partitions.election import Leadership
+from roadbend.placement import ends, gangs, policy, quotas, starts
+from roadbend.placement.context import ControllerContext
+from roadbend.placement.heartbeats import HeartbeatHandler
+from roadbend.placement.pending_queue import PendingQueue
+from roadbend.placement.policy import FreeCapacity, PendingTasks
+from roadbend.placement.queue_projection import QueueProjections
+from roadbend.placement.recovery_hooks import PartitionRecovery
+from roadbend.placement.transaction import TransactionBuilder
 from roadbend.store import keys, records
 from roadbend.store.client import ConflictError, TooLargeError, UnavailableError, commit, put
-from roadbend.store.records import Attempt, Job, Need
-from roadbend.store.view import Rows, Work
+from roadbend.store.record_view import JobSlice, MachineAttempts
+from roadbend.store.records import Attempt, Job, Resources
 
 log = Log("placement")
 # A transaction gathers what comes within this time.
@@ -40,16 +40,16 @@
 MAX_DELETED = 32_768
 
 
-class PartRuntime:
+class PartitionLeader:
     """An owner's work on one part for one term. Its lock guards all fields that are not lent to
     the objects it is made of."""
 
-    def __init__(self, shared: Shared, tenure: Tenure):
+    def __init__(self, context: ControllerContext, leadership: Leadership):
         self.lock = threading.RLock()
-        self.shared, self.tenure, self.part = shared, tenure, tenure.part
+        self.context, self.leadership, self.partition = context, leadership, leadership.partition
         self.machines: dict[str, Machine] = {}
-        self.ended = EndedAttempts()
-        self.stops: dict[Key, Stop] = {}
+        self.ended = Terminations()
+        self.stops: dict[TaskKey, StopOrder] = {}
         # How long what was started had queued here, and since when what waits does.
         self.waits: deque[timedelta] = deque(maxlen=64)
         self.queued: dict[str, datetime] = {}
@@ -63,18 +63,18 @@
         self.backoff: dict[str, tuple[int, datetime]] = {}
         # Rooms that boot, filled in by rental, and machines hired in this term that have not
         # reported yet.
-        self.booting: list[Room] = []
+        self.booting: list[FreeCapacity] = []
         self.rented: set[str] = set()
-        self.left: list[Pending] = []
-        self.seq = 0
-        self.width = records.shard_width(shared.settings.value_bytes)
-        self.queue = Queue(self)
-        self.layouts = Layouts(self)
-        self.reports = Reports(self)
+        self.left: list[PendingTasks] = []
+        self.sequence = 0
+        self.width = records.shard_width(context.settings.value_bytes)
+        self.queue = PendingQueue(self)
+        self.projections = QueueProjections(self)
+        self.heartbeats = HeartbeatHandler(self)
         # Machines on which room is being made, for which job, and until when it is kept.
         self.reservations: dict[str, tuple[str, datetime]] = {}
         # Machines on which room is kept for a gang, and until when; see `gang_room`.
-        self.kept_for_gangs: dict[str, tuple[str, datetime]] = {}
+        self.gang_reservations_by_machine: dict[str, tuple[str, datetime]] = {}
         # Since when jobs are kept from room that fits them for the sake of others.
         self.passed_over: dict[str, datetime] = {}
         # Until when no more room is kept for gangs, see `gang_room`.
@@ -83,7 +83,7 @@
         self.withheld_types: dict[str, frozenset[str]] = {}
         # Conditions of the last transaction, if nobody knows whether it was, or will be, carried
         # out.
-        self.unsettled: dict[str, int] = {}
+        self.in_doubt: dict[str, int] = {}
         # Machines without its image that a service keeps off for a moment.
         self.without_image: dict[str, set[str]] = {}
         # Machines named in the transaction whose answer is out; they must not be returned
@@ -91,8 +91,10 @@
         self.in_flight: set[str] = set()
         # Starts that were just recorded and must not wait for a report, and who tells their
         # machines.
-        self.urgent: dict[str, list[tuple[Key, Attempt]]] = {}
-        self.order_now: Callable[[PartRuntime, str, list[tuple[Key, Attempt]]], None] | None = None
+        self.urgent: dict[str, list[tuple[TaskKey, Attempt]]] = {}
+        self.order_now: (
+            Callable[[PartitionLeader, str, list[tuple[TaskKey, Attempt]]], None] | None
+        ) = None
         # Machines on which a gang that gathers has lost a task, by job: its attempt goes on
         # elsewhere.
         self.lost_on: dict[str, tuple[int, set[str]]] = {}
@@ -107,45 +109,51 @@
         self.most_rows: int | None = None
         self.reserved_at: dict[str, datetime] = {}
         # Asked before the records are acted on; answers otherwise where recovery is switched on.
-        self.recovery = PartRecovery()
+        self.recovery = PartitionRecovery()
 
     # Looking at the records.
 
-    def by_machine(self) -> dict[str, Rows]:
-        return self.shared.view.machines.get(self.part, {})
+    def by_machine(self) -> dict[str, MachineAttempts]:
+        return self.context.view.attempts_by_machine.get(self.partition, {})
 
-    def works(self) -> dict[str, Work]:
-        return self.shared.view.slices.get(self.part, {})
+    def job_slices(self) -> dict[str, JobSlice]:
+        return self.context.view.job_slices.get(self.partition, {})
 
     def live(self, job: str) -> Job | None:
-        return None if job in self.shared.cancelled else self.shared.view.jobs.get(job)
+        return None if job in self.context.cancelled else self.context.view.jobs.get(job)
 
-    def rooms(self, ended: Container[Key] = (), least: Need | None = None) -> list[Room]:
+    def capacities(
+        self, ended: Container[TaskKey] = (), least: Resources | None = None
+    ) -> list[FreeCapacity]:
         """Machines that may be given work, with what the records leave free on them; `ended`:
         attempts that the transaction in the making takes out. `least`: only those that have so much
         room."""
-        now, machine_types, marks = (
+        now, machine_types, machine_versions = (
             clock.now(),
-            self.shared.machine_types,
-            self.shared.view.marks.get(self.part, {}),
+            self.context.machine_types,
+            self.context.view.machine_versions.get(self.partition, {}),
         )
-        back: dict[str, list[Need]] = {}
+        back: dict[str, list[Resources]] = {}
         for key in ended:
-            work = self.works().get(key[0])
-            attempt = work.run.get(key[1]) if work is not None else None
+            job_slice = self.job_slices().get(key[0])
+            attempt = job_slice.attempts.get(key[1]) if job_slice is not None else None
             if attempt is not None:
-                back.setdefault(attempt.machine, []).append(work.need)
-        silent, out = self.shared.settings.report_every * 2.2, []
+                back.setdefault(attempt.machine, []).append(job_slice.resources)
+        silent, out = self.context.settings.heartbeat_interval * 2.2, []
         for machine in self.machines.values():
             machine_type = machine_types.get(machine.machine_type)
             if machine_type is None or not self.usable(machine, now, silent):
                 continue
-            whole, mark = machine_type.room, marks.get(machine.id, 0)
+            whole, mark = machine_type.capacity, machine_versions.get(machine.id, 0)
             if machine.free is None or machine.free[0] != mark:
                 machine.free = (mark, *self._left(machine.id, whole))
             _, cpus, gpus, memory = machine.free
-            for need in back.get(machine.id, ()):
-                cpus, gpus, memory = cpus + need.cpus, gpus + need.gpus, memory + need.memory
+            for resources in back.get(machine.id, ()):
+                cpus, gpus, memory = (
+                    cpus + resources.cpus,
+                    gpus + resources.gpus,
+                    memory + resources.memory,
+                )
             if least is not None and (
                 least.gpus > gpus + policy.EPS
                 or least.cpus > cpus + policy.EPS
@@ -153,7 +161,7 @@
             ):
                 continue
             out.append(
-                Room(
+                FreeCapacity(
                     machine.id,
                     machine.machine_type,
                     machine.zone,
@@ -165,60 +173,66 @@
                     whole,
                     0.0,
                     machine_type.spot_price if machine.spot else machine_type.price,
-                    machine_type.pull,
+                    machine_type.fetch_gb_per_s,
                 )
             )
         return out
 
-    def _left(self, machine: str, whole: Need) -> tuple[float, float, float]:
+    def _left(self, machine: str, whole: Resources) -> tuple[float, float, float]:
         """What the records leave free of a machine."""
         cpus, gpus, memory = whole.cpus, whole.gpus, whole.memory
-        for work, _ in self.by_machine().get(machine, {}).values():
-            need = work.need
-            cpus, gpus, memory = cpus - need.cpus, gpus - need.gpus, memory - need.memory
+        for job_slice, _ in self.by_machine().get(machine, {}).values():
+            resources = job_slice.resources
+            cpus, gpus, memory = (
+                cpus - resources.cpus,
+                gpus - resources.gpus,
+                memory - resources.memory,
+            )
         return cpus, gpus, memory
 
     def usable(self, machine: Machine, now: datetime, silent: timedelta) -> bool:
         return (
             machine.draining is None
-            and machine.recall_at is None
+            and machine.reclaim_at is None
             and not machine.fencing
-            and machine.foreign == 0
+            and machine.unrecorded_tasks == 0
             # Until a machine has carried our token it may be a late copy of a report that we see;
             # one that we hired in this term and that reports for the first time is no such thing.
-            and (machine.ours or machine.expected)
+            and (machine.token_confirmed or machine.newly_created)
             and machine.fresh(now, silent)
-            and len(machine.failures) < self.shared.operator.error_limit
+            and len(machine.failures) < self.context.operator.error_limit
         )
 
     # Reports.
 
-    def stop(self, key: Key, attempt: Attempt, grace: timedelta, why: str, now: datetime) -> None:
-        self.stops[key] = Stop(attempt.number, grace, why, now, attempt.machine)
+    def stop(
+        self, key: TaskKey, attempt: Attempt, grace: timedelta, why: str, now: datetime
+    ) -> None:
+        self.stops[key] = StopOrder(attempt.number, grace, why, now, attempt.machine)
         machine = self.machines.get(attempt.machine)
         if machine is not None:
-            machine.unchanged_mark = None
+            machine.unchanged_version = None
 
-    def _stop_useless(self, key: Key, attempt: Attempt, now: datetime) -> None:
+    def _stop_useless(self, key: TaskKey, attempt: Attempt, now: datetime) -> None:
         stop = self.stops.get(key)
         if stop is None or stop.attempt != attempt.number or stop.grace > clock.ZERO:
             self.stop(key, attempt, clock.ZERO, "cancelled", now)
 
     def stop_dead(self, now: datetime) -> None:
         """Tasks whose job is over or cancelled are stopped without grace: their work is useless."""
-        for name, work in self.works().items():
-            if work.run and self.live(name) is None:
-                for task_index, attempt in work.run.items():
+        for name, job_slice in self.job_slices().items():
+            if job_slice.attempts and self.live(name) is None:
+                for task_index, attempt in job_slice.attempts.items():
                     self._stop_useless((name, task_index), attempt, now)
 
     # The loop.
 
     async def run(self) -> None:
-        while self.shared.ownership.tenure(self.part) == self.tenure:
+        while self.context.election.leadership(self.partition) == self.leadership:
             with trio.move_on_after(0.5):
                 await self.wake_up.wait()
             again = True
-            while again and self.shared.ownership.tenure(self.part) == self.tenure:
+            while again and self.context.election.leadership(self.partition) == self.leadership:
                 # Together with what comes in the next moment: fewer and fuller transactions.
                 await clock.pause(max(STEP_GAP, min(STEP_REST_MOST, self._step_took * STEP_REST)))
                 self.wake_up = trio.Event()
@@ -231,7 +245,7 @@
                     await clock.pause(timedelta(milliseconds=200))
                     again = False
                 except Exception:
-                    log.crash("step-failed", part=self.part)
+                    log.crash("step-failed", partition=self.partition)
                     await clock.pause(timedelta(seconds=1))
                     again = False
                 finally:
@@ -241,58 +255,64 @@
 
     async def step(self) -> bool:
         now = clock.now()
-        if not self.shared.ownership.may_start(now):
+        if not self.context.election.may_start(now):
             return False
-        if self.unsettled and not await self._settle():
+        if self.in_doubt and not await self._resolve_in_doubt():
             return False
         # The budget comes first: what waits for it then goes out in one transaction, not in many.
-        await self.shared.state.ready()
+        await self.context.state.ready()
         now = clock.now()
-        if not self.shared.ownership.may_start(now):
+        if not self.context.election.may_start(now):
             return False
         with self.lock:
             self.stop_dead(now)
             gangs.keep_whole(self, now)
             self._tidy(now)
-            batch = Batch(
-                self.shared.view, self.part, self.tenure, self.shared.settings, self.most_rows
+            transaction = TransactionBuilder(
+                self.context.view,
+                self.partition,
+                self.leadership,
+                self.context.settings,
+                self.most_rows,
             )
-            more = ends.record_ends(self, batch, now)
-            more = self.recovery.adopt(batch, now) or more
-            more = starts.start(self, batch, now) or more
-            team_limits.reserve(self, batch, now)
+            more = ends.record_ends(self, transaction, now)
+            more = self.recovery.adopt(transaction, now) or more
+            more = starts.start(self, transaction, now) or more
+            quotas.reserve(self, transaction, now)
             self._step_took = clock.now() - now
-        if not batch.rows:
+        if not transaction.changes:
             return False
-        rows = list(batch.rows.values())
-        self.ended.begin_transaction(batch.ended)
-        self.in_flight = {a.machine for piece in batch.slices.values() for a in piece.run.values()}
+        rows = list(transaction.changes.values())
+        self.ended.begin_transaction(transaction.ended_attempts)
+        self.in_flight = {
+            a.machine for piece in transaction.slices.values() for a in piece.attempts.values()
+        }
         try:
             revision = await commit(
-                self.shared.state, batch.when, rows, within=timedelta(seconds=3)
+                self.context.state, transaction.conditions, rows, within=timedelta(seconds=3)
             )
         except TooLargeError as error:
             # Certainly not carried out, and never would be: next time in smaller pieces.
-            log.error("too-large", part=self.part, changes=len(rows), error=str(error))
+            log.error("too-large", partition=self.partition, changes=len(rows), error=str(error))
             self.most_rows = max(2, len(rows) // 2)
             self.ended.end_transaction()
             raise
         except UnavailableError:
-            self.unsettled = dict(batch.when)
+            self.in_doubt = dict(transaction.conditions)
             raise
         except ConflictError as conflict:
-            log.debug("conflict", part=self.part, failed=conflict.failed)
+            log.debug("conflict", partition=self.partition, failed=conflict.failed)
             # It may be our own success, of which the answer was lost: until the records have been
             # read, nobody knows.
-            self.unsettled = dict(batch.when)
-            return await self._settle()
+            self.in_doubt = dict(transaction.conditions)
+            return await self._resolve_in_doubt()
         else:
-            self.shared.view.applied(rows, revision)
+            self.context.view.applied(rows, revision)
             self.ended.end_transaction()
-            for call in batch.after:
+            for call in transaction.after:
                 call()
-            for job, status in batch.jobs_over:
-                self.shared.observer.job_over(job, status)
+            for job, status in transaction.jobs_over:
+                self.context.observer.job_over(job, status)
             self._order_urgent()
         finally:
             self.in_flight = set()
@@ -306,53 +326,58 @@
             for machine, rows in urgent.items():
                 self.order_now(self, machine, rows)
 
-    async def _settle(self) -> bool:
+    async def _resolve_in_doubt(self) -> bool:
         """A transaction without an answer may be carried out late. Starts are bounded by what is
         set aside and not by the team's record, so a late one would come on top of what was started
         since. Before anything else is written, one of its conditions is made false for good, or the
         records show that it was carried out."""
-        view, unsettled = self.shared.view, self.unsettled
+        view, in_doubt = self.context.view, self.in_doubt
         with trio.move_on_after(2):
-            await self.shared.reader.sync()
+            await self.context.reader.read_barrier()
             if any(
-                view.mod_revision(key) != mod_revision for key, mod_revision in unsettled.items()
+                view.mod_revision(key) != mod_revision for key, mod_revision in in_doubt.items()
             ):
-                self._forget_unsettled()
+                self._forget_in_doubt()
                 return True
-            for key, mod_revision in unsettled.items():
+            for key, mod_revision in in_doubt.items():
                 value = (
-                    view.value(key) if mod_revision and key != keys.term_key(self.part) else None
+                    view.value(key)
+                    if mod_revision and key != keys.term_key(self.partition)
+                    else None
                 )
                 if value is None:
                     continue
-                when = {key: mod_revision, keys.term_key(self.part): self.tenure.mod_revision}
+                conditions = {
+                    key: mod_revision,
+                    keys.term_key(self.partition): self.leadership.mod_revision,
+                }
                 rows = [put(key, value)]
                 try:
                     revision = await commit(
-                        self.shared.state, when, rows, within=timedelta(seconds=1.5)
+                        self.context.state, conditions, rows, within=timedelta(seconds=1.5)
                     )
                 except (ConflictError, UnavailableError):
                     return False
                 view.applied(rows, revision)
-                log.info("made-sure", part=self.part, key=key)
-                self._forget_unsettled()
+                log.info("made-sure", partition=self.partition, key=key)
+                self._forget_in_doubt()
                 return True
         return False
 
-    def _forget_unsettled(self) -> None:
+    def _forget_in_doubt(self) -> None:
         """The records show what became of the last transaction."""
-        self.unsettled = {}
+        self.in_doubt = {}
         self.ended.end_transaction()
 
-    def _is_recorded(self, key: Key, row: AttemptEnd | Stop) -> bool:
+    def _is_recorded(self, key: TaskKey, row: Termination | StopOrder) -> bool:
         """Whether the records still name the attempt, on that machine: the tasks of a gang are
         replaced under one number."""
         return self.recorded_attempt(key) == Attempt(row.attempt, row.machine)
 
-    def recorded_attempt(self, key: Key) -> Attempt | None:
+    def recorded_attempt(self, key: TaskKey) -> Attempt | None:
         """A task's attempt by the part's records."""
-        work = self.works().get(key[0])
-        return work.run.get(key[1]) if work is not None else None
+        job_slice = self.job_slices().get(key[0])
+        return job_slice.attempts.get(key[1]) if job_slice is not None else None
 
     def _tidy(self, now: datetime) -> None:
         self.ended.keep_only(self._is_recorded)
@@ -372,7 +397,7 @@
             if not pairs:
                 del self.avoid[job]
         waiting = {item.job.id for item in self.left}
-        for rows in (self.reservations, self.kept_for_gangs):
+        for rows in (self.reservations, self.gang_reservations_by_machine):
             for machine in [m for m, (j, at) in rows.items() if at <= now or j not in waiting]:
                 del rows[machine]
         for job in [
@@ -387,13 +412,13 @@
         out."""
         with self.lock:
             for key, (_, attempt) in self.by_machine().get(machine, {}).items():
-                self.ended.note(key, AttemptEnd(attempt.number, machine, False, cause))
+                self.ended.note(key, Termination(attempt.number, machine, False, cause))
             if machine in self.machines:
-                self.machines[machine].unchanged_mark = None
+                self.machines[machine].unchanged_version = None
             if cause == "deleted":
                 self.machines.pop(machine, None)
                 self.rented.discard(machine)
-                self.shared.deleted[machine] = clock.now()
-                while len(self.shared.deleted) > MAX_DELETED:
-                    self.shared.deleted.popitem(last=False)
+                self.context.deleted[machine] = clock.now()
+                while len(self.context.deleted) > MAX_DELETED:
+                    self.context.deleted.popitem(last=False)
         self.wake_up.set()
--- a/roadbend/placement/policy.py
+++ b/roadbend/placement/policy.py
@@ -9,13 +9,13 @@
 
 from roadbend.store import ranges
 from roadbend.store.ranges import Ranges
-from roadbend.store.records import Job, Need, Spec
+from roadbend.store.records import Job, JobSpec, Resources
 
 EPS = 1e-6
 
 
 @dataclass(slots=True)
-class Room:
+class FreeCapacity:
     """A machine with what is free on it. `ready_in` is above zero while it boots."""
 
     id: str
@@ -26,53 +26,53 @@
     gpus: float
     memory: float
     images: Container[str] = frozenset()
-    total: Need = field(default_factory=lambda: Need(0, 0, 0))
+    total: Resources = field(default_factory=lambda: Resources(0, 0, 0))
     ready_in: float = 0.0
     price: float = 0.0
     # How fast it fetches images, GB a second; 0: not known.
-    pull: float = 0.0
+    fetch_gb_per_s: float = 0.0
 
     def fetch(self, image: str, gb: float) -> float:
         """Seconds until an image is there."""
-        return 0.0 if image in self.images or self.pull <= 0 else gb / self.pull
+        return 0.0 if image in self.images or self.fetch_gb_per_s <= 0 else gb / self.fetch_gb_per_s
 
-    def fits(self, need: Need) -> bool:
+    def fits(self, resources: Resources) -> bool:
         return (
-            need.cpus <= self.cpus + EPS
-            and need.gpus <= self.gpus + EPS
-            and need.memory <= self.memory + EPS
+            resources.cpus <= self.cpus + EPS
+            and resources.gpus <= self.gpus + EPS
+            and resources.memory <= self.memory + EPS
         )
 
-    def take(self, need: Need) -> None:
-        self.cpus -= need.cpus
-        self.gpus -= need.gpus
-        self.memory -= need.memory
+    def take(self, resources: Resources) -> None:
+        self.cpus -= resources.cpus
+        self.gpus -= resources.gpus
+        self.memory -= resources.memory
 
-    def give(self, need: Need) -> None:
-        self.cpus += need.cpus
-        self.gpus += need.gpus
-        self.memory += need.memory
+    def give(self, resources: Resources) -> None:
+        self.cpus += resources.cpus
+        self.gpus += resources.gpus
+        self.memory += resources.memory
 
-    def count(self, need: Need) -> int:
+    def count(self, resources: Resources) -> int:
         """How many such tasks fit."""
-        if not self.fits(need):
+        if not self.fits(resources):
             return 0
         most = 1_000_000
-        if need.cpus > 0:
-            most = min(most, int((self.cpus + EPS) / need.cpus))
-        if need.gpus > 0:
-            most = min(most, int((self.gpus + EPS) / need.gpus))
-        if need.memory > 0:
-            most = min(most, int((self.memory + EPS) / need.memory))
+        if resources.cpus > 0:
+            most = min(most, int((self.cpus + EPS) / resources.cpus))
+        if resources.gpus > 0:
+            most = min(most, int((self.gpus + EPS) / resources.gpus))
+        if resources.memory > 0:
+            most = min(most, int((self.memory + EPS) / resources.memory))
         return most
 
-    def scrap(self, need: Need) -> float:
+    def leftover_share(self, resources: Resources) -> float:
         """What would be left, as a share of the machine, over all that it has."""
         left, parts = 0.0, 0
         for have, want, total in (
-            (self.cpus, need.cpus, self.total.cpus),
-            (self.gpus, need.gpus, self.total.gpus),
-            (self.memory, need.memory, self.total.memory),
+            (self.cpus, resources.cpus, self.total.cpus),
+            (self.gpus, resources.gpus, self.total.gpus),
+            (self.memory, resources.memory, self.total.memory),
         ):
             if total > 0:
                 left += (have - want) / total
@@ -81,7 +81,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Pending:
+class PendingTasks:
     """Tasks of one job that wait together: they are alike, and stand in the queue side by side."""
 
     job: Job
@@ -96,7 +96,7 @@
 
 
 # A task of an item of the queue, and the machine on which it goes.
-Placed = tuple[Pending, int, Room]
+Placed = tuple[PendingTasks, int, FreeCapacity]
 
 
 def allowed(job: Job, machine_type: str, zone: str, spot: bool) -> bool:
@@ -114,11 +114,11 @@
     moment."""
     if job.spec.due is None:
         return 0
-    end = now + job.spec.expected - job.at
+    end = now + job.spec.expected_duration - job.submitted_at
     return sum(1 for x in times if end > job.spec.due * x)
 
 
-def rank(item: Pending, late: int = 0) -> tuple:
+def rank(item: PendingTasks, late: int = 0) -> tuple:
     """`late`: work whose deadline is out of reach goes behind what can still be in time. When there
     is more than all machines can do, the order of deadlines alone would make nearly everything a
     little late."""
@@ -130,40 +130,43 @@
         not item.guaranteed,
         late,
         deadline is None,
-        deadline or job.at,
-        job.at,
+        deadline or job.submitted_at,
+        job.submitted_at,
         job.id,
     )
 
 
 def suitable(
-    job: Job, rooms: Iterable[Room], barred: Container[str] = (), machine_types: Container[str] = ()
-) -> list[Room]:
+    job: Job,
+    capacities: Iterable[FreeCapacity],
+    barred: Container[str] = (),
+    machine_types: Container[str] = (),
+) -> list[FreeCapacity]:
     """Rooms on which a task of the job may go now or once they are up, the best first. A room that
     has been begun stays the best until it is full, so the order holds while tasks are taken from
     it."""
     spec = job.spec
-    need, image, spot = spec.need, spec.image, spec.spot
+    resources, image, spot = spec.resources, spec.image, spec.spot
     rows = []
-    for room in rooms:
+    for capacity in capacities:
         if (
-            need.gpus <= room.gpus + EPS
-            and need.cpus <= room.cpus + EPS
-            and need.memory <= room.memory + EPS
-            and (spot or not room.spot)
-            and allowed(job, room.machine_type, room.zone, room.spot)
-            and room.id not in barred
-            and room.machine_type not in machine_types
+            resources.gpus <= capacity.gpus + EPS
+            and resources.cpus <= capacity.cpus + EPS
+            and resources.memory <= capacity.memory + EPS
+            and (spot or not capacity.spot)
+            and allowed(job, capacity.machine_type, capacity.zone, capacity.spot)
+            and capacity.id not in barred
+            and capacity.machine_type not in machine_types
         ):
             # Work that may run on spot machines leaves the others to work that may not.
             rows.append(
                 (
-                    room.ready_in,
-                    spot and not room.spot,
-                    image not in room.images,
-                    room.scrap(need),
-                    room.id,
-                    room,
+                    capacity.ready_in,
+                    spot and not capacity.spot,
+                    image not in capacity.images,
+                    capacity.leftover_share(resources),
+                    capacity.id,
+                    capacity,
                 )
             )
     rows.sort(key=_by_key)
@@ -174,20 +177,20 @@
     return row[:5]
 
 
-def least_of(needs: Iterable[Need]) -> Need:
+def least_of(needs: Iterable[Resources]) -> Resources:
     """What each of some needs asks for at the least."""
     needs = list(needs)
-    return Need(
+    return Resources(
         min((n.cpus for n in needs), default=0.0),
         min((n.gpus for n in needs), default=0.0),
         min((n.memory for n in needs), default=0.0),
     )
 
 
-Bars = Callable[[Pending], tuple[Container[str], Container[str]]]
+Bars = Callable[[PendingTasks], tuple[Container[str], Container[str]]]
 
 
-class Allowance:
+class QuotaAllowance:
     """What teams' limits leave, in cores and GPUs; it shrinks with what is taken.
 
     `holds` says of which jobs the tasks that found no room yet keep their team's limit from work of
@@ -204,7 +207,7 @@
         # What is kept for jobs that found no room, by team: priority, cores and GPUs.
         self._held: dict[str, list[tuple[int, float, float]]] = {}
 
-    def most(self, spec: Spec) -> int:
+    def most(self, spec: JobSpec) -> int:
         """How many more of a job's tasks its team's limit permits; none for a team that nobody
         knows."""
         if spec.team not in self._rows:
@@ -215,20 +218,23 @@
         for priority, cpus, gpus in self._held.get(spec.team, ()):
             if priority > spec.priority:
                 left = (left[0] - cpus, left[1] - gpus)
-        return fits_in(left, spec.need)
+        return fits_in(left, spec.resources)
 
     def hold(self, job: Job, tasks: int) -> None:
         if tasks and self._holds(job.id):
-            need = job.spec.need.times(tasks)
+            resources = job.spec.resources.times(tasks)
             self._held.setdefault(job.spec.team, []).append(
-                (job.spec.priority, need.cpus, need.gpus)
+                (job.spec.priority, resources.cpus, resources.gpus)
             )
 
-    def take(self, spec: Spec, tasks: int) -> None:
+    def take(self, spec: JobSpec, tasks: int) -> None:
         cpus, gpus = self._rows[spec.team]
-        self._rows[spec.team] = (cpus - tasks * spec.need.cpus, gpus - tasks * spec.need.gpus)
+        self._rows[spec.team] = (
+            cpus - tasks * spec.resources.cpus,
+            gpus - tasks * spec.resources.gpus,
+        )
 
-    def cut(self, item: Pending) -> Pending | None:
+    def cut(self, item: PendingTasks) -> PendingTasks | None:
         """As much of an item as the limit permits."""
         count = min(item.count, self.most(item.job.spec))
         if count <= 0 or item.job.spec.gang and count < item.count:
@@ -236,33 +242,35 @@
         return item if count == item.count else replace(item, tasks=ranges.first(item.tasks, count))
 
 
-def fits_in(left: tuple[float, float], need: Need) -> int:
+def fits_in(left: tuple[float, float], resources: Resources) -> int:
     """How many tasks' cores and GPUs fit into what is left of a limit."""
     count = 1_000_000
-    for have, want in zip(left, (need.cpus, need.gpus), strict=True):
+    for have, want in zip(left, (resources.cpus, resources.gpus), strict=True):
         if want > 0 and have < float("inf"):
             count = min(count, int((have + EPS) / want))
     return max(0, count)
 
 
 def place(
-    queue: Iterable[Pending],
-    rooms: Iterable[Room],
+    queue: Iterable[PendingTasks],
+    capacities: Iterable[FreeCapacity],
     most_jobs: int = 1_000_000,
     bars: Bars | None = None,
-    limits: Allowance | None = None,
-) -> tuple[list[Placed], list[Pending], bool]:
+    limits: QuotaAllowance | None = None,
+) -> tuple[list[Placed], list[PendingTasks], bool]:
     """Takes the tasks in order; gives what was placed, what was not, and whether it stopped after
     `most_jobs` jobs. `bars` names the machines and the types that a job must keep off.
 
     Of a team's limit only what is placed is taken: a wide job that finds no room must not keep the
     team's other jobs from machines that would fit them."""
     placed: list[Placed] = []
-    left: list[Pending] = []
+    left: list[PendingTasks] = []
     queue = list(queue)
     # Most machines are full: they are passed over once, not once a job.
-    least = least_of(item.job.spec.need for item in queue)
-    rooms = [room for room in rooms if room.ready_in <= 0 and room.fits(least)]
+    least = least_of(item.job.spec.resources for item in queue)
+    capacities = [
+        capacity for capacity in capacities if capacity.ready_in <= 0 and capacity.fits(least)
+    ]
     # What found no room keeps others alike from looking again.
     hopeless: set[tuple] = set()
     jobs: set[str] = set()
@@ -270,19 +278,19 @@
         if limits is not None and (item := limits.cut(item)) is None:
             continue
         spec = item.job.spec
-        kind = (spec.need, spec.machine_types, spec.zone, spec.spot)
+        kind = (spec.resources, spec.machine_types, spec.zone, spec.spot)
         barred, machine_types = bars(item) if bars is not None else ((), ())
         found = []
         if kind not in hopeless:
-            found = suitable(item.job, rooms, barred, machine_types)
-        if spec.gang and sum(room.count(spec.need) for room in found) < item.count:
+            found = suitable(item.job, capacities, barred, machine_types)
+        if spec.gang and sum(capacity.count(spec.resources) for capacity in found) < item.count:
             # Whole or not at all: no gang holds some of the room while another holds the rest. It
             # says nothing of others alike, which may need less.
-            rest: Pending | None = item
+            rest: PendingTasks | None = item
         elif found and item.job.id not in jobs and len(jobs) >= most_jobs:
             return placed, left, True
         else:
-            rest = fill_rooms(item, found, placed, limits)
+            rest = fill_capacities(item, found, placed, limits)
             if found:
                 jobs.add(item.job.id)
             if rest is not None and not barred and not machine_types:
@@ -294,16 +302,19 @@
     return placed, left, False
 
 
-def fill_rooms(
-    item: Pending, found: list[Room], placed: list[Placed], limits: Allowance | None
-) -> Pending | None:
+def fill_capacities(
+    item: PendingTasks,
+    found: list[FreeCapacity],
+    placed: list[Placed],
+    limits: QuotaAllowance | None,
+) -> PendingTasks | None:
     """Puts an item's tasks on the rooms in their order; gives those that found no place."""
-    need, tasks, count = item.job.spec.need, ranges.numbers(item.tasks), item.count
-    for room in found:
-        take = min(count, room.count(need))
+    resources, tasks, count = item.job.spec.resources, ranges.numbers(item.tasks), item.count
+    for capacity in found:
+        take = min(count, capacity.count(resources))
         for _ in range(take):
-            room.take(need)
-            placed.append((item, next(tasks), room))
+            capacity.take(resources)
+            placed.append((item, next(tasks), capacity))
         if limits is not None:
             limits.take(item.job.spec, take)
         count -= take
@@ -320,7 +331,7 @@
 class Victim:
     """A task that runs, as preemption sees it."""
 
-    need: Need
+    resources: Resources
     priority: int
     # It belongs to a team that is beyond its guarantee, and is not within it.
     beyond: bool
@@ -330,7 +341,7 @@
     handle: object
 
 
-def may_stop(item: Pending, row: Victim) -> bool:
+def may_stop(item: PendingTasks, row: Victim) -> bool:
     """Preemption as the protocol permits: work of lower priority, or, for work within its team's
     guarantee, what another team runs beyond its own."""
     spec = item.job.spec
@@ -340,46 +351,50 @@
 
 
 # A machine on which room can be made, and what is stopped there.
-Clearing = tuple[Room, list[Victim]]
+Clearing = tuple[FreeCapacity, list[Victim]]
 
 
 def clearings(
-    item: Pending, rooms: Iterable[Room], running: Mapping[str, list[Victim]]
+    item: PendingTasks, capacities: Iterable[FreeCapacity], running: Mapping[str, list[Victim]]
 ) -> list[Clearing]:
     """The machines on which room for a task of the item can be made, the best first: the image,
     then the cheapest and the fewest losses. All are found in one look, for a wide job takes many of
     them and none of them changes by what is stopped on another."""
     spec = item.job.spec
     found = []
-    for room in rooms:
-        rows = running.get(room.id)
+    for capacity in capacities:
+        rows = running.get(capacity.id)
         if (
             not rows
-            or room.ready_in > 0
-            or not allowed(item.job, room.machine_type, room.zone, room.spot)
+            or capacity.ready_in > 0
+            or not allowed(item.job, capacity.machine_type, capacity.zone, capacity.spot)
         ):
             continue
-        chosen = _least_losses(item, room, rows)
+        chosen = _least_losses(item, capacity, rows)
         if chosen:
             loss = sum(row.loss for row in chosen)
-            key = (spec.image not in room.images, loss, len(chosen), room.id)
-            found.append((key, room, chosen))
+            key = (spec.image not in capacity.images, loss, len(chosen), capacity.id)
+            found.append((key, capacity, chosen))
     found.sort(key=_by_first)
-    return [(room, chosen) for _, room, chosen in found]
+    return [(capacity, chosen) for _, capacity, chosen in found]
 
 
-def _least_losses(item: Pending, room: Room, rows: list[Victim]) -> list[Victim]:
+def _least_losses(item: PendingTasks, capacity: FreeCapacity, rows: list[Victim]) -> list[Victim]:
     """What to stop on a machine so that a task of the item fits; empty if that can't be had, or
     need not be."""
-    need = item.job.spec.need
-    cpus, gpus, memory = room.cpus + EPS, room.gpus + EPS, room.memory + EPS
+    resources = item.job.spec.resources
+    cpus, gpus, memory = capacity.cpus + EPS, capacity.gpus + EPS, capacity.memory + EPS
     chosen: list[Victim] = []
     for row in sorted((row for row in rows if may_stop(item, row)), key=_by_loss):
-        if need.cpus <= cpus and need.gpus <= gpus and need.memory <= memory:
+        if resources.cpus <= cpus and resources.gpus <= gpus and resources.memory <= memory:
             return chosen
-        cpus, gpus, memory = cpus + row.need.cpus, gpus + row.need.gpus, memory + row.need.memory
+        cpus, gpus, memory = (
+            cpus + row.resources.cpus,
+            gpus + row.resources.gpus,
+            memory + row.resources.memory,
+        )
         chosen.append(row)
-    fits = need.cpus <= cpus and need.gpus <= gpus and need.memory <= memory
+    fits = resources.cpus <= cpus and resources.gpus <= gpus and resources.memory <= memory
     return chosen if fits else []
 
 
--- /dev/null
+++ b/roadbend/placement/queue_projection.py
@@ -0,0 +1,155 @@
+"""The queue laid on a part's machines: what bids, reoffers and estimates look at."""
+
+from __future__ import annotations
+
+from collections import deque
+from dataclasses import dataclass, field, replace
+from datetime import datetime, timedelta
+from functools import cached_property
+from typing import TYPE_CHECKING
+
+from roadbend import clock
+from roadbend.placement import forecast, policy
+from roadbend.placement.forecast import MachineTimeline
+from roadbend.placement.policy import FreeCapacity
+from roadbend.store.records import Job, Resources
+
+if TYPE_CHECKING:
+    from roadbend.placement.leader import PartitionLeader
+
+# For how long a layout that was worked out may serve again, at the least.
+REUSE = timedelta(milliseconds=600)
+# Layouts that are kept, by what was asked for.
+MAX_LAYOUTS = 4
+
+
+@dataclass
+class QueueProjection:
+    """The machines with the queue laid on them."""
+
+    timelines: list[MachineTimeline]
+    # When the waiting tasks of each job would begin, in seconds; those beyond the forecast are
+    # missing.
+    starts: dict[str, list[float]]
+    # How many tasks of a kind fit, as far as it was asked for.
+    _fitting: dict[tuple, tuple[int, int]] = field(default_factory=dict)
+
+    @cached_property
+    def cores(self) -> float:
+        return max(1.0, sum(timeline.capacity.total.cpus for timeline in self.timelines))
+
+    @cached_property
+    def ready(self) -> list[FreeCapacity]:
+        """The machines that are up."""
+        return [timeline.capacity for timeline in self.timelines if timeline.capacity.ready_in <= 0]
+
+    @cached_property
+    def laid(self) -> int:
+        """How many waiting tasks found a place."""
+        return sum(len(rows) for rows in self.starts.values())
+
+    def fitting(self, job: Job) -> tuple[int, int]:
+        """How many tasks of a job fit on the machines that are up, and on those that boot."""
+        spec = job.spec
+        kind = (spec.resources, spec.machine_types, spec.zone, spec.spot)
+        found = self._fitting.get(kind)
+        if found is None:
+            counts = [0, 0]
+            for timeline in self.timelines:
+                capacity = timeline.capacity
+                if capacity.fits(spec.resources) and policy.allowed(
+                    job, capacity.machine_type, capacity.zone, capacity.spot
+                ):
+                    counts[capacity.ready_in > 0] += capacity.count(spec.resources)
+            found = self._fitting[kind] = (counts[0], counts[1])
+        return found
+
+
+class QueueProjections:
+    """Works layouts out, and keeps the last ones for a moment."""
+
+    def __init__(self, leader: PartitionLeader):
+        self._leader = leader
+        self._projections: deque[tuple[tuple, datetime, timedelta, QueueProjection]] = deque(
+            maxlen=MAX_LAYOUTS
+        )
+
+    def of(self, least: int, avoid: frozenset[str]) -> QueueProjection:
+        """The machines with the queue from a priority on laid on them. One layout serves all that
+        is asked of a moment, for in a burst bids come by the dozen; what took long to work out
+        serves longer."""
+        leader = self._leader
+        now, mark = clock.now(), (least, avoid, len(leader.booting))
+        for key, at, window, projection in self._projections:
+            if key == mark and now - at < window:
+                return projection
+        booting = [
+            replace(capacity) for capacity in leader.booting if capacity.id not in leader.machines
+        ]
+        timelines = [
+            timeline
+            for timeline in self.timelines(booting)
+            if timeline.capacity.machine_type not in avoid
+        ]
+        queue = [item for item in leader.queue.pending() if item.job.spec.priority >= least]
+        starts = forecast.project(queue, timelines, self.run_seconds, self.most_forecast(timelines))
+        projection = QueueProjection(timelines, starts)
+        self._projections.append(
+            (mark, now, max(REUSE, leader.context.rest(clock.now() - now)), projection)
+        )
+        return projection
+
+    @staticmethod
+    def most_forecast(timelines: list[MachineTimeline]) -> int:
+        """How far down the queue a forecast looks: to about where every machine has been filled
+        anew."""
+        return max(128, 6 * len(timelines))
+
+    def run_seconds(self, job: Job) -> float:
+        leader = self._leader
+        return forecast.run_seconds(job, leader.context.factor(job.spec.job_class))
+
+    def timelines(self, more: list[FreeCapacity]) -> list[MachineTimeline]:
+        """The machines with what runs on them and when that is thought to end."""
+        leader = self._leader
+        now, index = clock.now(), leader.by_machine()
+        out = []
+        lengths: dict[str, float | None] = {}
+        for capacity in leader.capacities():
+            machine = leader.machines[capacity.id]
+            releases = []
+            for key, (job_slice, attempt) in index.get(capacity.id, {}).items():
+                if key in leader.stops:
+                    releases.append(
+                        (leader.stops[key].grace.total_seconds() + 1.0, job_slice.resources)
+                    )
+                    continue
+                if job_slice.job not in lengths:
+                    job = leader.context.view.jobs.get(job_slice.job)
+                    lengths[job_slice.job] = (
+                        None if job is None or job.spec.service else self.run_seconds(job)
+                    )
+                run = lengths[job_slice.job]
+                if run is None:
+                    continue
+                seen = machine.tasks.get(key)
+                if (
+                    seen is not None
+                    and seen.attempt == attempt.number
+                    and seen.running_since is not None
+                ):
+                    spent = (now - seen.running_since).total_seconds()
+                    # An estimate that has been passed says little: the longer it ran, the longer it
+                    # may.
+                    left = max(run - spent, 0.25 * spent, 1.0)
+                else:
+                    spec = leader.context.view.jobs[job_slice.job].spec
+                    left = run + capacity.fetch(spec.image, spec.image_gb)
+                releases.append((left, job_slice.resources))
+            releases.sort(key=_when)
+            out.append(MachineTimeline(capacity, releases))
+        return out + [MachineTimeline(capacity) for capacity in more]
+
+
+def _when(row: tuple[float, Resources]) -> float:
+    return row[0]
--- a/roadbend/placement/team_limits.py
+++ b/roadbend/placement/quotas.py
@@ -9,13 +9,13 @@
 from roadbend import clock
 from roadbend.log import Log
 from roadbend.placement import policy
-from roadbend.placement.batch import Batch
-from roadbend.placement.policy import Allowance, Pending
+from roadbend.placement.policy import PendingTasks, QuotaAllowance
+from roadbend.placement.transaction import TransactionBuilder
 from roadbend.store import keys
-from roadbend.store.records import Need
+from roadbend.store.records import Resources
 
 if TYPE_CHECKING:
-    from roadbend.placement.runtime import PartRuntime
+    from roadbend.placement.leader import PartitionLeader
 
 log = Log("placement")
 # How long what waits for a machine keeps its team's limit from lesser work, and what is set aside
@@ -27,17 +27,19 @@
 RESERVE_EVERY = timedelta(seconds=1)
 
 
-def team_left(runtime: PartRuntime, batch: Batch, team: str) -> tuple[float, float] | None:
+def team_left(
+    leader: PartitionLeader, transaction: TransactionBuilder, team: str
+) -> tuple[float, float] | None:
     """What a team's limit leaves this part, after what the transaction in the making starts and
     ends."""
-    most = runtime.shared.most_for(team, runtime.part)
+    most = leader.context.most_for(team, leader.partition)
     if most is None:
         return None
-    used = batch.used(team)
+    used = transaction.used(team)
     return most[0] - used[0], most[1] - used[1]
 
 
-def within(limits: Allowance, items: Iterable[Pending]) -> list[Pending]:
+def within(limits: QuotaAllowance, items: Iterable[PendingTasks]) -> list[PendingTasks]:
     """As much of the items, in their order, as the teams' limits permit all together: no room is
     made, and no machine hired, for what could not use it."""
     out = []
@@ -49,72 +51,77 @@
     return out
 
 
-def yields(runtime: PartRuntime, item: Pending, overdue: dict[str, dict[str, int]]) -> bool:
+def yields(leader: PartitionLeader, item: PendingTasks, overdue: dict[str, dict[str, int]]) -> bool:
     """Whether an item leaves its team's room to a job that another part holds and that has begun
     nothing for too long: a part's own steady stream must not starve it."""
     jobs = overdue.get(item.job.spec.team)
     if not jobs or item.overdue:
         return False
-    view, here = runtime.shared.view, item.job.spec
-    scarce = runtime.shared.room_left(here, runtime.part) < 2 * item.count
+    view, here = leader.context.view, item.job.spec
+    scarce = leader.context.room_left(here, leader.partition) < 2 * item.count
     # Only for so long: one that has not begun by then waits for something else than the team's
     # room.
-    since = clock.wall() - runtime.shared.operator.begin_within - YIELD
+    since = clock.wall() - leader.context.operator.begin_within - YIELD
     return scarce and any(
-        priority >= here.priority and runtime.part not in view.jobs[name].alloc
+        priority >= here.priority and leader.partition not in view.jobs[name].allocation
         for name, priority in jobs.items()
-        if name in view.jobs and view.jobs[name].at > since
+        if name in view.jobs and view.jobs[name].submitted_at > since
     )
 
 
-def set_aside(
-    runtime: PartRuntime, batch: Batch, team: str, need: Need, tasks: int, record_keys: list[str]
+def reserve_quota(
+    leader: PartitionLeader,
+    transaction: TransactionBuilder,
+    team: str,
+    resources: Resources,
+    tasks: int,
+    record_keys: list[str],
 ) -> bool:
     """Sees to it that the team's record sets enough aside for this part, in the same transaction.
     Some more than is needed is taken while there is plenty, so that parts seldom meet there."""
-    limits, team_key = runtime.shared.limits(team), keys.team_key(team)
-    used = batch.used(team)
-    used = (used[0] + tasks * need.cpus, used[1] + tasks * need.gpus)
-    use = batch.team(team)
-    have = use.parts.get(runtime.part, (0.0, 0.0))
+    limits, team_key = leader.context.limits(team), keys.team_key(team)
+    used = transaction.used(team)
+    used = (used[0] + tasks * resources.cpus, used[1] + tasks * resources.gpus)
+    use = transaction.team(team)
+    have = use.partitions.get(leader.partition, (0.0, 0.0))
     bound = [most < float("inf") for most in limits]
     short = any(b and u > h + policy.EPS for b, u, h in zip(bound, used, have, strict=True))
-    if not batch.room_for(*record_keys, *([team_key] if short else [])):
+    if not transaction.room_for(*record_keys, *([team_key] if short else [])):
         return False
     if short:
         others = (use.cpus - have[0], use.gpus - have[1])
-        share = 2 * max(1, runtime.shared.settings.controllers)
+        share = 2 * max(1, leader.context.settings.controller_count)
         fresh = [
             max(u, u + (most - other - u) / share) if b else 0.0
             for b, u, most, other in zip(bound, used, limits, others, strict=True)
         ]
-        batch.set_team(use.with_part(runtime.part, *fresh))
+        transaction.set_team(use.with_partition(leader.partition, *fresh))
     return True
 
 
-def reserve(runtime: PartRuntime, batch: Batch, now: datetime) -> None:
+def reserve(leader: PartitionLeader, transaction: TransactionBuilder, now: datetime) -> None:
     """Gives back what is set aside and not needed here, once others may want it."""
-    view = runtime.shared.view
+    view = leader.context.view
     waiting: dict[str, tuple[float, float]] = {}
-    overdue = runtime.shared.overdue(now)
-    for item in runtime.queue.pending():
+    overdue = leader.context.overdue(now)
+    for item in leader.queue.pending():
         # What has waited here for longer may wait for a machine that can't be had; other parts may
         # have room.
-        if now - runtime.queued.get(item.job.id, now) < HOLD and not yields(runtime, item, overdue):
+        if now - leader.queued.get(item.job.id, now) < HOLD and not yields(leader, item, overdue):
             spec = item.job.spec
             cpus, gpus = waiting.get(spec.team, (0.0, 0.0))
             waiting[spec.team] = (
-                cpus + item.count * spec.need.cpus,
-                gpus + item.count * spec.need.gpus,
+                cpus + item.count * spec.resources.cpus,
+                gpus + item.count * spec.resources.gpus,
             )
-    for name, use in view.teams.items():
-        have = use.parts.get(runtime.part)
-        key, limits = keys.team_key(name), runtime.shared.limits(name)
-        if have is None or limits is None or key in batch.rows:
+    for name, use in view.quotas.items():
+        have = use.partitions.get(leader.partition)
+        key, limits = keys.team_key(name), leader.context.limits(name)
+        if have is None or limits is None or key in transaction.changes:
             continue
-        if now - runtime.reserved_at.get(name, clock.ORIGIN) < RESERVE_EVERY:
+        if now - leader.reserved_at.get(name, clock.ORIGIN) < RESERVE_EVERY:
             continue
-        used, wants = batch.used(name), waiting.get(name, (0.0, 0.0))
+        used, wants = transaction.used(name), waiting.get(name, (0.0, 0.0))
         pressed = any(
             most < float("inf") and total > 0.75 * most
             for total, most in zip((use.cpus, use.gpus), limits, strict=True)
@@ -122,11 +129,13 @@
         if not pressed and (any(u > policy.EPS for u in used) or name in waiting):
             continue
         fresh = [min(h, u + w) for h, u, w in zip(have, used, wants, strict=True)]
-        if all(h - f <= policy.EPS for h, f in zip(have, fresh, strict=True)) or not batch.room_for(
-            key
-        ):
+        if all(
+            h - f <= policy.EPS for h, f in zip(have, fresh, strict=True)
+        ) or not transaction.room_for(key):
             continue
-        runtime.reserved_at[name] = now
-        batch.set_team(
-            use.with_part(runtime.part, *(max(f, u) for f, u in zip(fresh, used, strict=True)))
+        leader.reserved_at[name] = now
+        transaction.set_team(
+            use.with_partition(
+                leader.partition, *(max(f, u) for f, u in zip(fresh, used, strict=True))
+            )
         )
--- a/roadbend/placement/recovery_hooks.py
+++ b/roadbend/placement/recovery_hooks.py
@@ -12,17 +12,17 @@
 from roadbend.store.records import Job
 
 if TYPE_CHECKING:
-    from roadbend.fleet.ended_attempts import Key
-    from roadbend.fleet.machines import Machine, Stop
-    from roadbend.fleet.messages import Report, TaskReport
-    from roadbend.placement.batch import Batch
-    from roadbend.placement.runtime import PartRuntime
+    from roadbend.fleet.machines import Machine, StopOrder
+    from roadbend.fleet.messages import TaskStatus, WorkerHeartbeat
+    from roadbend.fleet.terminations import TaskKey
+    from roadbend.placement.leader import PartitionLeader
+    from roadbend.placement.transaction import TransactionBuilder
 
 
-class PartRecovery:
+class PartitionRecovery:
     """Questions about one part, for one term."""
 
-    def keeps_unrecorded(self, machine: Machine, task: TaskReport, now: datetime) -> bool:
+    def keeps_unrecorded(self, machine: Machine, task: TaskStatus, now: datetime) -> bool:
         """Whether a task that no record names is left alone for now."""
         return False
 
@@ -34,18 +34,18 @@
         """Whether the part's machines are known well enough to rent more in advance."""
         return True
 
-    def spaces_out(self, key: Key, stop: Stop, now: datetime) -> bool:
+    def spaces_out(self, key: TaskKey, stop: StopOrder, now: datetime) -> bool:
         """Whether a direct kill may wait: the answer to a report has just carried it, or the
         task has ended."""
         return False
 
-    def note_report(self, machine: Machine, report: Report, now: datetime) -> None:
+    def note_heartbeat(self, machine: Machine, heartbeat: WorkerHeartbeat, now: datetime) -> None:
         """A report was taken in and read."""
 
     def note_term_in_use(self, machine: str, term: int) -> None:
         """A machine that we have not answered has seen a term that is ours or higher."""
 
-    def adopt(self, batch: Batch, now: datetime) -> bool:
+    def adopt(self, transaction: TransactionBuilder, now: datetime) -> bool:
         """Puts unrecorded attempts that are to be kept into the transaction; says whether some are
         left for the next one."""
         return False
@@ -54,9 +54,9 @@
 class Recovery:
     """Questions about a whole controller."""
 
-    def for_part(self, runtime: PartRuntime) -> PartRecovery:
+    def for_partition(self, leader: PartitionLeader) -> PartitionRecovery:
         """What answers for a part that this controller has just taken."""
-        return PartRecovery()
+        return PartitionRecovery()
 
     def holds_back(self, job: str) -> bool:
         """Whether a job that nobody holds is not offered for now."""
--- a/roadbend/placement/starts.py
+++ b/roadbend/placement/starts.py
@@ -11,173 +11,178 @@
 from roadbend.log import Log
 from roadbend.placement import (
     apart_gangs,
-    gang_room,
+    gang_reservations,
     gangs,
     policy,
     preemption,
+    quotas,
     restrictions,
-    team_limits,
 )
-from roadbend.placement.batch import Batch
-from roadbend.placement.policy import Allowance, Placed
-from roadbend.store.records import Attempt, Job, Slice
+from roadbend.placement.policy import Placed, QuotaAllowance
+from roadbend.placement.transaction import TransactionBuilder
+from roadbend.store.records import Attempt, Job, SliceShard
 
 if TYPE_CHECKING:
-    from roadbend.placement.runtime import PartRuntime
+    from roadbend.placement.leader import PartitionLeader
 
 log = Log("placement")
 
 
-def start(runtime: PartRuntime, batch: Batch, now: datetime) -> bool:
+def start(leader: PartitionLeader, transaction: TransactionBuilder, now: datetime) -> bool:
     """Write-ahead of starts. The order goes out only with a report's response, after the answer."""
-    queue = runtime.queue.pending()
-    runtime.queued = {item.job.id: runtime.queued.get(item.job.id, now) for item in queue}
+    queue = leader.queue.pending()
+    leader.queued = {item.job.id: leader.queued.get(item.job.id, now) for item in queue}
     if not queue:
-        runtime.left = []
+        leader.left = []
         return False
     # Most machines are full. Only services that must start soon look at those, for what could be
     # cleared there.
-    soon = any(runtime.shared.start_within(item.job.spec) is not None for item in queue)
-    least = None if soon else policy.least_of(item.job.spec.need for item in queue)
-    rooms = runtime.rooms(batch.ended, least)
-    restrictions.hold_back(runtime, queue)
-    restrictions.image_first(runtime, queue, rooms)
-    overdue = runtime.shared.overdue(now)
-    limits = Allowance(
-        partial(team_limits.team_left, runtime, batch),
-        lambda job: now - runtime.queued.get(job, now) < team_limits.HOLD,
+    soon = any(leader.context.start_within(item.job.spec) is not None for item in queue)
+    least = None if soon else policy.least_of(item.job.spec.resources for item in queue)
+    capacities = leader.capacities(transaction.ended_attempts, least)
+    restrictions.hold_back(leader, queue)
+    restrictions.image_first(leader, queue, capacities)
+    overdue = leader.context.overdue(now)
+    limits = QuotaAllowance(
+        partial(quotas.team_left, leader, transaction),
+        lambda job: now - leader.queued.get(job, now) < quotas.HOLD,
     )
     ready, early = [], []
     for item in queue:
-        (ready if gangs.may_start(runtime, item.job) else early).append(item)
-    yielding = {item.job.id for item in ready if team_limits.yields(runtime, item, overdue)}
-    restrictions.note_passed_over(runtime, ready, yielding, rooms, now)
+        (ready if gangs.may_start(leader, item.job) else early).append(item)
+    yielding = {item.job.id for item in ready if quotas.yields(leader, item, overdue)}
+    restrictions.note_passed_over(leader, ready, yielding, capacities, now)
     placed, left, more = policy.place(
         gangs.filling_first(
-            runtime,
+            leader,
             [
                 item
                 for item in ready
-                if item.job.id not in yielding or restrictions.impatient(runtime, item.job.id, now)
+                if item.job.id not in yielding or restrictions.impatient(leader, item.job.id, now)
             ],
         ),
-        rooms,
-        batch.free,
-        partial(restrictions.bars, runtime)
-        if runtime.avoid
-        or runtime.reservations
-        or runtime.kept_for_gangs
-        or runtime.withheld_types
-        or runtime.without_image
-        or runtime.lost_on
+        capacities,
+        transaction.free,
+        partial(restrictions.bars, leader)
+        if leader.avoid
+        or leader.reservations
+        or leader.gang_reservations_by_machine
+        or leader.withheld_types
+        or leader.without_image
+        or leader.lost_on
         else None,
         limits,
     )
-    left += [item for item in early if apart_gangs.keeps_room(runtime, item.job, now)]
-    runtime.left = team_limits.within(limits, left)
-    for rows in grouped(runtime, placed):
-        if not record_start(runtime, batch, rows, now):
+    left += [item for item in early if apart_gangs.keeps_room(leader, item.job, now)]
+    leader.left = quotas.within(limits, left)
+    for rows in grouped(leader, placed):
+        if not record_start(leader, transaction, rows, now):
             more = True
             break
-    gang_room.keep_for_gangs(runtime, now)
-    if runtime.left and not more:
-        preemption.preempt(runtime, batch, rooms, least is None, now)
+    gang_reservations.keep_for_gangs(leader, now)
+    if leader.left and not more:
+        preemption.preempt(leader, transaction, capacities, least is None, now)
     return more
 
 
-def grouped(runtime: PartRuntime, placed: list[Placed]) -> list[list[Placed]]:
+def grouped(leader: PartitionLeader, placed: list[Placed]) -> list[list[Placed]]:
     """What was placed, by job and shard. The tasks of a gang stay together, whatever shards they
     are in."""
     groups: dict[tuple[str, int], list[Placed]] = {}
-    for item, task_index, room in placed:
+    for item, task_index, capacity in placed:
         name, shard = item.job.id, -1
         if not item.job.spec.gang:
-            work = runtime.works().get(name)
+            job_slice = leader.job_slices().get(name)
             shard = (
-                task_index // runtime.width
-                if work is None
-                else work.shard_of(task_index, runtime.width)
+                task_index // leader.width
+                if job_slice is None
+                else job_slice.shard_of(task_index, leader.width)
             )
-        groups.setdefault((name, shard), []).append((item, task_index, room))
+        groups.setdefault((name, shard), []).append((item, task_index, capacity))
     return list(groups.values())
 
 
-def record_start(runtime: PartRuntime, batch: Batch, rows: list[Placed], now: datetime) -> bool:
+def record_start(
+    leader: PartitionLeader, transaction: TransactionBuilder, rows: list[Placed], now: datetime
+) -> bool:
     """Puts the starts of one group into the transaction; False where it has no room for all."""
     job = rows[0][0].job
-    share = gangs.first_share(runtime, batch, rows) if job.spec.gang else rows
+    share = gangs.first_share(leader, transaction, rows) if job.spec.gang else rows
     if not share:
         return False
-    pieces = fill(runtime, batch, job, share)
+    pieces = fill(leader, transaction, job, share)
     record_keys = [piece.key for piece in pieces]
     # Of its team's limit all of a gang is set aside with the first of its tasks.
-    if not team_limits.set_aside(
-        runtime, batch, job.spec.team, job.spec.need, len(rows), record_keys
+    if not quotas.reserve_quota(
+        leader, transaction, job.spec.team, job.spec.resources, len(rows), record_keys
     ):
         return False
-    if not all(batch.fits(piece) for piece in pieces):
-        log.error("record-full", part=runtime.part, job=job.id, tasks=len(share))
+    if not all(transaction.fits(piece) for piece in pieces):
+        log.error("record-full", partition=leader.partition, job=job.id, tasks=len(share))
         return True
     for piece in pieces:
-        batch.set_slice(piece)
-    batch.need_job(job)
+        transaction.set_slice(piece)
+    transaction.require_job(job)
     if apart_gangs.is_apart(job):
-        apart_gangs.add_conditions(runtime, batch, job)
-        number = next(iter(pieces[0].run.values())).number
-        batch.after.append(partial(runtime.joined.__setitem__, job.id, number))
-    batch.charge(job.spec.team, job.spec.need, len(share))
-    runtime.waits.append(now - runtime.queued.get(job.id, now))
+        apart_gangs.add_conditions(leader, transaction, job)
+        number = next(iter(pieces[0].attempts.values())).number
+        transaction.after.append(partial(leader.joined.__setitem__, job.id, number))
+    transaction.charge(job.spec.team, job.spec.resources, len(share))
+    leader.waits.append(now - leader.queued.get(job.id, now))
     if len(share) < len(rows):
-        batch.after.append(partial(gangs.note_filling, runtime, pieces[0]))
-    if job.spec.gang or runtime.shared.start_within(job.spec) is not None:
+        transaction.after.append(partial(gangs.note_filling, leader, pieces[0]))
+    if job.spec.gang or leader.context.start_within(job.spec) is not None:
         indexes = {task_index for _, task_index, _ in share}
-        batch.after.append(partial(order_directly, runtime, pieces, indexes))
-    batch.after.append(partial(tell_observer, runtime, job, pieces, [row[1] for row in share]))
-    for _, task_index, room in share:
+        transaction.after.append(partial(order_directly, leader, pieces, indexes))
+    transaction.after.append(partial(tell_observer, leader, job, pieces, [row[1] for row in share]))
+    for _, task_index, capacity in share:
         log.debug(
             "start",
-            part=runtime.part,
+            partition=leader.partition,
             task=f"{job.id}/{task_index}",
-            machine=room.id,
-            wait=f"{(clock.wall() - job.at).total_seconds():.1f}",
-            cached=job.spec.image in room.images,
+            machine=capacity.id,
+            wait=f"{(clock.wall() - job.submitted_at).total_seconds():.1f}",
+            cached=job.spec.image in capacity.images,
         )
     return len(share) == len(rows)
 
 
-def tell_observer(runtime: PartRuntime, job: Job, pieces: list[Slice], indexes: list[int]) -> None:
+def tell_observer(
+    leader: PartitionLeader, job: Job, pieces: list[SliceShard], indexes: list[int]
+) -> None:
     """The starts were recorded."""
-    observer = runtime.shared.observer
+    observer = leader.context.observer
     for piece in pieces:
         for index in indexes:
-            if index in piece.run:
-                observer.attempt_recorded(runtime.part, job, index, piece.run[index])
+            if index in piece.attempts:
+                observer.attempt_recorded(leader.partition, job, index, piece.attempts[index])
 
 
-def fill(runtime: PartRuntime, batch: Batch, job: Job, rows: list[Placed]) -> list[Slice]:
+def fill(
+    leader: PartitionLeader, transaction: TransactionBuilder, job: Job, rows: list[Placed]
+) -> list[SliceShard]:
     """The slices with the new attempts; a gang's tasks have one attempt number."""
-    work, pieces = runtime.works().get(job.id), {}
-    common = gangs.attempt_number(runtime, job) if job.spec.gang else None
-    for _, task_index, room in rows:
+    job_slice, pieces = leader.job_slices().get(job.id), {}
+    common = gangs.attempt_number(leader, job) if job.spec.gang else None
+    for _, task_index, capacity in rows:
         at = (
-            task_index // runtime.width
-            if work is None
-            else work.shard_of(task_index, runtime.width)
+            task_index // leader.width
+            if job_slice is None
+            else job_slice.shard_of(task_index, leader.width)
         )
-        piece = pieces.get(at) or batch.slice(job.id, job.spec.team, job.spec.need, at)
+        piece = pieces.get(at) or transaction.slice(job.id, job.spec.team, job.spec.resources, at)
         if common is None:
-            runtime.seq += 1
+            leader.sequence += 1
         attempt = Attempt(
-            (runtime.tenure.term << 32) | runtime.seq if common is None else common, room.id
+            (leader.leadership.term << 32) | leader.sequence if common is None else common,
+            capacity.id,
         )
-        pieces[at] = replace(piece, run={**piece.run, task_index: attempt})
+        pieces[at] = replace(piece, attempts={**piece.attempts, task_index: attempt})
     return list(pieces.values())
 
 
-def order_directly(runtime: PartRuntime, pieces: list[Slice], tasks: set[int]) -> None:
+def order_directly(leader: PartitionLeader, pieces: list[SliceShard], tasks: set[int]) -> None:
     for piece in pieces:
-        for task_index in tasks & piece.run.keys():
-            attempt = piece.run[task_index]
-            runtime.urgent.setdefault(attempt.machine, []).append(
-                ((piece.job, task_index), attempt)
-            )
+        for task_index in tasks & piece.attempts.keys():
+            attempt = piece.attempts[task_index]
+            leader.urgent.setdefault(attempt.machine, []).append(((piece.job, task_index), attempt))
--- a/roadbend/placement/test_placement.py
+++ b/roadbend/placement/test_placement.py
@@ -9,46 +9,54 @@
 from roadbend.fakes.world import settings_for
 from roadbend.intake.messages import read_submission
 from roadbend.placement import forecast, policy
-from roadbend.placement.forecast import Line
-from roadbend.placement.policy import Pending, Room, Victim
-from roadbend.placement.shared import within_guarantee
-from roadbend.store.records import Job, Need
+from roadbend.placement.context import within_guarantee
+from roadbend.placement.forecast import MachineTimeline
+from roadbend.placement.policy import FreeCapacity, PendingTasks, Victim
+from roadbend.store.records import Job, Resources
 
-TOTAL = Need(24, 2, 144)
+TOTAL = Resources(24, 2, 144)
 
 
-def pending(number=1, count=1, guaranteed=False, age=0, **changes) -> Pending:
+def pending(number=1, count=1, guaranteed=False, age=0, **changes) -> PendingTasks:
     name, spec = read_submission(job(number, **changes))
-    return Pending(
+    return PendingTasks(
         Job(name, spec, clock.wall() - timedelta(seconds=age)), ((0, count),), guaranteed
     )
 
 
-def room(name, cpus=24.0, gpus=2.0, memory=144.0, spot=False, images=(), **more) -> Room:
-    return Room(name, "g2", "east", spot, cpus, gpus, memory, frozenset(images), TOTAL, **more)
+def capacity(
+    name, cpus=24.0, gpus=2.0, memory=144.0, spot=False, images=(), **more
+) -> FreeCapacity:
+    return FreeCapacity(
+        name, "g2", "east", spot, cpus, gpus, memory, frozenset(images), TOTAL, **more
+    )
 
 
-def best(job, rooms):
-    return next((room.id for room in policy.suitable(job, rooms)), None)
+def best(job, capacities):
+    return next((capacity.id for capacity in policy.suitable(job, capacities)), None)
 
 
 def test_the_image_leads_then_the_least_scrap():
     item = pending(loaners=False)
-    rooms = [room("a"), room("b", cpus=8, gpus=1, memory=40), room("c", images=["img-1"])]
-    assert best(item.job, rooms) == "c"
-    assert best(item.job, rooms[:2]) == "b"
+    capacities = [
+        capacity("a"),
+        capacity("b", cpus=8, gpus=1, memory=40),
+        capacity("c", images=["img-1"]),
+    ]
+    assert best(item.job, capacities) == "c"
+    assert best(item.job, capacities[:2]) == "b"
 
 
 def test_work_that_may_use_spot_machines_leaves_the_others_free():
-    rooms = [room("a", images=["img-1"]), room("b", spot=True)]
-    assert best(pending().job, rooms) == "b"
-    assert best(pending(loaners=False).job, rooms) == "a"
-    assert best(pending(loaners=False).job, rooms[1:]) is None
+    capacities = [capacity("a", images=["img-1"]), capacity("b", spot=True)]
+    assert best(pending().job, capacities) == "b"
+    assert best(pending(loaners=False).job, capacities) == "a"
+    assert best(pending(loaners=False).job, capacities[1:]) is None
 
 
 def test_nothing_goes_where_its_job_does_not_allow_it():
     for change in ({"rigs": ["h8"]}, {"yard": "west"}):
-        assert best(pending(**change).job, [room("a")]) is None
+        assert best(pending(**change).job, [capacity("a")]) is None
 
 
 def test_priority_then_guarantee_then_deadline_then_age():
@@ -63,11 +71,11 @@
 
 
 def victim(name, priority, loss, beyond=False) -> Victim:
-    return Victim(Need(8, 1, 40), priority, beyond, "blue", loss, name)
+    return Victim(Resources(8, 1, 40), priority, beyond, "blue", loss, name)
 
 
-def stopped(item, rooms, running):
-    found = policy.clearings(item, rooms, running)
+def stopped(item, capacities, running):
+    found = policy.clearings(item, capacities, running)
     return (found[0][0].id, [row.handle for row in found[0][1]]) if found else None
 
 
@@ -89,7 +97,7 @@
     assert [policy.lateness(item.job, wall, times) for item in (lost, second, first)] == [2, 1, 0]
     assert order(lost, second, first) == ["run-000003", "run-000002", "run-000001"]
     # What has begun nothing for long, and what is within its team's guarantee, still goes first.
-    overdue = Pending(lost.job, lost.tasks, False, True)
+    overdue = PendingTasks(lost.job, lost.tasks, False, True)
     assert order(first, overdue) == ["run-000001", "run-000003"]
     assert order(first, pending(4, guaranteed=True, age=200, dueS=100.0)) == [
         "run-000004",
@@ -100,7 +108,7 @@
 
 
 def test_only_lesser_work_or_work_beyond_anothers_guarantee_is_stopped():
-    full = [room("a", cpus=0, gpus=0, memory=0)]
+    full = [capacity("a", cpus=0, gpus=0, memory=0)]
     rows = {"a": [victim("normal", 1, 30.0), victim("low", 0, 90.0)]}
     assert stopped(pending(rank="normal"), full, rows) == ("a", ["low"])
     assert stopped(pending(rank="best_effort"), full, rows) is None
@@ -116,18 +124,24 @@
 
 
 def test_the_cheapest_loss_is_chosen_and_no_more_than_needed():
-    full = [room("a", cpus=0, gpus=0, memory=0), room("b", cpus=0, gpus=0, memory=0)]
+    full = [capacity("a", cpus=0, gpus=0, memory=0), capacity("b", cpus=0, gpus=0, memory=0)]
     rows = {"a": [victim("a1", 0, 50.0), victim("a2", 0, 40.0)], "b": [victim("b1", 0, 10.0)]}
     assert stopped(pending(rank="high"), full, rows) == ("b", ["b1"])
 
 
 def test_the_forecast_waits_for_what_comes_free():
-    line = Line(room("a", cpus=0, gpus=0, memory=0), [(5.0, Need(4, 1, 20)), (9.0, Need(8, 1, 40))])
-    assert line.earliest(Need(4, 1, 20)) == 5.0
-    assert line.earliest(Need(8, 1, 40)) == 9.0
-    assert line.earliest(Need(20, 1, 40)) == forecast.NEVER
-    line.put(pending().job, 9.0, 30.0)
-    assert line.earliest(Need(4, 1, 20)) == 9.0 and line.earliest(Need(8, 1, 40)) == 39.0
+    timeline = MachineTimeline(
+        capacity("a", cpus=0, gpus=0, memory=0),
+        [(5.0, Resources(4, 1, 20)), (9.0, Resources(8, 1, 40))],
+    )
+    assert timeline.earliest(Resources(4, 1, 20)) == 5.0
+    assert timeline.earliest(Resources(8, 1, 40)) == 9.0
+    assert timeline.earliest(Resources(20, 1, 40)) == forecast.NEVER
+    timeline.put(pending().job, 9.0, 30.0)
+    assert (
+        timeline.earliest(Resources(4, 1, 20)) == 9.0
+        and timeline.earliest(Resources(8, 1, 40)) == 39.0
+    )
 
 
 def test_a_guarantee_covers_a_teams_earliest_jobs_that_fit():
@@ -139,8 +153,8 @@
 def test_the_forecast_counts_a_fetch_only_where_the_image_is_missing():
     item = pending(imageGb=40.0)
     without_image, warm = (
-        Line(room("cold", pull=0.5)),
-        Line(room("warm", pull=0.5, images=["img-1"], ready_in=20.0)),
+        MachineTimeline(capacity("cold", fetch_gb_per_s=0.5)),
+        MachineTimeline(capacity("warm", fetch_gb_per_s=0.5, images=["img-1"], ready_in=20.0)),
     )
     assert forecast.earliest(item.job, [without_image, warm]) == (20.0, warm)
     without_image.put(item.job, 0.0, 10.0)
@@ -151,25 +165,30 @@
     )
 
 
-def lay_looking_everywhere(queue, lines, run):
+def lay_looking_everywhere(queue, timelines, run):
     """The forecast as it is meant: every task looks at every machine."""
     starts = {}
     for item in queue:
         spec = item.job.spec
         for _ in range(item.count):
             rows = []
-            for n, line in enumerate(lines):
-                start = line.earliest(spec.need)
+            for n, timeline in enumerate(timelines):
+                start = timeline.earliest(spec.resources)
                 if start < forecast.NEVER and policy.allowed(
-                    item.job, line.room.machine_type, line.room.zone, line.room.spot
+                    item.job,
+                    timeline.capacity.machine_type,
+                    timeline.capacity.zone,
+                    timeline.capacity.spot,
                 ):
-                    runs = round(start + line.room.fetch(spec.image, spec.image_gb), 6)
-                    rows.append((runs, spec.spot and not line.room.spot, n, start, line))
+                    runs = round(start + timeline.capacity.fetch(spec.image, spec.image_gb), 6)
+                    rows.append(
+                        (runs, spec.spot and not timeline.capacity.spot, n, start, timeline)
+                    )
             if not rows:
                 break
-            _, _, _, start, line = min(rows)
+            _, _, _, start, timeline = min(rows)
             starts.setdefault(item.job.id, []).append(start)
-            line.put(item.job, start, run(item.job))
+            timeline.put(item.job, start, run(item.job))
     return starts
 
 
@@ -178,23 +197,23 @@
     there."""
     rng = random.Random(11)
     for _ in range(60):
-        lines = []
+        timelines = []
         for n in range(rng.randrange(1, 25)):
-            room_ = room(
+            room_ = capacity(
                 f"m-{n}",
                 rng.choice((0, 6, 12, 24)),
                 rng.choice((0, 1, 2)),
                 144.0,
                 rng.random() < 0.5,
-                pull=1.0,
+                fetch_gb_per_s=1.0,
             )
             room_.images = frozenset(rng.sample(("img-1", "img-2", "img-3"), rng.randrange(3)))
             room_.ready_in = rng.choice((0.0, 0.0, 0.0, rng.uniform(1, 40)))
             ends = [
-                (rng.uniform(1, 90), Need(rng.choice((6.0, 12.0)), 1, 0))
+                (rng.uniform(1, 90), Resources(rng.choice((6.0, 12.0)), 1, 0))
                 for _ in range(rng.randrange(3))
             ]
-            lines.append(Line(room_, sorted(ends, key=lambda row: row[0])))
+            timelines.append(MachineTimeline(room_, sorted(ends, key=lambda row: row[0])))
         queue = [
             pending(
                 n,
@@ -213,18 +232,19 @@
         def run(job):
             return forecast.run_seconds(job, 1.0)
 
-        want = lay_looking_everywhere(queue, copy.deepcopy(lines), run)
-        assert forecast.lay(queue, lines, run, 9999) == want
+        want = lay_looking_everywhere(queue, copy.deepcopy(timelines), run)
+        assert forecast.project(queue, timelines, run, 9999) == want
 
 
 def test_a_queue_behind_full_machines_looks_at_few_of_them(calls):
     """What each of many jobs costs must not be a look at each of many machines."""
 
     def cost(machines):
-        lines = [
-            Line(room(f"m-{n}", gpus=0.0), [(10.0 + n, Need(8, 1, 40))]) for n in range(machines)
+        timelines = [
+            MachineTimeline(capacity(f"m-{n}", gpus=0.0), [(10.0 + n, Resources(8, 1, 40))])
+            for n in range(machines)
         ]
         queue = [pending(n, 2, legs=2) for n in range(1, 41)]
-        return calls(lambda: forecast.lay(queue, lines, lambda _: 500.0, 9999))
+        return calls(lambda: forecast.project(queue, timelines, lambda _: 500.0, 9999))
 
     assert cost(800) - cost(400) < 400 * 4
--- a/roadbend/placement/batch.py
+++ b/roadbend/placement/transaction.py
@@ -3,13 +3,13 @@
 from collections.abc import Callable
 from typing import Any
 
-from roadbend.fleet.ended_attempts import Key
-from roadbend.parts.ownership import Tenure
-from roadbend.settings import Settings
+from roadbend.fleet.terminations import TaskKey
+from roadbend.partitions.election import Leadership
+from roadbend.settings import PlatformSettings
 from roadbend.store import keys, records
 from roadbend.store.client import delete, put
-from roadbend.store.records import Job, Need, Slice, Use, weigh
-from roadbend.store.view import View
+from roadbend.store.record_view import RecordView
+from roadbend.store.records import Job, QuotaRecord, Resources, SliceShard, weigh
 
 # Bytes that a transaction's values may have in all; the protocol allows 64 KiB, conditions
 # included.
@@ -18,25 +18,30 @@
 ATTEMPT_BYTES, SLICE_BYTES = 28, 460
 
 
-class Batch:
+class TransactionBuilder:
     """One transaction in the making: working copies of what it changes, and its conditions."""
 
     def __init__(
-        self, view: View, part: str, tenure: Tenure, settings: Settings, most: int | None = None
+        self,
+        view: RecordView,
+        partition: str,
+        leadership: Leadership,
+        settings: PlatformSettings,
+        most: int | None = None,
     ):
         self._view, self._part, self._most = (
             view,
-            part,
+            partition,
             min(settings.txn_ops, most or settings.txn_ops),
         )
         self._value = settings.value_bytes
-        self.when: dict[str, int] = {keys.term_key(part): tenure.mod_revision}
-        self.rows: dict[str, dict] = {}
-        self.slices: dict[str, Slice] = {}
-        self.teams: dict[str, Use] = {}
+        self.conditions: dict[str, int] = {keys.term_key(partition): leadership.mod_revision}
+        self.changes: dict[str, dict] = {}
+        self.slices: dict[str, SliceShard] = {}
+        self.teams: dict[str, QuotaRecord] = {}
         # Attempts that this transaction takes out of the records, and what changes in the teams'
         # use.
-        self.ended: set[Key] = set()
+        self.ended_attempts: set[TaskKey] = set()
         self.change: dict[str, tuple[float, float]] = {}
         self._sizes: dict[str, int] = {}
         self.after: list[Callable[[], None]] = []
@@ -45,7 +50,7 @@
 
     @property
     def free(self) -> int:
-        return max(0, self._most - len(self.rows))
+        return max(0, self._most - len(self.changes))
 
     def most_slices(self, width: int) -> int:
         """How many slices of so many tasks an empty transaction takes, beside a team's record."""
@@ -53,74 +58,74 @@
         return max(1, min(self._most - 1, (MAX_BODY - self._value) // weight))
 
     def room_for(self, *record_keys: str) -> bool:
-        fresh = sum(1 for key in record_keys if key not in self.rows)
+        fresh = sum(1 for key in record_keys if key not in self.changes)
         return (
-            len(self.rows) + fresh <= self._most
+            len(self.changes) + fresh <= self._most
             and sum(self._sizes.values()) < MAX_BODY - self._value
         )
 
-    def slice(self, job: str, team: str, need: Need, shard: int) -> Slice:
+    def slice(self, job: str, team: str, resources: Resources, shard: int) -> SliceShard:
         key = keys.slice_key(self._part, job, shard)
         if key in self.slices:
             return self.slices[key]
-        work = self._view.slices.get(self._part, {}).get(job)
-        found = work.shards.get(shard) if work is not None else None
-        return found or Slice(job, self._part, team, need, shard=shard)
+        job_slice = self._view.job_slices.get(self._part, {}).get(job)
+        found = job_slice.shards.get(shard) if job_slice is not None else None
+        return found or SliceShard(job, self._part, team, resources, shard=shard)
 
-    def team(self, name: str) -> Use:
-        return self.teams.get(name) or self._view.teams.get(name) or Use(name)
+    def team(self, name: str) -> QuotaRecord:
+        return self.teams.get(name) or self._view.quotas.get(name) or QuotaRecord(name)
 
     def used(self, team: str) -> tuple[float, float]:
         """What the part uses for a team once this transaction is carried out."""
-        cpus, gpus = self._view.used.get(self._part, {}).get(team, (0.0, 0.0))
+        cpus, gpus = self._view.usage.get(self._part, {}).get(team, (0.0, 0.0))
         more = self.change.get(team, (0.0, 0.0))
         return cpus + more[0], gpus + more[1]
 
-    def charge(self, team: str, need: Need, tasks: int) -> None:
+    def charge(self, team: str, resources: Resources, tasks: int) -> None:
         cpus, gpus = self.change.get(team, (0.0, 0.0))
-        self.change[team] = (cpus + tasks * need.cpus, gpus + tasks * need.gpus)
+        self.change[team] = (cpus + tasks * resources.cpus, gpus + tasks * resources.gpus)
 
-    def need_job(self, job: Job) -> None:
-        self.when[keys.job_key(job.id)] = job.mod_revision
+    def require_job(self, job: Job) -> None:
+        self.conditions[keys.job_key(job.id)] = job.mod_revision
 
     def _put(self, key: str, value: Any, size: int | None = None) -> None:
-        self.rows[key] = put(key, value)
+        self.changes[key] = put(key, value)
         self._sizes[key] = (weigh(value) if size is None else size) + len(key) + 60
 
-    def fits(self, piece: Slice) -> bool:
+    def fits(self, piece: SliceShard) -> bool:
         return weigh(piece.to_value()) <= self._value * 0.95
 
-    def set_slice(self, piece: Slice) -> bool:
+    def set_slice(self, piece: SliceShard) -> bool:
         """False where the record would not fit its value; nothing is changed then."""
         key, value = piece.key, piece.to_value()
         size = weigh(value)
         if size > self._value * 0.95:
             return False
-        self.when.setdefault(key, self._view.mod_revision(key))
+        self.conditions.setdefault(key, self._view.mod_revision(key))
         self.slices[key] = piece
         self._put(key, value, size)
         return True
 
-    def drop_slice(self, piece: Slice) -> None:
-        self.when.setdefault(piece.key, self._view.mod_revision(piece.key))
-        self.rows[piece.key] = delete(piece.key)
+    def drop_slice(self, piece: SliceShard) -> None:
+        self.conditions.setdefault(piece.key, self._view.mod_revision(piece.key))
+        self.changes[piece.key] = delete(piece.key)
 
-    def set_team(self, use: Use) -> None:
+    def set_team(self, use: QuotaRecord) -> None:
         key = keys.team_key(use.team)
-        self.when.setdefault(key, self._view.mod_revision(key))
+        self.conditions.setdefault(key, self._view.mod_revision(key))
         self.teams[use.team] = use
         self._put(key, use.to_value())
 
     def set_job(self, job: Job) -> None:
-        self.need_job(job)
+        self.require_job(job)
         self._put(keys.job_key(job.id), job.to_small_value(int(self._value * 0.95)))
 
     def end_job(self, job: Job, status: str, done: int) -> None:
-        self.need_job(job)
-        key, fin = keys.job_key(job.id), keys.fin_key(job.id)
-        self.when[fin] = 0
-        self.rows[key] = delete(key)
+        self.require_job(job)
+        key, job_end = keys.job_key(job.id), keys.job_end_key(job.id)
+        self.conditions[job_end] = 0
+        self.changes[key] = delete(key)
         if job.spec.gang:
-            self.rows[keys.gang_key(job.id)] = delete(keys.gang_key(job.id))
-        self.rows[fin] = put(fin, records.fin_value(status, done))
+            self.changes[keys.gang_key(job.id)] = delete(keys.gang_key(job.id))
+        self.changes[job_end] = put(job_end, records.job_end_value(status, done))
         self.jobs_over.append((job, status))
--- a/roadbend/recovery/commands.py
+++ b/roadbend/recovery/commands.py
@@ -18,8 +18,8 @@
 from roadbend.http.net import Net
 from roadbend.recovery.differences import Difference
 from roadbend.recovery.settlement import PlannedStep, plan
-from roadbend.recovery.survey import PartStatus, PartSurvey, SurveyError, Surveyor
-from roadbend.settings import Settings, SettingsError, read_file, read_platform
+from roadbend.recovery.survey import PartitionStatus, PartitionSurvey, SurveyError, Surveyor
+from roadbend.settings import PlatformSettings, SettingsError, read_file, read_platform
 
 Show = Callable[[Surveyor, argparse.Namespace], Awaitable[None]]
 LEAST_PAUSE, MOST_LINES = 1.0, 200
@@ -62,7 +62,7 @@
     return trio.run(run, settings, Net(), arguments)
 
 
-async def run(settings: Settings, net: Net, arguments: argparse.Namespace) -> int:
+async def run(settings: PlatformSettings, net: Net, arguments: argparse.Namespace) -> int:
     """Carries out a command against the outside that the settings name."""
     show: dict[str, Show] = {
         "status": _show_status,
@@ -80,40 +80,52 @@
 async def _show_status(surveyor: Surveyor, arguments: argparse.Namespace) -> None:
     rows = await surveyor.status()
     if arguments.json:
-        print(json.dumps([asdict(row) for row in rows], indent=2))
+        print(json.dumps([_status_as_map(row) for row in rows], indent=2))
         return
     for row in rows:
         print(_status_line(row))
 
 
-def _status_line(row: PartStatus) -> str:
+def _status_as_map(row: PartitionStatus) -> dict:
+    """A partition's status as operators' scripts read it: its key for the partition is `part`."""
+    fields = asdict(row)
+    return {"part": fields.pop("partition"), "owner": fields.pop("owner"), **fields}
+
+
+def _status_line(row: PartitionStatus) -> str:
     lost = ", the state service lost writes" if row.lost_writes else ""
     found = ", ".join(f"{count} {kind}" for kind, count in row.differences.items()) or "none"
     return (
-        f"{row.part}: {row.phase} after {row.seconds:.1f} s, term {row.term}, "
+        f"{row.partition}: {row.phase} after {row.seconds:.1f} s, term {row.term}, "
         f"owner {row.owner or 'none'}, heard {row.heard} of {row.expected} machines, "
         f"differences found: {found}{lost}"
     )
 
 
 async def _show_differences(surveyor: Surveyor, arguments: argparse.Namespace) -> None:
-    parts = await surveyor.survey()
+    partitions = await surveyor.survey()
     if arguments.json:
-        rows = {part.part: [_as_map(row) for row in part.comparison.differences] for part in parts}
+        rows = {
+            partition.partition: [_as_map(row) for row in partition.comparison.differences]
+            for partition in partitions
+        }
         print(json.dumps(rows, indent=2))
         return
-    for part in parts:
-        print(_summary(part))
-        for row in part.comparison.differences[:MOST_LINES]:
+    for partition in partitions:
+        print(_summary(partition))
+        for row in partition.comparison.differences[:MOST_LINES]:
             print(f"  {describe(row)}")
-        if len(part.comparison.differences) > MOST_LINES:
-            print(f"  and {len(part.comparison.differences) - MOST_LINES} more (--json has all)")
+        if len(partition.comparison.differences) > MOST_LINES:
+            print(
+                f"  and {len(partition.comparison.differences) - MOST_LINES} more (--json has all)"
+            )
 
 
-def _summary(part: PartSurvey) -> str:
-    counts = part.comparison.counts()
+def _summary(survey: PartitionSurvey) -> str:
+    counts = survey.comparison.counts()
     found = ", ".join(f"{count} {kind}" for kind, count in counts.items()) or "no differences"
-    return f"{part.part}: {part.machines} machines, {part.comparison.matching} matching, {found}"
+    matching = survey.comparison.matching
+    return f"{survey.partition}: {survey.machines} machines, {matching} matching, {found}"
 
 
 def describe(row: Difference) -> str:
@@ -129,13 +141,20 @@
 
 
 async def _show_plan(surveyor: Surveyor, arguments: argparse.Namespace) -> None:
-    steps = {part.part: plan(part.comparison, part.services) for part in await surveyor.survey()}
+    steps = {
+        partition.partition: plan(partition.comparison, partition.services)
+        for partition in await surveyor.survey()
+    }
     if arguments.json:
-        print(json.dumps({part: [_planned(row) for row in rows] for part, rows in steps.items()}))
+        print(
+            json.dumps(
+                {partition: [_planned(row) for row in rows] for partition, rows in steps.items()}
+            )
+        )
         return
-    for part, rows in steps.items():
+    for partition, rows in steps.items():
         orders = sum(row.settlement.orders for row in rows)
-        print(f"{part}: {len(rows)} steps, {orders} orders")
+        print(f"{partition}: {len(rows)} steps, {orders} orders")
         for row in rows[:MOST_LINES]:
             step = row.settlement
             print(f"  {step.step}  {describe(row.difference)}  ({step.why})")
@@ -151,8 +170,8 @@
 
     watch, looks = Watch(), 0
     while True:
-        parts = await surveyor.survey()
-        found = [row for part in parts for row in part.comparison.differences]
+        partitions = await surveyor.survey()
+        found = [row for partition in partitions for row in partition.comparison.differences]
         look = watch.look(found, clock.now())
         middle, worst = watch.age_quantile(0.5), watch.age_quantile(0.99)
         if arguments.json:
--- a/roadbend/recovery/judgement.py
+++ b/roadbend/recovery/judgement.py
@@ -21,7 +21,7 @@
 from roadbend.store.records import Job
 
 if TYPE_CHECKING:
-    from roadbend.placement.runtime import PartRuntime
+    from roadbend.placement.leader import PartitionLeader
 
 
 class Judgement:
@@ -30,12 +30,12 @@
 
     def __init__(
         self,
-        runtime: PartRuntime,
+        leader: PartitionLeader,
         around: Surroundings,
         held: HeldAttempts,
         machines_known: Callable[[datetime], bool],
     ) -> None:
-        self._runtime, self._around, self._held = runtime, around, held
+        self._leader, self._around, self._held = leader, around, held
         self._machines_known = machines_known
 
     def decide(self, held: HeldAttempt, now: datetime) -> Decision:
@@ -45,14 +45,14 @@
         return decide(self._facts(held, now), bounds)
 
     def _facts(self, held: HeldAttempt, now: datetime) -> Facts:
-        runtime = self._runtime
-        job, machine = runtime.live(held.job), runtime.machines.get(held.machine)
+        leader = self._leader
+        job, machine = leader.live(held.job), leader.machines.get(held.machine)
         others = self._held.others(held)
         stays = (
             machine is not None
-            and machine.ours
+            and machine.token_confirmed
             and machine.draining is None
-            and machine.recall_at is None
+            and machine.reclaim_at is None
             and not machine.fencing
         )
         return Facts(
@@ -60,7 +60,7 @@
             peers_heard=_is_after(self._around.peers_heard(), held.since),
             superseded=job is not None and self.is_superseded(job, held.index),
             job_lives=job is not None,
-            job_over=True if held.job in runtime.shared.cancelled else held.job_over,
+            job_over=True if held.job in leader.context.cancelled else held.job_over,
             gang=job is not None and job.spec.gang,
             shows_done=held.shows_done,
             machine_current=stays,
@@ -68,7 +68,8 @@
             also_elsewhere=bool(others),
             higher_elsewhere=any(row.attempt > held.attempt for row in others),
             machines_known=self._machines_known(now),
-            within_limit=job is not None and runtime.shared.room_left(job.spec, runtime.part) > 0,
+            within_limit=job is not None
+            and leader.context.room_left(job.spec, leader.partition) > 0,
             waited=now - held.since,
         )
 
@@ -77,17 +78,19 @@
         if not placing.allowed(job, machine.machine_type, machine.zone, machine.spot):
             return False
         if job.spec.together:
-            return set(job.alloc) <= {self._runtime.part}
-        here = ranges.size(job.alloc.get(self._runtime.part, ()))
+            return set(job.allocation) <= {self._leader.partition}
+        here = ranges.size(job.allocation.get(self._leader.partition, ()))
         return not job.spec.apart or here < job.spec.zone_cap
 
     def is_superseded(self, job: Job, index: int) -> bool:
         """Whether the records name an attempt of a task in any part, or say that it is done."""
         if index >= job.spec.task_count or ranges.has(job.done, index):
             return True
-        for works in self._runtime.shared.view.slices.values():
-            work = works.get(job.id)
-            if work is not None and (index in work.run or ranges.has(work.done, index)):
+        for job_slices in self._leader.context.view.job_slices.values():
+            job_slice = job_slices.get(job.id)
+            if job_slice is not None and (
+                index in job_slice.attempts or ranges.has(job_slice.done, index)
+            ):
                 return True
         return False
 
--- a/roadbend/recovery/machines.py
+++ b/roadbend/recovery/machines.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING
 
 from roadbend import clock
-from roadbend.fleet.listing import MachineList
+from roadbend.fleet.cloud_inventory import CloudInventory
 from roadbend.fleet.machines import Machine
 from roadbend.recovery.differences import (
     Comparison,
@@ -22,21 +22,21 @@
 )
 from roadbend.recovery.phases import Evidence
 from roadbend.recovery.unrecorded import HeldAttempt
-from roadbend.store.view import Rows
+from roadbend.store.record_view import MachineAttempts
 
 if TYPE_CHECKING:
-    from roadbend.placement.runtime import PartRuntime
+    from roadbend.placement.leader import PartitionLeader
 
 ATTEMPT_TERM_BITS = 32
 # How often a part that settles is compared anew: with thousands of machines that takes a while.
 COMPARE_EVERY = timedelta(seconds=1)
 
 
-class PartMachines:
+class PartitionMachines:
     """Compares a part's records with its machines."""
 
-    def __init__(self, runtime: PartRuntime, listing: MachineList) -> None:
-        self._runtime, self._listing = runtime, listing
+    def __init__(self, leader: PartitionLeader, inventory: CloudInventory) -> None:
+        self._leader, self._inventory = leader, inventory
         self._compare_at = clock.ORIGIN
 
     def may_compare(self, now: datetime) -> bool:
@@ -45,9 +45,9 @@
 
     def is_present(self, name: str) -> bool:
         """Whether the cloud lists a machine as running, or the records name it."""
-        row = self._listing.rows.get(name)
+        row = self._inventory.rows.get(name)
         listed = row is not None and row.status == "running"
-        return listed or name in self._runtime.by_machine()
+        return listed or name in self._leader.by_machine()
 
     def evidence(self, lost_writes: bool) -> Evidence:
         """What is known of the part's machines now. Where writes are lost a machine that is listed
@@ -56,24 +56,24 @@
         heard = frozenset(name for name, p in presence.items() if p is Presence.HEARD)
         known = {Presence.GONE} if lost_writes else {Presence.GONE, Presence.BOOTING}
         explained = frozenset(name for name, p in presence.items() if p in known)
-        return Evidence(frozenset(presence), heard, explained, self._listing.reads > 0)
+        return Evidence(frozenset(presence), heard, explained, self._inventory.reads > 0)
 
     def _presences(self) -> dict[str, Presence]:
-        runtime, listing = self._runtime, self._listing
-        listed = {row.id for row in listing.rows.values() if row.zone == runtime.part}
-        names = listed | runtime.by_machine().keys() | runtime.machines.keys()
+        leader, inventory = self._leader, self._inventory
+        listed = {row.id for row in inventory.rows.values() if row.zone == leader.partition}
+        names = listed | leader.by_machine().keys() | leader.machines.keys()
         return {name: self._presence(name) for name in names}
 
     def _presence(self, name: str) -> Presence:
-        runtime, listing = self._runtime, self._listing
-        if name in runtime.shared.deleted:
+        leader, inventory = self._leader, self._inventory
+        if name in leader.context.deleted:
             return Presence.GONE
-        machine = runtime.machines.get(name)
-        if machine is not None and machine.ours:
+        machine = leader.machines.get(name)
+        if machine is not None and machine.token_confirmed:
             return Presence.HEARD
-        row = listing.rows.get(name)
+        row = inventory.rows.get(name)
         if row is None:
-            return Presence.GONE if listing.has_left(name) else Presence.SILENT
+            return Presence.GONE if inventory.has_left(name) else Presence.SILENT
         return {"failed": Presence.GONE, "booting": Presence.BOOTING}.get(
             row.status, Presence.SILENT
         )
@@ -81,23 +81,23 @@
     def compare(self, held: Iterable[HeldAttempt]) -> Comparison:
         """Machines on which everything matches are left out of the sets: of thousands nearly all
         do, and a controller with a small share of a core has reports to answer meanwhile."""
-        began, runtime = clock.now(), self._runtime
+        began, leader = clock.now(), self._leader
         differing, matching = [], 0
-        for name, rows in runtime.by_machine().items():
-            machine = runtime.machines.get(name)
-            if machine is not None and machine.ours and self._matches(machine, rows):
+        for name, rows in leader.by_machine().items():
+            machine = leader.machines.get(name)
+            if machine is not None and machine.token_confirmed and self._matches(machine, rows):
                 matching += len(rows)
             else:
                 differing.append(name)
         found = self._compare_machines(differing, held)
         self._compare_at = clock.now() + max(
-            COMPARE_EVERY, runtime.shared.rest(clock.now() - began)
+            COMPARE_EVERY, leader.context.rest(clock.now() - began)
         )
         return replace(found, matching=found.matching + matching)
 
-    def _matches(self, machine: Machine, rows: Rows) -> bool:
-        tasks, live = machine.tasks, self._runtime.live
-        if len(tasks) != len(rows) or machine.foreign:
+    def _matches(self, machine: Machine, rows: MachineAttempts) -> bool:
+        tasks, live = machine.tasks, self._leader.live
+        if len(tasks) != len(rows) or machine.unrecorded_tasks:
             return False
         for key, (_, attempt) in rows.items():
             seen = tasks.get(key)
@@ -109,15 +109,15 @@
 
     def _compare_machines(self, names: list[str], held: Iterable[HeldAttempt]) -> Comparison:
         """Only attempts from before this term: later ones may be on their way."""
-        runtime, term = self._runtime, self._runtime.tenure.term
+        leader, term = self._leader, self._leader.leadership.term
         recorded, live, shown = set(), set(), set()
         for name in names:
-            for (job, index), (_, attempt) in runtime.by_machine()[name].items():
+            for (job, index), (_, attempt) in leader.by_machine()[name].items():
                 if attempt.number >> ATTEMPT_TERM_BITS < term:
                     recorded.add(Recorded(TaskId(job, index), attempt.number, name))
-                if runtime.live(job) is not None:
+                if leader.live(job) is not None:
                     live.add(job)
-            machine = runtime.machines.get(name)
+            machine = leader.machines.get(name)
             for (job, index), seen in machine.tasks.items() if machine is not None else ():
                 ended = seen.state == "ended"
                 shown.add(Reported(TaskId(job, index), seen.attempt, name, ended))
--- a/roadbend/recovery/part.py
+++ b/roadbend/recovery/partition.py
@@ -7,15 +7,15 @@
 from typing import TYPE_CHECKING
 
 from roadbend import clock
-from roadbend.fleet.ended_attempts import Key
-from roadbend.fleet.machines import Machine, Stop
-from roadbend.fleet.messages import Report, TaskReport
+from roadbend.fleet.machines import Machine, StopOrder
+from roadbend.fleet.messages import TaskStatus, WorkerHeartbeat
+from roadbend.fleet.terminations import TaskKey
 from roadbend.log import Log
 from roadbend.placement import recovery_hooks
-from roadbend.placement.batch import Batch
+from roadbend.placement.transaction import TransactionBuilder
 from roadbend.recovery.adoption import Adoption
 from roadbend.recovery.judgement import Judgement
-from roadbend.recovery.machines import ATTEMPT_TERM_BITS, PartMachines
+from roadbend.recovery.machines import ATTEMPT_TERM_BITS, PartitionMachines
 from roadbend.recovery.pace import AdaptiveBound
 from roadbend.recovery.phases import Comparing, Gathering, Phase, PhaseName, Settling
 from roadbend.recovery.surroundings import Surroundings
@@ -25,7 +25,7 @@
 from roadbend.store.records import Attempt, Job, RecoveryProgress
 
 if TYPE_CHECKING:
-    from roadbend.placement.runtime import PartRuntime
+    from roadbend.placement.leader import PartitionLeader
 
 log = Log("recovery")
 # A term beyond this is nonsense: attempts are numbered by 32 bits of it. And machines can't be
@@ -35,29 +35,29 @@
 KILL_AGAIN = timedelta(seconds=3)
 
 
-class PartRecovery(recovery_hooks.PartRecovery):
+class PartitionRecovery(recovery_hooks.PartitionRecovery):
     """Compares and settles one part. All methods are called under the runtime's lock or between
     awaits of the same thread."""
 
     def __init__(
-        self, runtime: PartRuntime, around: Surroundings, cold: bool, lost_writes: bool
+        self, leader: PartitionLeader, around: Surroundings, cold: bool, lost_writes: bool
     ) -> None:
-        self.runtime, self._around, self.cold = runtime, around, cold
+        self.leader, self._around, self.cold = leader, around, cold
         self.lost_writes = lost_writes
         settings = around.settings
-        since = runtime.tenure.since
+        since = leader.leadership.acquired_at
         self.phase: Phase = Gathering(since, self._gather_until())
         self.held = HeldAttempts(settings.hold_most)
-        self.machines = PartMachines(runtime, around.listing)
-        self._judgement = Judgement(runtime, around, self.held, self._machines_known)
+        self.machines = PartitionMachines(leader, around.inventory)
+        self._judgement = Judgement(leader, around, self.held, self._machines_known)
         pace = AdaptiveBound(settings.settle_least, settings.settle_most)
-        self._adoption = Adoption(runtime, self.held, self._judgement, pace, self._let_go)
+        self._adoption = Adoption(leader, self.held, self._judgement, pace, self._let_go)
         # What differed when the machines had been gathered; recorded and shown later.
         self.found: dict[str, int] = {}
         # Terms not below ours that machines have shown before we answered them, and since when.
         self.terms_in_use: dict[str, int] = {}
         self.in_use_since: datetime | None = None
-        self._observer = runtime.shared.observer
+        self._observer = leader.context.observer
         self._heard: set[str] = set()
         self._phase_since = since
 
@@ -66,13 +66,13 @@
         names, until its lease surely has ended."""
         if self.lost_writes:
             return self._leases_over()
-        return self.runtime.tenure.since + self._around.settings.gather_most
+        return self.leader.leadership.acquired_at + self._around.settings.gather_most
 
     def _leases_over(self) -> datetime:
         """From when on a machine that has not heard from us holds nothing any more."""
-        shared = self.runtime.shared
-        longest = shared.settings.cancel_within * (1 + 2 * clock.DRIFT)
-        return self.runtime.tenure.since + longest + shared.operator.state_margin
+        context = self.leader.context
+        longest = context.settings.cancel_within * (1 + 2 * clock.DRIFT)
+        return self.leader.leadership.acquired_at + longest + context.operator.state_margin
 
     def _machines_known(self, now: datetime) -> bool:
         """Whether no machine of the part can hold anything that was not seen. The bound on
@@ -84,7 +84,7 @@
 
     # What the owner asks.
 
-    def keeps_unrecorded(self, machine: Machine, task: TaskReport, now: datetime) -> bool:
+    def keeps_unrecorded(self, machine: Machine, task: TaskStatus, now: datetime) -> bool:
         """Holds an unrecorded attempt until it is decided about."""
         held = self.held.get(task.job, task.task_index, task.attempt, machine.id)
         if held is not None:
@@ -101,7 +101,7 @@
             return False
         log.info(
             "hold",
-            part=self.runtime.part,
+            partition=self.leader.partition,
             job=task.job,
             index=task.task_index,
             attempt=task.attempt,
@@ -109,15 +109,15 @@
         )
         return True
 
-    def _may_be_lost(self, task: TaskReport) -> bool:
+    def _may_be_lost(self, task: TaskStatus) -> bool:
         """Whether the records may have lost an attempt that they don't name. What they name
         otherwise, or know to be over, they have not."""
-        runtime = self.runtime
+        leader = self.leader
         if task.state == "ended" and task.cause != "done":
             return False
-        if task.job in runtime.shared.cancelled:
+        if task.job in leader.context.cancelled:
             return False
-        job = runtime.shared.view.jobs.get(task.job)
+        job = leader.context.view.jobs.get(task.job)
         if job is None:
             return task.state != "ended"
         return not self._judgement.is_superseded(job, task.task_index)
@@ -138,28 +138,30 @@
         """Machines that have not reported yet look like room that is missing."""
         return not self.cold or self.phase.name is not PhaseName.GATHERING
 
-    def spaces_out(self, key: Key, stop: Stop, now: datetime) -> bool:
+    def spaces_out(self, key: TaskKey, stop: StopOrder, now: datetime) -> bool:
         """One kill by the report's answer, and a direct one only if that brought nothing; none
         for a task that its machine shows as ended, or whose end is recorded."""
-        if self.runtime.recorded_attempt(key) != Attempt(stop.attempt, stop.machine):
+        if self.leader.recorded_attempt(key) != Attempt(stop.attempt, stop.machine):
             return True
-        if stop.told_at is not None and now - stop.told_at < KILL_AGAIN:
+        if stop.sent_at is not None and now - stop.sent_at < KILL_AGAIN:
             return True
-        machine = self.runtime.machines.get(stop.machine)
+        machine = self.leader.machines.get(stop.machine)
         seen = machine.tasks.get(key) if machine is not None else None
         return seen is not None and seen.attempt == stop.attempt and seen.state == "ended"
 
-    def note_report(self, machine: Machine, report: Report, now: datetime) -> None:
+    def note_heartbeat(self, machine: Machine, heartbeat: WorkerHeartbeat, now: datetime) -> None:
         """Drops what a current report no longer shows."""
-        if not machine.ours:
+        if not machine.token_confirmed:
             return
         if machine.id not in self._heard:
             self._heard.add(machine.id)
-            tenure = self.runtime.tenure
-            self._observer.recovery_machine(tenure.part, tenure.term, machine.id, tenure.since)
+            leadership = self.leader.leadership
+            self._observer.recovery_machine(
+                leadership.partition, leadership.term, machine.id, leadership.acquired_at
+            )
         if not len(self.held):
             return
-        shown = {(task.job, task.task_index, task.attempt) for task in report.tasks}
+        shown = {(task.job, task.task_index, task.attempt) for task in heartbeat.tasks}
         for held in self.held.all():
             if held.machine == machine.id and (held.job, held.index, held.attempt) not in shown:
                 self._let_go(held, "gone")
@@ -168,20 +170,22 @@
         """A machine that we have not answered has seen our term or a higher one: it is another
         owner's, or the records have lost it. A term that was used before must not be used again:
         its token would let through what a former owner ordered."""
-        ours = self.runtime.tenure.term
-        if not ours <= term < min(MOST_TERM, ours + MOST_TERM_AHEAD):
-            log.warning("nonsense-term", part=self.runtime.part, machine=machine, term=term)
+        token_confirmed = self.leader.leadership.term
+        if not token_confirmed <= term < min(MOST_TERM, token_confirmed + MOST_TERM_AHEAD):
+            log.warning(
+                "nonsense-term", partition=self.leader.partition, machine=machine, term=term
+            )
             return
-        if term == ours and not (self.cold and self.machines.is_present(machine)):
+        if term == token_confirmed and not (self.cold and self.machines.is_present(machine)):
             # A late copy of a report of a machine that is no more.
             return
         self.terms_in_use[machine] = term
         if self.in_use_since is None:
             self.in_use_since = clock.now()
 
-    def adopt(self, batch: Batch, now: datetime) -> bool:
+    def adopt(self, transaction: TransactionBuilder, now: datetime) -> bool:
         """Writes what is to be kept, as much at once as the pace allows."""
-        return self._adoption.adopt(batch, now)
+        return self._adoption.adopt(transaction, now)
 
     # What the controller's loop calls.
 
@@ -200,11 +204,13 @@
         if self.phase.name is before.name:
             return False
         self._log_phase(now)
-        part, term = self.runtime.part, self.runtime.tenure.term
-        self._observer.recovery_phase(part, term, str(before.name), self._phase_since, self.found)
+        partition, term = self.leader.partition, self.leader.leadership.term
+        self._observer.recovery_phase(
+            partition, term, str(before.name), self._phase_since, self.found
+        )
         self._phase_since = now
         if self.phase.name is PhaseName.SETTLED:
-            self._observer.recovery_over(part, term, before.since, self.found)
+            self._observer.recovery_over(partition, term, before.since, self.found)
         return True
 
     def gather_again(self) -> None:
@@ -216,8 +222,8 @@
         evidence = self.machines.evidence(self.lost_writes)
         log.info(
             "phase",
-            part=self.runtime.part,
-            term=self.runtime.tenure.term,
+            partition=self.leader.partition,
+            term=self.leader.leadership.term,
             phase=self.phase.name,
             seconds=f"{(now - self.phase.since).total_seconds():.1f}",
             heard=len(evidence.heard),
@@ -230,7 +236,7 @@
         """What is recorded for the other controllers and for operators."""
         evidence = self.machines.evidence(self.lost_writes)
         return RecoveryProgress(
-            self.runtime.tenure.term,
+            self.leader.leadership.term,
             str(self.phase.name),
             self.lost_writes,
             len(evidence.expected),
@@ -244,7 +250,7 @@
     def judge_held(self, now: datetime) -> None:
         """Decides anew about every attempt that is held."""
         for held in self.held.all():
-            if held.machine not in self.runtime.machines:
+            if held.machine not in self.leader.machines:
                 self._let_go(held, "machine gone")
                 continue
             before, held.decision = held.decision, self._judgement.decide(held, now)
@@ -252,7 +258,7 @@
                 continue
             log.info(
                 "decision",
-                part=self.runtime.part,
+                partition=self.leader.partition,
                 job=held.job,
                 index=held.index,
                 attempt=held.attempt,
@@ -260,7 +266,7 @@
                 decision=held.decision,
             )
             if held.decision in (Decision.ADOPT, Decision.RECORD_DONE):
-                self.runtime.wake_up.set()
+                self.leader.wake_up.set()
         self._note_loss()
 
     def _note_loss(self) -> None:
@@ -269,17 +275,19 @@
         if self.lost_writes or not self.cold:
             return
         for held in self.held.all():
-            job = self.runtime.live(held.job)
-            if job is not None and held.attempt >> ATTEMPT_TERM_BITS < self.runtime.tenure.term:
-                log.error("lost-writes", part=self.runtime.part, job=held.job, index=held.index)
-                self._around.note_lost_writes(self.runtime.part)
+            job = self.leader.live(held.job)
+            if job is not None and held.attempt >> ATTEMPT_TERM_BITS < self.leader.leadership.term:
+                log.error(
+                    "lost-writes", partition=self.leader.partition, job=held.job, index=held.index
+                )
+                self._around.note_lost_writes(self.leader.partition)
                 return
 
     def _let_go(self, held: HeldAttempt, why: str) -> None:
         self.held.remove(held)
         self._observer.recovery_settled(
-            self.runtime.part,
-            self.runtime.tenure.term,
+            self.leader.partition,
+            self.leader.leadership.term,
             f"{held.job}/{held.index}",
             held.machine,
             why,
@@ -287,7 +295,7 @@
         )
         log.info(
             "hold-over",
-            part=self.runtime.part,
+            partition=self.leader.partition,
             job=held.job,
             index=held.index,
             attempt=held.attempt,
--- a/roadbend/recovery/surroundings.py
+++ b/roadbend/recovery/surroundings.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from datetime import datetime
 
-from roadbend.fleet.listing import MachineList
+from roadbend.fleet.cloud_inventory import CloudInventory
 from roadbend.recovery.settings import RecoverySettings
 
 
@@ -15,7 +15,7 @@
     """A controller, as the recovery of a part sees it."""
 
     settings: RecoverySettings
-    listing: MachineList
+    inventory: CloudInventory
     # When the records were last read, and since when every live peer was heard.
     records_read: Callable[[], datetime | None]
     peers_heard: Callable[[], datetime | None]
--- a/roadbend/recovery/survey.py
+++ b/roadbend/recovery/survey.py
@@ -10,6 +10,7 @@
 
 import trio
 
+from roadbend.autoscaler.cloud import Cloud, CloudBusyError, Listed
 from roadbend.fleet import messages
 from roadbend.http.client import Client, NoAnswerError
 from roadbend.http.net import Net
@@ -24,12 +25,11 @@
     TaskId,
     compare,
 )
-from roadbend.rental.cloud import Cloud, CloudBusyError, Listed
-from roadbend.settings import Settings
+from roadbend.settings import PlatformSettings
 from roadbend.store import keys
-from roadbend.store.budget import Budget
-from roadbend.store.client import RefusedError, StateClient
-from roadbend.store.view import View
+from roadbend.store.client import RefusedError, StateStoreClient
+from roadbend.store.record_view import RecordView
+from roadbend.store.request_budget import RequestBudget
 
 # Machines asked at once, and how long one may take.
 MOST_ASKED = 48
@@ -37,10 +37,10 @@
 
 
 @dataclass(frozen=True)
-class PartStatus:
+class PartitionStatus:
     """How far the recovery of a part is, by the records."""
 
-    part: str
+    partition: str
     owner: str | None
     term: int
     phase: str
@@ -52,10 +52,10 @@
 
 
 @dataclass(frozen=True)
-class PartSurvey:
+class PartitionSurvey:
     """What differs in one part."""
 
-    part: str
+    partition: str
     comparison: Comparison
     services: frozenset[str]
     machines: int
@@ -63,7 +63,7 @@
 
 
 @dataclass
-class _PartState:
+class _PartitionState:
     recorded: set[Recorded] = field(default_factory=set)
     reported: set[Reported] = field(default_factory=set)
     machines: dict[str, Presence] = field(default_factory=dict)
@@ -76,37 +76,47 @@
 class Surveyor:
     """Reads what an operator wants to know."""
 
-    def __init__(self, settings: Settings, net: Net):
+    def __init__(self, settings: PlatformSettings, net: Net):
         self._settings, self._net = settings, net
-        budget = Budget(settings.state_rps, settings.state_write_rps, settings.controllers)
-        self._state = StateClient(Client(net, settings.state, most=4, keep=2), budget)
+        budget = RequestBudget(
+            settings.state_rps, settings.state_write_rps, settings.controller_count
+        )
+        self._state = StateStoreClient(Client(net, settings.state, most=4, keep=2), budget)
         self._cloud = Cloud(
-            Client(net, settings.cloud, most=2, keep=1), settings.cloud_rps, settings.controllers
+            Client(net, settings.cloud, most=2, keep=1),
+            settings.cloud_rps,
+            settings.controller_count,
         )
 
-    async def read_records(self) -> View:
+    async def read_records(self) -> RecordView:
         """All records of what is live."""
         try:
             rows, revision = await self._state.read_all(keys.LIVE)
         except (NoAnswerError, RefusedError) as error:
             raise SurveyError(f"state service: {error}") from None
-        view = View()
+        view = RecordView()
         view.load(rows, revision)
         return view
 
-    async def status(self) -> list[PartStatus]:
+    async def status(self) -> list[PartitionStatus]:
         """How far each part's recovery is, as its owner recorded it."""
         view = await self.read_records()
-        return [self._status_of(view, part) for part in sorted(view.terms)]
+        return [self._status_of(view, partition) for partition in sorted(view.terms)]
 
     @staticmethod
-    def _status_of(view: View, part: str) -> PartStatus:
-        term, own, progress = view.terms[part], view.owns.get(part), view.recoveries.get(part)
-        owner = own.node if own is not None else None
+    def _status_of(view: RecordView, partition: str) -> PartitionStatus:
+        term, own, progress = (
+            view.terms[partition],
+            view.partition_leaders.get(partition),
+            view.recoveries.get(partition),
+        )
+        owner = own.controller if own is not None else None
         if progress is None or progress.term != term.number:
-            return PartStatus(part, owner, term.number, "nothing recorded", False, 0, 0, 0.0, {})
-        return PartStatus(
-            part,
+            return PartitionStatus(
+                partition, owner, term.number, "nothing recorded", False, 0, 0, 0.0, {}
+            )
+        return PartitionStatus(
+            partition,
             owner,
             term.number,
             progress.phase,
@@ -117,23 +127,23 @@
             progress.differences,
         )
 
-    async def survey(self) -> list[PartSurvey]:
+    async def survey(self) -> list[PartitionSurvey]:
         """What differs now, part by part."""
         view = await self.read_records()
         listed = await self._list_machines()
-        parts: dict[str, _PartState] = {}
-        for part, machines in view.machines.items():
-            state = parts.setdefault(part, _PartState())
+        partitions: dict[str, _PartitionState] = {}
+        for partition, machines in view.attempts_by_machine.items():
+            state = partitions.setdefault(partition, _PartitionState())
             for machine, rows in machines.items():
                 state.machines[machine] = Presence.GONE
                 for (job, index), (_, attempt) in rows.items():
                     state.recorded.add(Recorded(TaskId(job, index), attempt.number, machine))
-        await self._ask_all(listed, parts)
+        await self._ask_all(listed, partitions)
         live = frozenset(view.jobs)
         services = frozenset(name for name, job in view.jobs.items() if job.spec.service)
         return [
-            PartSurvey(
-                part,
+            PartitionSurvey(
+                partition,
                 compare(
                     DesiredState(frozenset(state.recorded), live),
                     ObservedState(frozenset(state.reported), state.machines),
@@ -142,7 +152,7 @@
                 len(state.machines),
                 tuple(sorted(n for n, p in state.machines.items() if p is Presence.SILENT)),
             )
-            for part, state in sorted(parts.items())
+            for partition, state in sorted(partitions.items())
         ]
 
     async def _list_machines(self) -> list[Listed]:
@@ -151,36 +161,36 @@
         except (NoAnswerError, CloudBusyError) as error:
             raise SurveyError(f"cloud: {error}") from None
 
-    async def _ask_all(self, listed: list[Listed], parts: dict[str, _PartState]) -> None:
+    async def _ask_all(self, listed: list[Listed], partitions: dict[str, _PartitionState]) -> None:
         limit = trio.CapacityLimiter(MOST_ASKED)
         async with trio.open_nursery() as nursery:
             for row in listed:
-                state = parts.setdefault(row.zone, _PartState())
+                state = partitions.setdefault(row.zone, _PartitionState())
                 nursery.start_soon(self._ask, limit, row, state)
 
-    async def _ask(self, limit: trio.CapacityLimiter, row: Listed, state: _PartState) -> None:
+    async def _ask(self, limit: trio.CapacityLimiter, row: Listed, state: _PartitionState) -> None:
         if row.status != "running":
             known = {"booting": Presence.BOOTING, "failed": Presence.GONE}
             state.machines[row.id] = known.get(row.status, Presence.SILENT)
             return
         async with limit:
-            report = await self._inspect(row)
-        state.machines[row.id] = Presence.SILENT if report is None else Presence.HEARD
-        for task in report.tasks if report is not None else ():
+            heartbeat = await self._inspect(row)
+        state.machines[row.id] = Presence.SILENT if heartbeat is None else Presence.HEARD
+        for task in heartbeat.tasks if heartbeat is not None else ():
             shown = Reported(
                 TaskId(task.job, task.task_index), task.attempt, row.id, task.state == "ended"
             )
             state.reported.add(shown)
 
-    async def _inspect(self, row: Listed) -> messages.Report | None:
+    async def _inspect(self, row: Listed) -> messages.WorkerHeartbeat | None:
         if not row.address:
             return None
         client = Client(self._net, row.address, most=1, keep=0)
         try:
             status, body = await client.request("GET", "/inspect", within=ANSWER_WITHIN)
-            report = messages.read_report(body) if status == 200 else None
+            heartbeat = messages.parse_heartbeat(body) if status == 200 else None
         except (NoAnswerError, MalformedError):
             return None
         finally:
             await client.close()
-        return report if report is not None and report.machine == row.id else None
+        return heartbeat if heartbeat is not None and heartbeat.machine == row.id else None
--- a/roadbend/recovery/test_commands.py
+++ b/roadbend/recovery/test_commands.py
@@ -24,7 +24,7 @@
 
 
 async def test_the_commands_tell_what_differs_while_no_controller_is_up(capsys):
-    async with world(equip=lambda node: install(node, RecoverySettings())) as w:
+    async with world(equip=lambda controller: install(controller, RecoverySettings())) as w:
         assert await w.submit(0, job(1, legs=2, shape="daemon", dueS=None), None) == 201
         assert await w.until(lambda: len(w.board.running("run-000001")) == 2, 60)
         await trio.sleep(3)
--- a/roadbend/recovery/test_recovery.py
+++ b/roadbend/recovery/test_recovery.py
@@ -10,9 +10,9 @@
 from roadbend.fakes.differences import recorded_attempts, true_differences
 from roadbend.fakes.submission import gang, job
 from roadbend.fakes.world import world
-from roadbend.fleet.machines import Stop
-from roadbend.fleet.messages import Report
-from roadbend.recovery.part import KILL_AGAIN
+from roadbend.fleet.machines import StopOrder
+from roadbend.fleet.messages import WorkerHeartbeat
+from roadbend.recovery.partition import KILL_AGAIN
 from roadbend.recovery.service import install
 from roadbend.recovery.settings import RecoverySettings, load
 from roadbend.recovery.unrecorded import HeldAttempt
@@ -25,8 +25,8 @@
 SERVICE = dict(shape="daemon", dueS=None, loaners=False)
 
 
-def equip(node):
-    install(node, RecoverySettings())
+def equip(controller):
+    install(controller, RecoverySettings())
 
 
 @asynccontextmanager
@@ -54,8 +54,8 @@
 
 def cut(w, machines, length):
     """Machines reach no controller for a while."""
-    nodes = [f"node-{at}" for at in range(3)]
-    pairs = [(machine, node) for machine in machines for node in nodes]
+    controllers = [f"node-{at}" for at in range(3)]
+    pairs = [(machine, controller) for machine in machines for controller in controllers]
     w.nursery.start_soon(w.cut_pairs, pairs, length)
 
 
@@ -67,8 +67,8 @@
 
 @pytest.mark.parametrize("case", sorted(HARD_CASES))
 async def test_each_hard_case_passes_and_happens(case):
-    report = await play_here(scenario(5, 18, True, (case,)), equip)
-    assert report.verdict.passed, report.text()
+    heartbeat = await play_here(scenario(5, 18, True, (case,)), equip)
+    assert heartbeat.verdict.passed, heartbeat.text()
     happens = {
         "cancelled": "cancelled",
         "starts-on-their-way": "missing",
@@ -79,7 +79,7 @@
         "machines-hang": "silent",
     }
     if case in happens:
-        assert report.measured.differences[happens[case]], report.text()
+        assert heartbeat.measured.differences[happens[case]], heartbeat.text()
 
 
 async def test_an_unrecorded_attempt_is_adopted_where_it_runs():
@@ -174,7 +174,9 @@
     async with running(job(1, legs=1, **SERVICE)) as w:
         stop_all(w)
         drop(w, "r/slice/", "r/job/run-000001")
-        w.state.multi({"apply": [{"write": "fin/run-000001", "value": {"s": "aborted", "n": 0}}]})
+        w.state.compare_and_swap(
+            {"apply": [{"write": "fin/run-000001", "value": {"s": "aborted", "n": 0}}]}
+        )
         w.rules.cases["run-000001"].asked = trio.current_time()
         start_all(w)
         assert await w.until(lambda: not w.board.running("run-000001"), 10)
@@ -268,56 +270,56 @@
         cut(w, {m for homes in w.board.where.values() for m in homes}, 30.0)
         start_all(w)
         await trio.sleep(11)
-        part = w.nodes["node-0"].runtimes["east"].recovery
-        assert part.phase.name != "gathering"
-        assert not part._machines_known(clock.now())
-        assert part._machines_known(part._leases_over())
+        partition = w.controllers["node-0"].leaders["east"].recovery
+        assert partition.phase.name != "gathering"
+        assert not partition._machines_known(clock.now())
+        assert partition._machines_known(partition._leases_over())
 
 
 async def test_the_gate_is_shut_again_where_another_part_learns_of_lost_writes():
     async with running(job(1, legs=1, yard="east", **SERVICE)) as w:
         stop_all(w)
         start_all(w)
-        recovery = w.nodes["node-0"].shared.recovery
+        recovery = w.controllers["node-0"].context.recovery
         assert not recovery.gate_is_open("run-000001")
         assert await w.until(lambda: recovery.gate_is_open("run-000001"), 20)
         term = w._term("north")
         lost = RecoveryProgress(term, "gathering", True).to_value()
-        w.state.multi({"apply": [{"write": "r/recovery/north", "value": lost}]})
+        w.state.compare_and_swap({"apply": [{"write": "r/recovery/north", "value": lost}]})
         assert await w.until(lambda: not recovery.gate_is_open("run-000001"), 2)
         settled = RecoveryProgress(term, "settled", True).to_value()
-        w.state.multi({"apply": [{"write": "r/recovery/north", "value": settled}]})
+        w.state.compare_and_swap({"apply": [{"write": "r/recovery/north", "value": settled}]})
         assert await w.until(lambda: recovery.gate_is_open("run-000001"), 2)
 
 
 async def test_a_task_that_a_machine_shows_is_placed_nowhere_else():
     async with running(job(1, legs=1, yard="east", **SERVICE)) as w:
-        node = w.nodes["node-0"]
-        runtime = node.runtimes["east"]
+        controller = w.controllers["node-0"]
+        leader = controller.leaders["east"]
         held = HeldAttempt("run-000002", 1, 7, "m-000000", clock.now(), False)
-        waiting = Job("run-000002", node.view.jobs["run-000001"].spec, clock.wall())
-        waiting = waiting.with_part("east", ((0, 3),))
-        assert runtime.queue.unplaced(waiting) == ((0, 3),)
-        runtime.recovery.held.add(held)
-        assert runtime.queue.unplaced(waiting) == ((0, 1), (2, 3))
-        assert runtime.queue.unplaced(waiting.as_gang()) == ()
-        assert node.shared.recovery.holds_back("run-000002")
+        waiting = Job("run-000002", controller.view.jobs["run-000001"].spec, clock.wall())
+        waiting = waiting.with_partition("east", ((0, 3),))
+        assert leader.queue.unplaced(waiting) == ((0, 3),)
+        leader.recovery.held.add(held)
+        assert leader.queue.unplaced(waiting) == ((0, 1), (2, 3))
+        assert leader.queue.unplaced(waiting.as_gang()) == ()
+        assert controller.context.recovery.holds_back("run-000002")
 
 
 async def test_what_a_current_report_no_longer_shows_is_not_held_any_more():
     async with running(job(1, legs=1, yard="east", **SERVICE)) as w:
-        runtime = w.nodes["node-0"].runtimes["east"]
-        (machine,) = [m for m in runtime.machines.values() if m.tasks]
-        part, now = runtime.recovery, clock.now()
-        part.held.add(HeldAttempt("run-000009", 0, 7, machine.id, now, False))
-        report = Report(machine.id, "", "g2", "east", False, 1, 1, 0, None, (), [])
+        leader = w.controllers["node-0"].leaders["east"]
+        (machine,) = [m for m in leader.machines.values() if m.tasks]
+        partition, now = leader.recovery, clock.now()
+        partition.held.add(HeldAttempt("run-000009", 0, 7, machine.id, now, False))
+        heartbeat = WorkerHeartbeat(machine.id, "", "g2", "east", False, 1, 1, 0, None, (), [])
         # An older token proves presence only.
-        machine.ours = False
-        part.note_report(machine, report, now)
-        assert len(part.held) == 1
-        machine.ours = True
-        part.note_report(machine, report, now)
-        assert len(part.held) == 0
+        machine.token_confirmed = False
+        partition.note_heartbeat(machine, heartbeat, now)
+        assert len(partition.held) == 1
+        machine.token_confirmed = True
+        partition.note_heartbeat(machine, heartbeat, now)
+        assert len(partition.held) == 0
 
 
 async def test_a_submission_is_conditional_on_the_mark_of_an_unrecorded_job():
@@ -331,20 +333,20 @@
 async def test_no_direct_kill_goes_to_what_was_just_told_or_has_ended():
     """Every cancelled task got two kills after a restart."""
     async with running(job(1, legs=1, yard="east", **SERVICE)) as w:
-        runtime = w.nodes["node-0"].runtimes["east"]
-        (machine,) = [m for m in runtime.machines.values() if m.tasks]
+        leader = w.controllers["node-0"].leaders["east"]
+        (machine,) = [m for m in leader.machines.values() if m.tasks]
         ((key, seen),) = machine.tasks.items()
         now = clock.now()
-        stop = Stop(seen.attempt, clock.ZERO, "cancelled", now, machine.id)
-        assert not runtime.recovery.spaces_out(key, stop, now)
-        stop.told_at = now - KILL_AGAIN
-        assert not runtime.recovery.spaces_out(key, stop, now)
-        stop.told_at = now
-        assert runtime.recovery.spaces_out(key, stop, now)
-        stop.told_at = None
-        assert runtime.recovery.spaces_out(key, replace(stop, attempt=1), now)
+        stop = StopOrder(seen.attempt, clock.ZERO, "cancelled", now, machine.id)
+        assert not leader.recovery.spaces_out(key, stop, now)
+        stop.sent_at = now - KILL_AGAIN
+        assert not leader.recovery.spaces_out(key, stop, now)
+        stop.sent_at = now
+        assert leader.recovery.spaces_out(key, stop, now)
+        stop.sent_at = None
+        assert leader.recovery.spaces_out(key, replace(stop, attempt=1), now)
         seen.state = "ended"
-        assert runtime.recovery.spaces_out(key, stop, now)
+        assert leader.recovery.spaces_out(key, stop, now)
         seen.state = "running"
 
 
@@ -379,7 +381,7 @@
     async with running(job(1, legs=1, **SERVICE)) as w:
         stop_all(w)
         value = {"v": 99, "x": 1}
-        w.state.multi({"apply": [{"write": "r/recovery/east", "value": value}]})
+        w.state.compare_and_swap({"apply": [{"write": "r/recovery/east", "value": value}]})
         start_all(w)
         await trio.sleep(15)
         assert w.state.value("r/recovery/east") == value
--- a/roadbend/rehearsal/actions.py
+++ b/roadbend/rehearsal/actions.py
@@ -173,10 +173,10 @@
             stage.world.nursery.start_soon(stage.restart.watch)
             stage.note(f"differences at the return: {_listed(stage.restart.before.counts())}")
         for at in range(stage.world.count):
-            if f"node-{at}" not in stage.world.nodes:
+            if f"node-{at}" not in stage.world.controllers:
                 stage.world.start(at, self.previous_version_first and at == 0)
                 stage.note(f"controller {at} started")
-                pause = self.pause if len(stage.world.nodes) > 1 else self.first_alone
+                pause = self.pause if len(stage.world.controllers) > 1 else self.first_alone
                 await trio.sleep(max(pause, self.pause).total_seconds())
 
 
@@ -259,8 +259,8 @@
 
     async def play(self, stage: Stage) -> None:
         drawn = stage.draw_machines(self.count)
-        nodes = [f"node-{at}" for at in range(stage.world.count)]
-        pairs = [(machine, node) for machine in drawn for node in nodes]
+        controllers = [f"node-{at}" for at in range(stage.world.count)]
+        pairs = [(machine, controller) for machine in drawn for controller in controllers]
         length = self.length.total_seconds()
         stage.world.nursery.start_soon(stage.world.cut_pairs, pairs, length)
         stage.note(f"machines cut off for {length:g} s: {', '.join(drawn)}")
--- a/roadbend/rehearsal/real_processes.py
+++ b/roadbend/rehearsal/real_processes.py
@@ -95,16 +95,16 @@
     def note(event: str) -> None:
         events.append((round(time.monotonic() - began, 1), event))
 
-    controllers = Controllers(write_settings(directory, addresses, limits), recovery, log)
+    controller_count = Controllers(write_settings(directory, addresses, limits), recovery, log)
     async with trio.open_nursery() as nursery:
         fakes = Loopback(nursery, addresses, limits)
         await fakes.start()
         try:
-            controllers.start()
+            controller_count.start()
             await _start_work(fakes, workers, rng)
             note(f"{len(fakes.workers())} machines work")
             await trio.sleep(5)
-            controllers.kill()
+            controller_count.kill()
             note("all controllers killed")
             await trio.sleep(AWAY / 2)
             machines = sorted(worker.machine for worker in fakes.workers())
@@ -115,12 +115,12 @@
             await trio.sleep(AWAY / 2)
             restart = Restart(fakes, faulted)
             nursery.start_soon(restart.watch)
-            controllers.start()
+            controller_count.start()
             note(f"started again, {restart.before.total} differences")
             await trio.sleep(WATCHED)
             measured, waiting = restart.measured(), await _open_jobs(fakes)
         finally:
-            controllers.kill()
+            controller_count.kill()
         note("end")
         verdict = judge(measured, fakes.rules.broken, waiting, scenario.Limits())
         nursery.cancel_scope.cancel()
--- a/roadbend/rehearsal/runner.py
+++ b/roadbend/rehearsal/runner.py
@@ -7,9 +7,9 @@
 import trio
 import trio.testing
 
+from roadbend.controller import Controller
 from roadbend.fakes.search import use_simulated_time_of_day
 from roadbend.fakes.world import World, world
-from roadbend.node import Node
 from roadbend.rehearsal.measurement import Measured
 from roadbend.rehearsal.report import Report
 from roadbend.rehearsal.scenario import Scenario
@@ -27,7 +27,7 @@
 SPARE_SHARE, SPARE_LEAST = 10, 4
 BOOT_SECONDS = 5.0
 
-Equip = Callable[[Node], None]
+Equip = Callable[[Controller], None]
 
 
 def play(scenario: Scenario, equip: Equip | None = None) -> Report:
--- a/roadbend/settings.py
+++ b/roadbend/settings.py
@@ -41,7 +41,7 @@
 
 
 @dataclass(frozen=True)
-class Objective:
+class ServiceLevelObjective:
     """An aim as the platform restates it; kinds that we don't know are ignored."""
 
     kind: str
@@ -53,7 +53,7 @@
 
 
 @dataclass(frozen=True)
-class Settings:
+class PlatformSettings:
     """What the platform sets."""
 
     name: str
@@ -66,7 +66,7 @@
     zones: tuple[str, ...]
     teams: dict[str, Team]
     clock_off: timedelta
-    report_every: timedelta
+    heartbeat_interval: timedelta
     lease: timedelta
     cancel_within: timedelta
     state_rps: float
@@ -85,10 +85,10 @@
     # How long a gang's tasks wait for each other, and how soon they notice that one is gone.
     gang_wait: timedelta = timedelta(seconds=30)
     gang_peer: timedelta = timedelta(seconds=5)
-    objectives: tuple[Objective, ...] = ()
+    objectives: tuple[ServiceLevelObjective, ...] = ()
 
     @property
-    def controllers(self) -> int:
+    def controller_count(self) -> int:
         return len(self.peers) + 1
 
     @property
@@ -147,7 +147,7 @@
     return text
 
 
-def read_platform(text: str) -> Settings:
+def read_platform(text: str) -> PlatformSettings:
     try:
         table = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
@@ -178,7 +178,7 @@
         kind, share = _get(row, "kind", str, ""), _get(row, "share", float, 0.0)
         times = _get(row, "times", float, 1.0)
         objectives.append(
-            Objective(
+            ServiceLevelObjective(
                 kind,
                 job_class or None,
                 share,
@@ -189,7 +189,7 @@
     zones = _get(table, "deployment.zones", list, [])
     if not all(isinstance(zone, str) for zone in zones):
         raise SettingsError("bad value for deployment.zones: expected names")
-    return Settings(
+    return PlatformSettings(
         name=_get(table, "host_name", str),
         zone=_get(table, "domain", str),
         listen=_address(_get(table, "client_listen", str), "client_listen"),
@@ -200,7 +200,7 @@
         zones=tuple(zones),
         teams=teams,
         clock_off=timedelta(milliseconds=_get(table, "deployment.clock_off_ms", float, 100.0)),
-        report_every=timedelta(seconds=_positive(table, "deployment.workers.report_s")),
+        heartbeat_interval=timedelta(seconds=_positive(table, "deployment.workers.report_s")),
         lease=timedelta(seconds=_positive(table, "deployment.workers.lease_s")),
         cancel_within=timedelta(seconds=_positive(table, "deployment.workers.cancel_s")),
         state_rps=_positive(table, "deployment.state.rps"),
@@ -238,7 +238,7 @@
 
 
 @dataclass(frozen=True)
-class Operator:
+class OperatorSettings:
     """Operators' own settings. Durations are written in seconds."""
 
     omega: float = number(1.0, 0.0, 1.0, "weight of promised (shadow) load in a bid; the paper's ω")
@@ -320,9 +320,9 @@
     )
 
 
-def read_operator(text: str) -> Operator:
+def read_operator(text: str) -> OperatorSettings:
     """(roadbend (omega 1.0) (bid-wait 0.25) ...)"""
-    return read_form(text, "roadbend", Operator)
+    return read_form(text, "roadbend", OperatorSettings)
 
 
 def read_form(text: str, name: str, kind: type[_Form]) -> _Form:
@@ -373,11 +373,11 @@
     return f"{value.total_seconds():g}" if isinstance(value, timedelta) else f"{value:g}"
 
 
-def load(platform: Path, operator: Path | None) -> tuple[Settings, Operator]:
+def load(platform: Path, operator: Path | None) -> tuple[PlatformSettings, OperatorSettings]:
     """Both files of a controller. A missing operators' file means the defaults."""
     settings = read_platform(read_file(platform))
     if operator is None or not operator.exists():
-        return settings, Operator()
+        return settings, OperatorSettings()
     return settings, read_operator(read_file(operator))
 
 
