--- a/roadbend/store/client.py
+++ b/roadbend/store/client.py
@@ -10,7 +10,7 @@
 from roadbend.errors import RoadbendError
 from roadbend.http.client import Client, NoAnswerError
 from roadbend.retry import Backoff
-from roadbend.store.budget import Budget
+from roadbend.store.request_budget import RequestBudget
 
 
 class RefusedError(RoadbendError):
@@ -35,13 +35,13 @@
     return value
 
 
-class StateClient:
+class StateStoreClient:
     """The interface of the state service."""
 
     def __init__(
         self,
         client: Client,
-        budget: Budget,
+        budget: RequestBudget,
         within: timedelta = timedelta(seconds=1.5),
         rng: random.Random | None = None,
     ):
@@ -123,12 +123,16 @@
             raise NoAnswerError("nonsense: log")
         return events, _whole(answer.get("ledger"))
 
-    async def multi(
-        self, when: dict[str, int], apply: list[dict], urgent: bool = False, first: bool = False
+    async def compare_and_swap(
+        self,
+        conditions: dict[str, int],
+        changes: list[dict],
+        urgent: bool = False,
+        first: bool = False,
     ) -> int:
-        body = {"when": [{"path": k, "stamp": v} for k, v in when.items()], "apply": apply}
+        body = {"when": [{"path": k, "stamp": v} for k, v in conditions.items()], "apply": changes}
         status, answer = await self._call(
-            "POST", "/multi", body, writes=len(apply), urgent=urgent, first=first
+            "POST", "/multi", body, writes=len(changes), urgent=urgent, first=first
         )
         if status == 200 and isinstance(answer, dict):
             return _whole(answer.get("ledger"))
@@ -178,9 +182,9 @@
 
 
 async def commit(
-    state: StateClient,
-    when: dict[str, int],
-    apply: list[dict],
+    state: StateStoreClient,
+    conditions: dict[str, int],
+    changes: list[dict],
     *,
     within: timedelta,
     urgent: bool = False,
@@ -193,7 +197,7 @@
     waits = Backoff(timedelta(milliseconds=40), timedelta(milliseconds=500), state.rng)
     while True:
         try:
-            return await state.multi(when, apply, urgent, first)
+            return await state.compare_and_swap(conditions, changes, urgent, first)
         except (RefusedError, NoAnswerError) as error:
             wait = waits.next()
             if clock.now() + wait >= deadline:
--- a/roadbend/store/keys.py
+++ b/roadbend/store/keys.py
@@ -35,9 +35,9 @@
     return f"r/job/{job}"
 
 
-def slice_key(part: str, job: str, shard: int) -> str:
+def slice_key(partition: str, job: str, shard: int) -> str:
     """A shard of what a part runs of a job."""
-    key = f"r/slice/{quoted(part)}/{job}"
+    key = f"r/slice/{quoted(partition)}/{job}"
     # Records of version 0.1 had no shards; they are read, and emptied where they lie.
     return key if shard < 0 else f"{key}/{shard}"
 
@@ -52,24 +52,24 @@
     return f"r/gang/{job}"
 
 
-def term_key(part: str) -> str:
+def term_key(partition: str) -> str:
     """A part's term, which never ends."""
-    return f"r/term/{quoted(part)}"
+    return f"r/term/{quoted(partition)}"
 
 
-def own_key(part: str) -> str:
+def leader_key(partition: str) -> str:
     """Who owns a part."""
-    return f"r/own/{quoted(part)}"
+    return f"r/own/{quoted(partition)}"
 
 
-def node_key(name: str) -> str:
+def controller_key(name: str) -> str:
     """A live controller."""
     return f"r/node/{quoted(name)}"
 
 
-def recovery_key(part: str) -> str:
+def recovery_key(partition: str) -> str:
     """How far the recovery of a part is."""
-    return f"r/recovery/{quoted(part)}"
+    return f"r/recovery/{quoted(partition)}"
 
 
 def unrecorded_key(job: str) -> str:
@@ -77,6 +77,6 @@
     return f"r/unrecorded/{job}"
 
 
-def fin_key(job: str) -> str:
+def job_end_key(job: str) -> str:
     """The end of a job."""
     return f"fin/{job}"
--- a/roadbend/store/reader.py
+++ b/roadbend/store/record_reader.py
@@ -8,18 +8,18 @@
 from roadbend.http.client import NoAnswerError
 from roadbend.log import Log
 from roadbend.retry import Backoff
-from roadbend.settings import Operator
+from roadbend.settings import OperatorSettings
 from roadbend.store import keys
-from roadbend.store.client import RefusedError, StateClient
-from roadbend.store.view import View
+from roadbend.store.client import RefusedError, StateStoreClient
+from roadbend.store.record_view import RecordView
 
 log = Log("store")
 
 
-class Reader:
+class RecordReader:
     """Keeps the view fresh. One read serves everyone who waits when it begins."""
 
-    def __init__(self, view: View, state: StateClient, operator: Operator):
+    def __init__(self, view: RecordView, state: StateStoreClient, operator: OperatorSettings):
         self.view = view
         self._state = state
         self._operator = operator
@@ -32,7 +32,7 @@
         self.contact: datetime | None = None
         self.refusals = 0
 
-    async def sync(self) -> None:
+    async def read_barrier(self) -> None:
         """Returns when a read has ended that began after this call; the caller sets the time
         limit."""
         want = self._begun + 1
--- a/roadbend/store/view.py
+++ b/roadbend/store/record_view.py
@@ -15,39 +15,39 @@
 from roadbend.store.ranges import Ranges
 from roadbend.store.records import (
     Attempt,
+    ControllerRecord,
     Job,
-    Live,
-    Need,
-    Own,
+    LeaderRecord,
+    QuotaRecord,
     RecoveryProgress,
-    Slice,
-    Term,
-    Use,
+    Resources,
+    SliceShard,
+    TermRecord,
 )
 
 log = Log("store")
 
 
-class Work:
+class JobSlice:
     """A part's work on one job: its shards put together."""
 
     __slots__ = (
         "job",
-        "part",
+        "partition",
         "team",
-        "need",
+        "resources",
         "shards",
-        "run",
+        "attempts",
         "homes",
         "twice",
         "changed",
         "_done",
     )
 
-    def __init__(self, job: str, part: str, team: str, need: Need):
-        self.job, self.part, self.team, self.need = job, part, team, need
-        self.shards: dict[int, Slice] = {}
-        self.run: dict[int, Attempt] = {}
+    def __init__(self, job: str, partition: str, team: str, resources: Resources):
+        self.job, self.partition, self.team, self.resources = job, partition, team, resources
+        self.shards: dict[int, SliceShard] = {}
+        self.attempts: dict[int, Attempt] = {}
         # The shard that each running task was read from, and the tasks that another shard names,
         # too: a split writes the record that takes a task before the one that gives it up.
         self.homes: dict[int, int] = {}
@@ -73,25 +73,25 @@
         """A shard names a task's attempt no more. Gives the attempt if it does not run any more."""
         if self.homes.get(task_index) != shard:
             return None
-        attempt = self.run[task_index]
+        attempt = self.attempts[task_index]
         if task_index in self.twice and self._read_elsewhere(shard, task_index):
             return None
-        del self.run[task_index], self.homes[task_index]
+        del self.attempts[task_index], self.homes[task_index]
         return attempt
 
     def add(self, shard: int, task_index: int, attempt: Attempt) -> bool:
         """A shard names a task's attempt; says whether no other one did."""
-        if task_index in self.run:
+        if task_index in self.attempts:
             self.twice.add(task_index)
             return False
-        self.run[task_index], self.homes[task_index] = attempt, shard
+        self.attempts[task_index], self.homes[task_index] = attempt, shard
         return True
 
     def _read_elsewhere(self, shard: int, task_index: int) -> bool:
         """Takes a task to be where another shard names it; says whether one does so, with the same
         attempt."""
         for other, piece in self.shards.items():
-            if other != shard and piece.run.get(task_index) == self.run[task_index]:
+            if other != shard and piece.attempts.get(task_index) == self.attempts[task_index]:
                 self.homes[task_index] = other
                 return True
         self.twice.discard(task_index)
@@ -99,10 +99,10 @@
 
 
 # What runs on a machine by the records: (job, task) -> its part's work on the job, and the attempt.
-Rows = dict[tuple[str, int], tuple[Work, Attempt]]
+MachineAttempts = dict[tuple[str, int], tuple[JobSlice, Attempt]]
 
 
-class View:
+class RecordView:
     """The records, with indexes that follow every change; none of them is ever worked out anew."""
 
     def __init__(self):
@@ -114,18 +114,18 @@
         # Grows when a job comes or goes, not when one changes.
         self.membership = 0
         # Jobs of which a part holds tasks, by part, in the order in which they came.
-        self.held: dict[str, dict[str, None]] = {}
-        self.slices: dict[str, dict[str, Work]] = {}
-        self.machines: dict[str, dict[str, Rows]] = {}
+        self.assigned_jobs: dict[str, dict[str, None]] = {}
+        self.job_slices: dict[str, dict[str, JobSlice]] = {}
+        self.attempts_by_machine: dict[str, dict[str, MachineAttempts]] = {}
         # Tells the changes of what is recorded on a machine.
-        self.marks: dict[str, dict[str, int]] = {}
+        self.machine_versions: dict[str, dict[str, int]] = {}
         self._marked = 0
         # Cores and GPUs of all recorded attempts: part -> team -> amounts.
-        self.used: dict[str, dict[str, tuple[float, float]]] = {}
-        self.teams: dict[str, Use] = {}
-        self.terms: dict[str, Term] = {}
-        self.owns: dict[str, Own] = {}
-        self.nodes: dict[str, Live] = {}
+        self.usage: dict[str, dict[str, tuple[float, float]]] = {}
+        self.quotas: dict[str, QuotaRecord] = {}
+        self.terms: dict[str, TermRecord] = {}
+        self.partition_leaders: dict[str, LeaderRecord] = {}
+        self.controllers: dict[str, ControllerRecord] = {}
         # Jobs that are gangs, whatever their own records say.
         self.gangs: set[str] = set()
         # How far the recovery of each part is, as its owner wrote it, and by which part jobs that
@@ -145,11 +145,11 @@
         """What a job's, a slice's or a team's record holds, to write the same again."""
         kind, rest = self._split(key)
         if kind == "slice":
-            part, job, shard = self._split_slice(rest)
-            work = self.slices.get(part, {}).get(job)
-            row = work.shards.get(shard) if work is not None else None
+            partition, job, shard = self._split_slice(rest)
+            job_slice = self.job_slices.get(partition, {}).get(job)
+            row = job_slice.shards.get(shard) if job_slice is not None else None
         else:
-            row = {"job": self.jobs, "team": self.teams}.get(kind, {}).get(unquote(rest))
+            row = {"job": self.jobs, "team": self.quotas}.get(kind, {}).get(unquote(rest))
         return None if row is None else row.to_value()
 
     def put(self, key: str, value: Any, mod_revision: int) -> None:
@@ -184,10 +184,16 @@
             elif kind == "gang":
                 self.gangs.discard(rest)
             elif kind == "slice":
-                part, job, shard = self._split_slice(rest)
-                self._swap(part, job, shard, None)
-            elif kind in ("team", "term", "own", "node"):
-                getattr(self, f"{kind}s").pop(unquote(rest), None)
+                partition, job, shard = self._split_slice(rest)
+                self._swap(partition, job, shard, None)
+            elif kind == "team":
+                self.quotas.pop(unquote(rest), None)
+            elif kind == "term":
+                self.terms.pop(unquote(rest), None)
+            elif kind == "own":
+                self.partition_leaders.pop(unquote(rest), None)
+            elif kind == "node":
+                self.controllers.pop(unquote(rest), None)
             elif kind == "recovery":
                 self.recoveries.pop(unquote(rest), None)
             elif kind == "unrecorded":
@@ -195,13 +201,13 @@
             self.version += 1
         self._tell(key)
 
-    def applied(self, apply: list[dict], revision: int) -> None:
+    def applied(self, changes: list[dict], revision: int) -> None:
         """Our own transaction was carried out at this revision. An answer that comes after the log
         has passed that revision is old news: applying it could bring back a record removed
         since."""
         if revision <= self.revision:
             return
-        for row in apply:
+        for row in changes:
             if "write" in row:
                 if row["write"].startswith(keys.LIVE):
                     self.put(row["write"], row["value"], revision)
@@ -241,18 +247,18 @@
 
     @staticmethod
     def _split_slice(rest: str) -> tuple[str, str, int]:
-        part, _, rest = rest.partition("/")
+        partition, _, rest = rest.partition("/")
         job, slash, shard = rest.partition("/")
-        return unquote(part), job, int(shard) if slash else -1
+        return unquote(partition), job, int(shard) if slash else -1
 
     def _swap_job(self, name: str, new: Job | None) -> None:
         old = self.jobs.get(name)
-        before, after = (old.alloc if old else {}), (new.alloc if new else {})
-        for part in before:
-            if part not in after:
-                self.held[part].pop(name, None)
-        for part in after:
-            self.held.setdefault(part, {})[name] = None
+        before, after = (old.allocation if old else {}), (new.allocation if new else {})
+        for partition in before:
+            if partition not in after:
+                self.assigned_jobs[partition].pop(name, None)
+        for partition in after:
+            self.assigned_jobs.setdefault(partition, {})[name] = None
         if new is not None:
             self.jobs[name] = new
         elif old is not None:
@@ -261,67 +267,69 @@
             self.membership += 1
         if old is not None and new is None or before.keys() - after.keys():
             # Its tasks are to be stopped: machines that have some are looked at again.
-            for part, works in self.slices.items():
-                work = works.get(name)
-                if work is not None:
-                    for attempt in work.run.values():
-                        self._mark(part, attempt.machine)
+            for partition, job_slices in self.job_slices.items():
+                job_slice = job_slices.get(name)
+                if job_slice is not None:
+                    for attempt in job_slice.attempts.values():
+                        self._mark(partition, attempt.machine)
 
-    def _mark(self, part: str, machine: str) -> None:
+    def _mark(self, partition: str, machine: str) -> None:
         # One count for all, so that a mark that was dropped and began anew is never taken for the
         # old one.
         self._marked += 1
-        self.marks.setdefault(part, {})[machine] = self._marked
+        self.machine_versions.setdefault(partition, {})[machine] = self._marked
 
-    def _swap(self, part: str, job: str, shard: int, new: Slice | None) -> None:
+    def _swap(self, partition: str, job: str, shard: int, new: SliceShard | None) -> None:
         """A shard's record changed: the indexes follow by what differs."""
-        works = self.slices.setdefault(part, {})
-        work = works.get(job)
-        if work is None:
+        job_slices = self.job_slices.setdefault(partition, {})
+        job_slice = job_slices.get(job)
+        if job_slice is None:
             if new is None:
                 return
-            work = works[job] = Work(job, part, new.team, new.need)
-        old = work.shards.get(shard)
-        before, after = (old.run if old else {}), (new.run if new else {})
-        machines = self.machines.setdefault(part, {})
+            job_slice = job_slices[job] = JobSlice(job, partition, new.team, new.resources)
+        old = job_slice.shards.get(shard)
+        before, after = (old.attempts if old else {}), (new.attempts if new else {})
+        machines = self.attempts_by_machine.setdefault(partition, {})
         change = 0
         for task_index, attempt in before.items():
-            if after.get(task_index) != attempt and work.remove(shard, task_index) is not None:
+            if after.get(task_index) != attempt and job_slice.remove(shard, task_index) is not None:
                 change -= 1
                 rows = machines.get(attempt.machine)
                 if rows is not None:
                     rows.pop((job, task_index), None)
                     if not rows:
                         del machines[attempt.machine]
-                self._mark(part, attempt.machine)
+                self._mark(partition, attempt.machine)
         for task_index, attempt in after.items():
-            if before.get(task_index) != attempt and work.add(shard, task_index, attempt):
+            if before.get(task_index) != attempt and job_slice.add(shard, task_index, attempt):
                 change += 1
-                machines.setdefault(attempt.machine, {})[(job, task_index)] = (work, attempt)
-                self._mark(part, attempt.machine)
+                machines.setdefault(attempt.machine, {})[(job, task_index)] = (job_slice, attempt)
+                self._mark(partition, attempt.machine)
         if change:
-            teams = self.used.setdefault(part, {})
-            cpus, gpus = teams.get(work.team, (0.0, 0.0))
-            teams[work.team] = (
-                round(cpus + change * work.need.cpus, 6),
-                round(gpus + change * work.need.gpus, 6),
+            teams = self.usage.setdefault(partition, {})
+            cpus, gpus = teams.get(job_slice.team, (0.0, 0.0))
+            teams[job_slice.team] = (
+                round(cpus + change * job_slice.resources.cpus, 6),
+                round(gpus + change * job_slice.resources.gpus, 6),
             )
         if new is not None:
-            work.shards[shard] = new
+            job_slice.shards[shard] = new
         else:
-            work.shards.pop(shard, None)
-            if not work.shards:
-                del works[job]
-        work._done = None
+            job_slice.shards.pop(shard, None)
+            if not job_slice.shards:
+                del job_slices[job]
+        job_slice._done = None
         self._marked += 1
-        work.changed = self._marked
-        if len(self.marks.get(part, ())) > 20_000:
+        job_slice.changed = self._marked
+        if len(self.machine_versions.get(partition, ())) > 20_000:
             # Marks only ever tell a machine's change from no change; those without work may start
             # anew.
-            self.marks[part] = {name: n for name, n in self.marks[part].items() if name in machines}
+            self.machine_versions[partition] = {
+                name: n for name, n in self.machine_versions[partition].items() if name in machines
+            }
 
     def used_by(self, team: str) -> tuple[float, float]:
-        rows = [teams.get(team, (0.0, 0.0)) for teams in self.used.values()]
+        rows = [teams.get(team, (0.0, 0.0)) for teams in self.usage.values()]
         return sum(c for c, _ in rows), sum(g for _, g in rows)
 
     def _store(self, key: str, value: Any, mod_revision: int) -> None:
@@ -334,20 +342,27 @@
             if rest in self.jobs:
                 self._swap_job(rest, self.jobs[rest].as_gang())
         elif kind == "slice":
-            part, job, shard = self._split_slice(rest)
-            self._swap(part, job, shard, Slice.from_value(part, job, shard, value, mod_revision))
+            partition, job, shard = self._split_slice(rest)
+            self._swap(
+                partition,
+                job,
+                shard,
+                SliceShard.from_value(partition, job, shard, value, mod_revision),
+            )
         elif kind == "team":
             team = unquote(rest)
-            parts = {part: (float(c), float(g)) for part, (c, g) in value.items()}
-            self.teams[team] = Use(team, parts, mod_revision)
+            partitions = {partition: (float(c), float(g)) for partition, (c, g) in value.items()}
+            self.quotas[team] = QuotaRecord(team, partitions, mod_revision)
         elif kind == "term":
-            self.terms[unquote(rest)] = Term(int(value["n"]), value["node"], mod_revision)
+            self.terms[unquote(rest)] = TermRecord(int(value["n"]), value["node"], mod_revision)
         elif kind == "own":
-            self.owns[unquote(rest)] = Own(
+            self.partition_leaders[unquote(rest)] = LeaderRecord(
                 value["node"], value["boot"], int(value["term"]), mod_revision
             )
         elif kind == "node":
-            self.nodes[unquote(rest)] = Live(unquote(rest), value["boot"], mod_revision)
+            self.controllers[unquote(rest)] = ControllerRecord(
+                unquote(rest), value["boot"], mod_revision
+            )
         elif kind == "recovery":
             self.recoveries[unquote(rest)] = RecoveryProgress.from_value(value, mod_revision)
         elif kind == "unrecorded":
--- a/roadbend/store/records.py
+++ b/roadbend/store/records.py
@@ -29,19 +29,19 @@
 
 
 @dataclass(frozen=True)
-class Need:
+class Resources:
     """What one task takes of its machine."""
 
     cpus: float
     gpus: float
     memory: float
 
-    def times(self, n: int) -> "Need":
-        return Need(self.cpus * n, self.gpus * n, self.memory * n)
+    def times(self, n: int) -> "Resources":
+        return Resources(self.cpus * n, self.gpus * n, self.memory * n)
 
 
 @dataclass(frozen=True)
-class Spec:
+class JobSpec:
     """A job as its user submitted it."""
 
     team: str
@@ -49,7 +49,7 @@
     service: bool
     priority: int
     task_count: int
-    need: Need
+    resources: Resources
     machine_types: tuple[str, ...] | None
     zone: str | None
     together: bool
@@ -57,7 +57,7 @@
     spot: bool
     image: str
     image_gb: float
-    expected: timedelta
+    expected_duration: timedelta
     checkpoint: timedelta
     save: timedelta
     due: timedelta | None
@@ -78,7 +78,7 @@
             int(self.service),
             self.priority,
             self.task_count,
-            [self.need.cpus, self.need.gpus, self.need.memory],
+            [self.resources.cpus, self.resources.gpus, self.resources.memory],
             None if self.machine_types is None else list(self.machine_types),
             self.zone,
             int(self.together),
@@ -87,7 +87,7 @@
             self.image,
             self.image_gb,
             [
-                self.expected.total_seconds(),
+                self.expected_duration.total_seconds(),
                 self.checkpoint.total_seconds(),
                 self.save.total_seconds(),
             ],
@@ -95,14 +95,14 @@
         ]
 
     @staticmethod
-    def from_value(v: list) -> "Spec":
-        return Spec(
+    def from_value(v: list) -> "JobSpec":
+        return JobSpec(
             v[0],
             v[1],
             bool(v[2]),
             v[3],
             v[4],
-            Need(*map(float, v[5])),
+            Resources(*map(float, v[5])),
             None if v[6] is None else tuple(v[6]),
             v[7],
             bool(v[8]),
@@ -120,28 +120,32 @@
     """A live job."""
 
     id: str
-    spec: Spec
-    at: datetime
-    alloc: dict[str, Ranges] = field(default_factory=dict)
+    spec: JobSpec
+    submitted_at: datetime
+    allocation: dict[str, Ranges] = field(default_factory=dict)
     done: Ranges = ranges.EMPTY
     mod_revision: int = 0
 
     @cached_property
-    def free(self) -> Ranges:
+    def unassigned(self) -> Ranges:
         """Tasks that are neither over nor held by a part."""
-        held = ranges.normal([*self.done, *(pair for rs in self.alloc.values() for pair in rs)])
+        held = ranges.normal(
+            [*self.done, *(pair for rs in self.allocation.values() for pair in rs)]
+        )
         return ranges.minus(((0, self.spec.task_count),), held)
 
     @cached_property
     def deadline(self) -> datetime | None:
-        return None if self.spec.due is None else self.at + self.spec.due
+        return None if self.spec.due is None else self.submitted_at + self.spec.due
 
     def to_value(self) -> dict:
-        value = {"s": self.spec.to_value(), "at": clock.to_ms(self.at)}
+        value = {"s": self.spec.to_value(), "at": clock.to_ms(self.submitted_at)}
         if self.spec.gang:
             value["g"] = 1
-        if self.alloc:
-            value["a"] = {part: [list(p) for p in rs] for part, rs in self.alloc.items() if rs}
+        if self.allocation:
+            value["a"] = {
+                partition: [list(p) for p in rs] for partition, rs in self.allocation.items() if rs
+            }
         if self.done:
             value["d"] = [list(p) for p in self.done]
         return value
@@ -154,19 +158,21 @@
         if weigh(value) > most:
             value = {
                 **value,
-                "a": {part: ranges.to_text(rs) for part, rs in self.alloc.items() if rs},
+                "a": {
+                    partition: ranges.to_text(rs) for partition, rs in self.allocation.items() if rs
+                },
             }
             value["d"] = ranges.to_text(self.done)
         return value
 
     @staticmethod
     def from_value(job: str, v: dict, mod_revision: int) -> "Job":
-        spec = Spec.from_value(v["s"])
+        spec = JobSpec.from_value(v["s"])
         return Job(
             job,
             replace(spec, gang=True) if v.get("g") else spec,
             clock.from_ms(v["at"]),
-            {part: ranges.read(rs) for part, rs in v.get("a", {}).items()},
+            {partition: ranges.read(rs) for partition, rs in v.get("a", {}).items()},
             ranges.read(v.get("d", ())),
             mod_revision,
         )
@@ -174,7 +180,7 @@
     @property
     def weight(self) -> int:
         """A safe upper bound on the value's size in the form in which limits are measured."""
-        count = len(self.done) + sum(len(rs) + 8 for rs in self.alloc.values())
+        count = len(self.done) + sum(len(rs) + 8 for rs in self.allocation.values())
         spec = self.spec
         names = [
             spec.team,
@@ -188,11 +194,11 @@
     def as_gang(self) -> "Job":
         return self if self.spec.gang else replace(self, spec=replace(self.spec, gang=True))
 
-    def with_part(self, part: str, held: Ranges) -> "Job":
-        alloc = {p: rs for p, rs in self.alloc.items() if p != part}
+    def with_partition(self, partition: str, held: Ranges) -> "Job":
+        allocation = {p: rs for p, rs in self.allocation.items() if p != partition}
         if held:
-            alloc[part] = held
-        return replace(self, alloc=alloc)
+            allocation[partition] = held
+        return replace(self, allocation=allocation)
 
 
 class Attempt(NamedTuple):
@@ -203,44 +209,46 @@
 
 
 @dataclass(frozen=True)
-class Slice:
+class SliceShard:
     """A shard of a part's work on a job. An attempt stays in `run` from before its order is sent
     until the task is proven gone; that is what the team's use counts."""
 
     job: str
-    part: str
+    partition: str
     team: str
-    need: Need
+    resources: Resources
     done: Ranges = ranges.EMPTY
-    run: dict[int, Attempt] = field(default_factory=dict)
+    attempts: dict[int, Attempt] = field(default_factory=dict)
     mod_revision: int = 0
     shard: int = 0
 
     @property
     def key(self) -> str:
-        return keys.slice_key(self.part, self.job, self.shard)
+        return keys.slice_key(self.partition, self.job, self.shard)
 
     def to_value(self) -> dict:
         """Attempts are written by term, with what their machines' names begin with said once."""
         terms: dict[int, list[tuple[int, int, str]]] = {}
-        for task_index, (number, machine) in self.run.items():
+        for task_index, (number, machine) in self.attempts.items():
             terms.setdefault(number >> 32, []).append((task_index, number & 0xFFFFFFFF, machine))
         rows = []
         for term, attempts in terms.items():
             start = os.path.commonprefix([machine for _, _, machine in attempts])
             cut, flat = len(start), []
-            for task_index, seq, machine in attempts:
-                flat += (task_index, seq, machine[cut:])
+            for task_index, sequence, machine in attempts:
+                flat += (task_index, sequence, machine[cut:])
             rows.append([term, start, flat])
         return {
             "t": self.team,
-            "n": [self.need.cpus, self.need.gpus, self.need.memory],
+            "n": [self.resources.cpus, self.resources.gpus, self.resources.memory],
             "d": [list(p) for p in self.done],
             "r": rows,
         }
 
     @staticmethod
-    def from_value(part: str, job: str, shard: int, v: dict, mod_revision: int) -> "Slice":
+    def from_value(
+        partition: str, job: str, shard: int, v: dict, mod_revision: int
+    ) -> "SliceShard":
         if isinstance(v["r"], dict):
             run = {int(task_index): Attempt(a[0], a[1]) for task_index, a in v["r"].items()}
         else:
@@ -249,11 +257,11 @@
                 high = term << 32
                 for at in range(0, len(flat), 3):
                     run[flat[at]] = Attempt(high | flat[at + 1], start + flat[at + 2])
-        return Slice(
+        return SliceShard(
             job,
-            part,
+            partition,
             v["t"],
-            Need(*map(float, v["n"])),
+            Resources(*map(float, v["n"])),
             ranges.normal(v["d"]),
             run,
             mod_revision,
@@ -262,57 +270,57 @@
 
 
 @dataclass(frozen=True)
-class Use:
+class QuotaRecord:
     """What each part may use at most for a team: cpus and gpus set aside for it, never less than
     those of its attempts that are not proven gone. A part changes its own entry only."""
 
     team: str
-    parts: dict[str, tuple[float, float]] = field(default_factory=dict)
+    partitions: dict[str, tuple[float, float]] = field(default_factory=dict)
     mod_revision: int = 0
 
     @property
     def cpus(self) -> float:
-        return sum(c for c, _ in self.parts.values())
+        return sum(c for c, _ in self.partitions.values())
 
     @property
     def gpus(self) -> float:
-        return sum(g for _, g in self.parts.values())
+        return sum(g for _, g in self.partitions.values())
 
-    def with_part(self, part: str, cpus: float, gpus: float) -> "Use":
-        parts = {p: u for p, u in self.parts.items() if p != part}
+    def with_partition(self, partition: str, cpus: float, gpus: float) -> "QuotaRecord":
+        partitions = {p: u for p, u in self.partitions.items() if p != partition}
         if cpus > 1e-9 or gpus > 1e-9:
-            parts[part] = (round(cpus, 6), round(gpus, 6))
-        return replace(self, parts=parts)
+            partitions[partition] = (round(cpus, 6), round(gpus, 6))
+        return replace(self, partitions=partitions)
 
     def to_value(self) -> dict:
-        return {part: [c, g] for part, (c, g) in self.parts.items()}
+        return {partition: [c, g] for partition, (c, g) in self.partitions.items()}
 
 
 @dataclass(frozen=True)
-class Term:
+class TermRecord:
     """A part's term."""
 
     number: int
-    node: str
+    controller: str
     mod_revision: int = 0
 
 
 @dataclass(frozen=True)
-class Own:
+class LeaderRecord:
     """Who owns a part."""
 
-    node: str
-    boot: str
+    controller: str
+    incarnation: str
     term: int
     mod_revision: int = 0
 
 
 @dataclass(frozen=True)
-class Live:
+class ControllerRecord:
     """A live controller."""
 
     name: str
-    boot: str
+    incarnation: str
     mod_revision: int = 0
 
 
@@ -362,5 +370,5 @@
         )
 
 
-def fin_value(status: str, done: int) -> dict[str, Any]:
+def job_end_value(status: str, done: int) -> dict[str, Any]:
     return {"s": status, "n": done}
--- a/roadbend/store/budget.py
+++ b/roadbend/store/request_budget.py
@@ -14,7 +14,7 @@
 FALLEN_FOR = timedelta(minutes=10)
 
 
-class Bucket:
+class TokenBucket:
     """Tokens that come at a rate, up to a burst; each request takes one."""
 
     def __init__(self, rate: float, burst: float, now: datetime):
@@ -40,12 +40,14 @@
         self._level = min(self._level, 0.0)
 
 
-class SharedBucket:
+class SharedTokenBucket:
     """One of several controllers' share of a limit that all of them have together."""
 
     def __init__(self, total: float, sharers: int, burst: float = 1.0):
         self._total, self._sharers, self._burst = total, max(1, sharers), burst
-        self._bucket = Bucket(total / self._sharers, burst * total / self._sharers, clock.now())
+        self._bucket = TokenBucket(
+            total / self._sharers, burst * total / self._sharers, clock.now()
+        )
         self._count, self._counted_at = 0.0, clock.now()
         self.used = 0.0
 
@@ -85,7 +87,7 @@
         self._bucket.burst = max(1.0, self._bucket.rate * 0.9 * self._burst)
 
 
-class Budget:
+class RequestBudget:
     """What this controller may ask of the state service, of what all may together."""
 
     """Requests and changes of the state service. What keeps the rules and the leases never waits;
@@ -94,8 +96,8 @@
     def __init__(
         self, rps: float, write_rps: float, sharers: int, next_write_rps: float | None = None
     ):
-        self._calls = SharedBucket(rps * 0.92, sharers)
-        self._writes = SharedBucket(write_rps * 0.92, sharers)
+        self._calls = SharedTokenBucket(rps * 0.92, sharers)
+        self._writes = SharedTokenBucket(write_rps * 0.92, sharers)
         self._rates = (write_rps * 0.92, min(write_rps, next_write_rps or write_rps) * 0.92)
         self._fell: datetime | None = None
         self._first = 0
--- a/roadbend/store/test_store.py
+++ b/roadbend/store/test_store.py
@@ -13,13 +13,13 @@
 from roadbend.http.client import Client, NoAnswerError
 from roadbend.http.server import Server
 from roadbend.intake.messages import read_submission
-from roadbend.settings import Operator
+from roadbend.settings import OperatorSettings
 from roadbend.store import keys
-from roadbend.store.budget import Budget
-from roadbend.store.client import ConflictError, StateClient, commit, delete, put
-from roadbend.store.reader import Reader
-from roadbend.store.records import Attempt, Job, Need, Slice, Use
-from roadbend.store.view import View
+from roadbend.store.client import ConflictError, StateStoreClient, commit, delete, put
+from roadbend.store.record_reader import RecordReader
+from roadbend.store.record_view import RecordView
+from roadbend.store.records import Attempt, Job, QuotaRecord, Resources, SliceShard
+from roadbend.store.request_budget import RequestBudget
 
 S = timedelta(seconds=1)
 
@@ -34,7 +34,9 @@
             )
 
         self.network.register("state:1", "state", accept)
-        self.state = StateClient(Client(self.network.port(host), "state:1"), Budget(1000, 1000, 1))
+        self.state = StateStoreClient(
+            Client(self.network.port(host), "state:1"), RequestBudget(1000, 1000, 1)
+        )
 
 
 async def test_records_come_back_as_they_were_written():
@@ -43,11 +45,17 @@
         name, spec, clock.from_ms(1_700_000_000_123), {"east": ((0, 4), (6, 7))}, ((4, 5),), 3
     )
     assert Job.from_value(name, one.to_value(), 3) == one
-    assert one.free == ((5, 6), (7, 9))
-    piece = Slice(name, "a/b", "red", Need(1, 2, 3), ((0, 2),), {5: Attempt(1 << 40, "m-1")}, 4)
-    assert Slice.from_value("a/b", name, 0, piece.to_value(), 4) == piece
-    use = Use("red", {"east": (1.0, 2.0)}).with_part("west", 3.0, 4.0).with_part("east", 0.0, 0.0)
-    assert use.parts == {"west": (3.0, 4.0)} and use.gpus == 4.0
+    assert one.unassigned == ((5, 6), (7, 9))
+    piece = SliceShard(
+        name, "a/b", "red", Resources(1, 2, 3), ((0, 2),), {5: Attempt(1 << 40, "m-1")}, 4
+    )
+    assert SliceShard.from_value("a/b", name, 0, piece.to_value(), 4) == piece
+    use = (
+        QuotaRecord("red", {"east": (1.0, 2.0)})
+        .with_partition("west", 3.0, 4.0)
+        .with_partition("east", 0.0, 0.0)
+    )
+    assert use.partitions == {"west": (3.0, 4.0)} and use.gpus == 4.0
 
 
 async def test_a_transaction_whose_answer_is_lost_is_carried_out_once():
@@ -70,24 +78,26 @@
 async def test_the_barrier_shows_what_another_wrote_before_the_question():
     async with trio.open_nursery() as nursery:
         desk = Desk(nursery)
-        view = View()
-        reader = Reader(view, desk.state, Operator())
+        view = RecordView()
+        reader = RecordReader(view, desk.state, OperatorSettings())
         nursery.start_soon(reader.run)
-        await reader.sync()
-        desk.service.multi({"apply": [put(keys.term_key("east"), {"n": 4, "node": "b"})]})
-        await reader.sync()
+        await reader.read_barrier()
+        desk.service.compare_and_swap(
+            {"apply": [put(keys.term_key("east"), {"n": 4, "node": "b"})]}
+        )
+        await reader.read_barrier()
         assert view.terms["east"].number == 4
         # Many who wait share one read.
         before = desk.service.requests
         async with trio.open_nursery() as many:
             for _ in range(200):
-                many.start_soon(reader.sync)
+                many.start_soon(reader.read_barrier)
         assert desk.service.requests - before <= 2
         nursery.cancel_scope.cancel()
 
 
 async def test_a_late_answer_does_not_bring_back_what_was_removed_since():
-    view = View()
+    view = RecordView()
     view.load([], 0)
     key = keys.term_key("east")
     view.events(
@@ -105,18 +115,18 @@
 
 async def test_a_view_fed_in_any_order_ends_like_the_service():
     rng = random.Random(5)
-    service, view = FakeStateService(clock=lambda: 0.0), View()
+    service, view = FakeStateService(clock=lambda: 0.0), RecordView()
     view.load([], 0)
     for _ in range(300):
         key = keys.term_key(f"p{rng.randrange(6)}")
         row = delete(key) if rng.random() < 0.3 else put(key, {"n": rng.randrange(99), "node": "a"})
-        revision = service.multi({"apply": [row]}).body["ledger"]
+        revision = service.compare_and_swap({"apply": [row]}).body["ledger"]
         if rng.random() < 0.5:
             view.applied([row], revision)
         if rng.random() < 0.3:
             view.events([e for _, e in service.log if e["stamp"] > view.revision], service.revision)
     view.events([e for _, e in service.log if e["stamp"] > view.revision], service.revision)
-    want = {keys.term_key(part): term.number for part, term in view.terms.items()}
+    want = {keys.term_key(partition): term.number for partition, term in view.terms.items()}
     assert want == {key: row[0]["n"] for key, row in service.keys.items()}
 
 
@@ -135,7 +145,9 @@
             await stream.aclose()
 
         network.register("state:1", "state", accept)
-        state = StateClient(Client(network.port("node"), "state:1"), Budget(1000, 1000, 1))
+        state = StateStoreClient(
+            Client(network.port("node"), "state:1"), RequestBudget(1000, 1000, 1)
+        )
         for _ in range(3):
             with pytest.raises(NoAnswerError):
                 await state.get("x")
@@ -144,7 +156,7 @@
 
 
 async def test_the_budget_keeps_to_its_share_and_lends_what_others_leave():
-    budget = Budget(90, 30, 3)
+    budget = RequestBudget(90, 30, 3)
 
     async def spend(seconds):
         count, end = 0, trio.current_time() + seconds
--- a/roadbend/test_apart_gangs.py
+++ b/roadbend/test_apart_gangs.py
@@ -9,7 +9,7 @@
 
 from roadbend.fakes.submission import gang, job
 from roadbend.fakes.world import World, world
-from roadbend.settings import Operator, Team
+from roadbend.settings import OperatorSettings, Team
 from roadbend.store import keys
 from roadbend.test_gangs import NAME, SMALL, TROUBLES, attempts, begun, running
 
@@ -83,7 +83,7 @@
     """Several gangs at a time of which each needs most of the room; owners change halfway."""
     rng = random.Random(seed)
     small = SMALL if seed % 2 else {}
-    operator = Operator(reoffer_every=timedelta(seconds=2))
+    operator = OperatorSettings(reoffer_every=timedelta(seconds=2))
     async with world(capacity=3, teams=TEAMS, operator=operator, **small) as w:
         await begun(w, gang(1, 6, **APART), 30.0, within=200)
         over = trio.Event()
@@ -109,4 +109,4 @@
             await over.wait()
         assert await w.settled()
         await w.over(400)
-        assert keys.fin_key(NAME) in w.state.starting("fin/")
+        assert keys.job_end_key(NAME) in w.state.starting("fin/")
--- a/roadbend/test_gang_phases.py
+++ b/roadbend/test_gang_phases.py
@@ -7,7 +7,7 @@
 from roadbend import clock
 from roadbend.fakes.submission import gang, job
 from roadbend.fakes.world import World, world
-from roadbend.placement import gang_room, preemption
+from roadbend.placement import gang_reservations, preemption
 from roadbend.settings import Team
 from roadbend.store import keys
 from roadbend.test_gangs import NAME, TEAMS, attempts, begun, running
@@ -142,7 +142,7 @@
             w.start(0)
         await w.over()
         assert len(attempts(w, NAME)) == 1
-        assert keys.fin_key(NAME) in w.state.starting("fin/")
+        assert keys.job_end_key(NAME) in w.state.starting("fin/")
 
 
 async def test_no_task_begins_in_another_zone_before_the_old_attempt_is_gone():
@@ -203,12 +203,12 @@
         await keep_machines(w, 50, 1)
         assert await w.submit(0, gang(1, 60, yard="east"), 5.0) == 201
         await trio.sleep(3)
-        runtime = w.nodes["node-0"].runtimes["east"]
+        leader = w.controllers["node-0"].leaders["east"]
 
         async def reserve() -> None:
             while True:
                 until = clock.now() + preemption.RESERVATION_LIFETIME
-                runtime.reservations.update({m: (NAME, until) for m in runtime.machines})
+                leader.reservations.update({m: (NAME, until) for m in leader.machines})
                 await trio.sleep(0.05)
 
         w.nursery.start_soon(reserve)
@@ -226,9 +226,9 @@
         await keep_machines(w, 50, 1)
         assert await w.submit(0, gang(1, 60, yard="east"), 5.0) == 201
         await trio.sleep(3)
-        runtime = w.nodes["node-0"].runtimes["east"]
-        until = clock.now() + gang_room.KEEP
-        runtime.kept_for_gangs.update({m: (NAME, until) for m in runtime.machines})
+        leader = w.controllers["node-0"].leaders["east"]
+        until = clock.now() + gang_reservations.KEEP
+        leader.gang_reservations_by_machine.update({m: (NAME, until) for m in leader.machines})
         small = dict(yard="east", vcpus=2.0, gpus=0.0, memoryGb=1.0, loaners=False, dueS=None)
         assert await w.submit(0, job(2, **small), 5.0) == 201
         assert await w.submit(0, job(3, rank="production", **small), 5.0) == 201
--- a/roadbend/test_gangs.py
+++ b/roadbend/test_gangs.py
@@ -9,7 +9,7 @@
 
 from roadbend.fakes.submission import gang, job
 from roadbend.fakes.world import World, world
-from roadbend.settings import Objective, Operator, Team
+from roadbend.settings import OperatorSettings, ServiceLevelObjective, Team
 from roadbend.store import keys
 
 S = timedelta(seconds=1)
@@ -108,7 +108,7 @@
         await trio.sleep(3)
         w.start(0)
         await w.over()
-        assert keys.fin_key(NAME) in w.state.starting("fin/")
+        assert keys.job_end_key(NAME) in w.state.starting("fin/")
 
 
 async def test_two_gangs_that_need_all_the_room_run_one_after_the_other():
@@ -303,8 +303,10 @@
         else {}
     )
     # Services have an aim for their start, too: their orders go out directly, as gangs' do.
-    small["objectives"] = (Objective("wait", "plans", 0.9, 5 * S),)
-    async with world(capacity=8, teams=TEAMS, operator=Operator(reoffer_every=2 * S), **small) as w:
+    small["objectives"] = (ServiceLevelObjective("wait", "plans", 0.9, 5 * S),)
+    async with world(
+        capacity=8, teams=TEAMS, operator=OperatorSettings(reoffer_every=2 * S), **small
+    ) as w:
         assert (
             await w.submit(
                 0, job(50, shape="daemon", legs=3, apart=True, dueS=None, loaners=False), None
@@ -342,4 +344,4 @@
         assert await w.settled()
         await w.over()
         assert not w.state.starting("r/gang/")
-        assert keys.fin_key(NAME) in w.state.starting("fin/")
+        assert keys.job_end_key(NAME) in w.state.starting("fin/")
--- a/roadbend/test_growth.py
+++ b/roadbend/test_growth.py
@@ -9,31 +9,31 @@
 import trio
 
 from roadbend import clock
-from roadbend.bidding import exchange
+from roadbend.autoscaler import cloud as renting
+from roadbend.autoscaler.cloud import Cloud
+from roadbend.autoscaler.policy import Timing, wanted
+from roadbend.autoscaler.test_autoscaler import choices
+from roadbend.bidding import requester
 from roadbend.fakes.submission import job
 from roadbend.fakes.world import world
 from roadbend.http.client import NoAnswerError
 from roadbend.placement import (
     ends,
     forecast,
-    gang_room,
+    gang_reservations,
     policy,
     preemption,
+    quotas,
     restrictions,
     starts,
-    team_limits,
 )
-from roadbend.placement.forecast import Line
-from roadbend.placement.test_placement import pending, room
-from roadbend.rental import cloud as renting
-from roadbend.rental.cloud import Cloud
-from roadbend.rental.policy import Timing, wanted
-from roadbend.rental.test_rental import choices
-from roadbend.settings import Operator, Team
+from roadbend.placement.forecast import MachineTimeline
+from roadbend.placement.test_placement import capacity, pending
+from roadbend.settings import OperatorSettings, Team
 from roadbend.store import keys, ranges, records
 from roadbend.store.client import delete, put
-from roadbend.store.records import Attempt, Job, Need, Slice
-from roadbend.store.view import View
+from roadbend.store.record_view import RecordView
+from roadbend.store.records import Attempt, Job, Resources, SliceShard
 
 KIB4 = 4 * 1024
 
@@ -47,27 +47,31 @@
             n: Attempt((7 << 32) | 90_000 + n, f"m-{rng.randrange(10**6):06d}")
             for n in range(first, first + width)
         }
-        piece = Slice("run-000001", "east", "team-0000000001", Need(8, 1, 43.5), run=run)
+        piece = SliceShard(
+            "run-000001", "east", "team-0000000001", Resources(8, 1, 43.5), attempts=run
+        )
         for _ in range(width + 1):
             assert records.weigh(piece.to_value()) < value * 0.95
-            left = list(piece.run)
+            left = list(piece.attempts)
             if left:
                 task_index = rng.choice(left[::2] or left)
-                rest = {n: a for n, a in piece.run.items() if n != task_index}
+                rest = {n: a for n, a in piece.attempts.items() if n != task_index}
                 piece = replace(
-                    piece, run=rest, done=ranges.union(piece.done, ((task_index, task_index + 1),))
+                    piece,
+                    attempts=rest,
+                    done=ranges.union(piece.done, ((task_index, task_index + 1),)),
                 )
-        again = Slice.from_value("east", "run-000001", 0, piece.to_value(), 0)
+        again = SliceShard.from_value("east", "run-000001", 0, piece.to_value(), 0)
         assert again == piece
 
 
 def test_records_of_the_first_version_are_read():
     value = {"t": "red", "n": [8, 1, 40], "d": [[0, 2]], "r": {"5": [(3 << 32) | 7, "m-1"]}}
-    view = View()
+    view = RecordView()
     view.put("r/slice/east/run-1", value, 3)
-    work = view.slices["east"]["run-1"]
+    work = view.job_slices["east"]["run-1"]
     assert (
-        work.run == {5: Attempt((3 << 32) | 7, "m-1")}
+        work.attempts == {5: Attempt((3 << 32) | 7, "m-1")}
         and work.shard_of(5, 16) == -1
         and work.shard_of(6, 16) == 0
     )
@@ -75,27 +79,27 @@
 
 
 def test_the_indexes_follow_every_change_as_if_worked_out_anew():
-    rng, view, mod_revision = random.Random(3), View(), 0
-    rows: dict[str, Slice] = {}
+    rng, view, mod_revision = random.Random(3), RecordView(), 0
+    rows: dict[str, SliceShard] = {}
     for _ in range(600):
         mod_revision += 1
-        part, name, shard = (
+        partition, name, shard = (
             rng.choice(("east", "west")),
             f"run-{rng.randrange(6)}",
             rng.randrange(3),
         )
-        key = keys.slice_key(part, name, shard)
+        key = keys.slice_key(partition, name, shard)
         if rng.random() < 0.25:
             rows.pop(key, None)
             view.drop(key, mod_revision)
             continue
         tasks = rng.sample(range(shard * 8, shard * 8 + 8), rng.randrange(6))
         run = {n: Attempt(rng.randrange(3), f"m-{rng.randrange(4)}") for n in tasks}
-        rows[key] = Slice(
+        rows[key] = SliceShard(
             name,
-            part,
+            partition,
             "red" if name < "run-3" else "blue",
-            Need(2, 1, 10),
+            Resources(2, 1, 10),
             (),
             run,
             mod_revision,
@@ -103,34 +107,38 @@
         )
         view.put(key, rows[key].to_value(), mod_revision)
         seen = {
-            (part, machine, key, attempt)
-            for part, machines in view.machines.items()
+            (partition, machine, key, attempt)
+            for partition, machines in view.attempts_by_machine.items()
             for machine, found in machines.items()
             for key, (_, attempt) in found.items()
         }
         want = {
-            (p.part, a.machine, (p.job, task_index), a)
+            (p.partition, a.machine, (p.job, task_index), a)
             for p in rows.values()
-            for task_index, a in p.run.items()
+            for task_index, a in p.attempts.items()
         }
         assert seen == want
         for team in ("red", "blue"):
-            count = sum(len(p.run) for p in rows.values() if p.team == team)
+            count = sum(len(p.attempts) for p in rows.values() if p.team == team)
             assert view.used_by(team) == (2.0 * count, 1.0 * count)
 
 
 def lines(count, gpus=2.0):
-    return [Line(room(f"m-{n}", gpus=gpus)) for n in range(count)]
+    return [MachineTimeline(capacity(f"m-{n}", gpus=gpus)) for n in range(count)]
 
 
 def test_a_wide_job_costs_a_look_at_each_machine_and_not_one_a_task(calls):
-    small = calls(lambda: forecast.lay([pending(1, 10, legs=10)], lines(100), lambda _: 30.0, 9999))
+    small = calls(
+        lambda: forecast.project([pending(1, 10, legs=10)], lines(100), lambda _: 30.0, 9999)
+    )
     wide = calls(
-        lambda: forecast.lay([pending(1, 200, legs=200)], lines(100), lambda _: 30.0, 9999)
+        lambda: forecast.project([pending(1, 200, legs=200)], lines(100), lambda _: 30.0, 9999)
+    )
+    more = calls(
+        lambda: forecast.project([pending(1, 10, legs=10)], lines(300), lambda _: 30.0, 9999)
     )
-    more = calls(lambda: forecast.lay([pending(1, 10, legs=10)], lines(300), lambda _: 30.0, 9999))
     assert wide - small < 190 * 16 and more < small * 3.5
-    full = [room(f"m-{n}", gpus=0.0) for n in range(200)]
+    full = [capacity(f"m-{n}", gpus=0.0) for n in range(200)]
     queue = [pending(n, 50, legs=50) for n in range(100)]
     # What found no room is not looked for again by others alike.
     assert calls(lambda: policy.place(queue, full)) < 200 * 10 + 100 * 20
@@ -149,24 +157,26 @@
             )
             await trio.sleep(10)
             name = next(iter(w.board.where["run-000001/0"]))
-            runtime, worker = w.nodes["node-0"].runtimes["east"], w.cloud.machines[name].worker
-            data, answers = worker.report(), []
+            leader, worker = w.controllers["node-0"].leaders["east"], w.cloud.machines[name].worker
+            data, answers = worker.heartbeat(), []
             costs.append(
                 calls(
-                    lambda r=runtime, d=data, a=answers: a.append(
-                        r.reports.answer_unchanged(d, clock.now())
+                    lambda r=leader, d=data, a=answers: a.append(
+                        r.heartbeats.answer_unchanged(d, clock.now())
                     )
                 )
             )
-            assert answers == [runtime.reports.token(runtime.machines[name])]
+            assert answers == [leader.heartbeats.token(leader.machines[name])]
             # The same once more is a copy, and one with other tasks is no calm report.
-            assert runtime.reports.answer_unchanged(data, clock.now()) is None
+            assert leader.heartbeats.answer_unchanged(data, clock.now()) is None
             assert (
-                runtime.reports.answer_unchanged({**worker.report(), "legs": []}, clock.now())
+                leader.heartbeats.answer_unchanged({**worker.heartbeat(), "legs": []}, clock.now())
                 is None
             )
             assert (
-                runtime.reports.answer_unchanged({**worker.report(), "stint": [1]}, clock.now())
+                leader.heartbeats.answer_unchanged(
+                    {**worker.heartbeat(), "stint": [1]}, clock.now()
+                )
                 is None
             )
         assert costs[0] == costs[1] < 30
@@ -195,7 +205,7 @@
 async def test_the_widest_array_begins_behind_a_steady_stream_of_small_ones():
     """A team at its limit: small jobs come all the time, and their parts hold all of the team's
     room."""
-    operator = Operator(
+    operator = OperatorSettings(
         begin_within=timedelta(seconds=30), reoffer_every=timedelta(seconds=1e4 / 20)
     )
     async with world(capacity=4, operator=operator, teams={"red": Team("red", 0, 0, 2, 6)}) as w:
@@ -373,22 +383,24 @@
             await w.submit(1, job(1, legs=2, yard="east", shape="daemon", dueS=None), None) == 201
         )
         for _ in range(4):
-            node = w.nodes["node-0"]
-            tenure = node.ownership.tenure("east")
-            terms.append(tenure.term if tenure else None)
+            controller = w.controllers["node-0"]
+            leadership = controller.election.leadership("east")
+            terms.append(leadership.term if leadership else None)
             mod_revision, lease_id = (
-                node.view.mod_revision(keys.node_key("node-0")),
-                node.ownership._lease_id,
+                controller.view.mod_revision(keys.controller_key("node-0")),
+                controller.election._lease_id,
             )
             w.crash(0)
             await trio.sleep(0.1)
             w.start(0)
             assert await w.settled()
             late = {
-                "when": [{"path": keys.node_key("node-0"), "stamp": mod_revision}],
-                "apply": [put(keys.node_key("node-0"), {"boot": node.boot}, lease_id)],
+                "when": [{"path": keys.controller_key("node-0"), "stamp": mod_revision}],
+                "apply": [
+                    put(keys.controller_key("node-0"), {"boot": controller.incarnation}, lease_id)
+                ],
             }
-            assert w.state.multi(late).status != 200
+            assert w.state.compare_and_swap(late).status != 200
         assert None not in terms and len(set(terms)) == 4
         assert await w.until(lambda: len(w.board.running("run-000001")) == 2, 90)
         assert len(set(w.cloud.names)) == len(w.cloud.names)
@@ -404,16 +416,19 @@
             machines = set(w.cloud.machines)
             for other in ("state", "cloud", "node-1", "node-2"):
                 w.network.cut("node-0", other)
-            assert await w.until(lambda w=w: w.nodes["node-1"].up(clock.now()), 5)
+            assert await w.until(lambda w=w: w.controllers["node-1"].up(clock.now()), 5)
             await trio.sleep(3)
             status, _ = await w.call(0, "GET", "/v1/jobs/run-000001")
             assert status == 503
 
             def led(w=w, machines=frozenset(machines)):
                 return any(
-                    (runtime := node.runtimes.get("east")) is not None
-                    and all(m in runtime.machines and runtime.machines[m].ours for m in machines)
-                    for name, node in w.nodes.items()
+                    (leader := controller.leaders.get("east")) is not None
+                    and all(
+                        m in leader.machines and leader.machines[m].token_confirmed
+                        for m in machines
+                    )
+                    for name, controller in w.controllers.items()
                     if name != "node-0"
                 )
 
@@ -428,7 +443,7 @@
                 ):
                     w.network.heal("node-0", other)
                 await trio.sleep(4)
-            assert await w.until(lambda w=w: w.nodes["node-0"].up(clock.now()), 20)
+            assert await w.until(lambda w=w: w.controllers["node-0"].up(clock.now()), 20)
             await trio.sleep(40)
             assert machines <= set(w.cloud.machines), first
             assert len(w.board.running("run-000001")) == 4 and len(w.board.starts) == 4, first
@@ -463,37 +478,39 @@
 
 def test_a_job_goes_on_under_its_record_however_its_ends_come():
     name, free = "run-1", Job("run-1", pending(1, legs=250).job.spec, clock.wall())
-    view = View()
+    view = RecordView()
     view.put(keys.job_key(name), free.to_value(), 1)
-    held = free.with_part("east", ((0, 250),))
+    held = free.with_partition("east", ((0, 250),))
     view.put(keys.job_key(name), held.to_value(), 2)
-    assert list(view.held["east"]) == [name] and view.membership == 1
+    assert list(view.assigned_jobs["east"]) == [name] and view.membership == 1
     view.applied([delete(keys.job_key(name))], 9)
-    assert view.held["east"] == {} and view.membership == 2
+    assert view.assigned_jobs["east"] == {} and view.membership == 2
 
 
 async def test_a_smaller_share_of_a_core_and_more_parts_mean_fewer_looks_at_everything():
     """On a quarter of a core, forecasts that rested as on a whole one took most of it, and answers
     fell behind."""
     async with world(count=1) as w:
-        shared = w.nodes["node-0"].shared
-        whole = shared.rest(timedelta(milliseconds=50))
-        assert set(shared.ownership.tenures) == {"east"}
-        quarter = replace(shared, settings=replace(shared.settings, cpu=0.25))
+        context = w.controllers["node-0"].context
+        whole = context.rest(timedelta(milliseconds=50))
+        assert set(context.election.leaderships) == {"east"}
+        quarter = replace(context, settings=replace(context.settings, cpu=0.25))
         assert quarter.rest(timedelta(milliseconds=50)) == whole * 4
-        shared.ownership.tenures["west"] = replace(shared.ownership.tenures["east"], part="west")
-        assert shared.rest(timedelta(milliseconds=50)) == whole * 2
-        del shared.ownership.tenures["west"]
+        context.election.leaderships["west"] = replace(
+            context.election.leaderships["east"], partition="west"
+        )
+        assert context.rest(timedelta(milliseconds=50)) == whole * 2
+        del context.election.leaderships["west"]
 
 
 async def test_steps_that_take_long_leave_time_for_reports(monkeypatch):
     """With 4,000 machines on a seventh of a core steps followed each other after 90 ms, whatever
     they took, and answers to reports and users fell behind."""
     async with world(count=1) as w:
-        runtime, begun = w.nodes["node-0"].runtimes["east"], []
+        leader, begun = w.controllers["node-0"].leaders["east"], []
 
         def slow(part_runtime, *_) -> bool:
-            if part_runtime is not runtime:
+            if part_runtime is not leader:
                 return False
             begun.append(trio.current_time())
             trio.lowlevel.current_clock().jump(0.3)
@@ -504,7 +521,7 @@
         del begun[:]
         began = trio.current_time()
         for _ in range(200):
-            runtime.wake_up.set()
+            leader.wake_up.set()
             await trio.sleep(0.05)
         # A third of the time at the most; and it goes on.
         assert 5 <= len(begun) <= (trio.current_time() - began) / 0.9 + 1
@@ -515,14 +532,15 @@
     other is a rest after failures, its team's limit kept for work whose machine boots, and all
     that it is passed over for: room left to a job of another part, being made, or kept for a
     gang."""
-    assert ends.BACKOFF_MOST + team_limits.HOLD + restrictions.PASSED_OVER < timedelta(seconds=90)
-    assert team_limits.YIELD < restrictions.PASSED_OVER
+    assert ends.BACKOFF_MOST + quotas.HOLD + restrictions.PASSED_OVER < timedelta(seconds=90)
+    assert quotas.YIELD < restrictions.PASSED_OVER
     assert preemption.RESERVATION_LIFETIME < restrictions.PASSED_OVER
-    assert gang_room.KEEP < restrictions.PASSED_OVER
+    assert gang_reservations.KEEP < restrictions.PASSED_OVER
     # A job that no part can start is offered everywhere well before that, its turn among others
     # counted.
-    assert exchange.LONG_WAIT + 4 * Operator().reoffer_every + Operator().cool_down < timedelta(
-        seconds=60
+    assert (
+        requester.LONG_WAIT + 4 * OperatorSettings().reoffer_every + OperatorSettings().cool_down
+        < timedelta(seconds=60)
     )
 
 
@@ -530,8 +548,8 @@
     """A wide array that only fits a machine type that is full stood first, and took all that its
     team had left."""
     wide, small = pending(1, 10, legs=50, rigs=["big"]), pending(2, 20, legs=2)
-    limits = policy.Allowance(lambda team: (1000.0, 4.0))
-    placed, left, _ = policy.place([wide, small], [room("m-1", gpus=2.0)], limits=limits)
+    limits = policy.QuotaAllowance(lambda team: (1000.0, 4.0))
+    placed, left, _ = policy.place([wide, small], [capacity("m-1", gpus=2.0)], limits=limits)
     assert [(item.job.id, task_index) for item, task_index, _ in placed] == [
         ("run-000002", 0),
         ("run-000002", 1),
@@ -539,6 +557,6 @@
     assert left[0].job.id == "run-000001" and left[0].count == 4
     # What waits for a machine that was hired for it keeps the limit from lesser work, for a while.
     high = pending(3, 10, legs=4, rigs=["big"], rank="production")
-    limits = policy.Allowance(lambda team: (1000.0, 4.0), lambda job: True)
-    placed, _, _ = policy.place([high, small], [room("m-1", gpus=2.0)], limits=limits)
+    limits = policy.QuotaAllowance(lambda team: (1000.0, 4.0), lambda job: True)
+    placed, _, _ = policy.place([high, small], [capacity("m-1", gpus=2.0)], limits=limits)
     assert placed == []
--- a/roadbend/test_house.py
+++ b/roadbend/test_house.py
@@ -8,7 +8,7 @@
 
 from roadbend.recovery.settings import RecoverySettings
 from roadbend.recovery.settings import load as load_recovery
-from roadbend.settings import Operator, read_operator
+from roadbend.settings import OperatorSettings, read_operator
 from roadbend.tracing.settings import TracingSettings
 from roadbend.tracing.settings import load as load_tracing
 
@@ -18,13 +18,13 @@
 
 def awaits_under_a_lock(tree: ast.AST) -> list[int]:
     found = []
-    for node in ast.walk(tree):
-        if isinstance(node, ast.With) and any(
-            "lock" in ast.unparse(item.context_expr) for item in node.items
+    for controller in ast.walk(tree):
+        if isinstance(controller, ast.With) and any(
+            "lock" in ast.unparse(item.context_expr) for item in controller.items
         ):
             found += [
                 n.lineno
-                for n in ast.walk(node)
+                for n in ast.walk(controller)
                 if isinstance(n, ast.Await | ast.AsyncWith | ast.AsyncFor)
             ]
     return found
@@ -54,6 +54,8 @@
 
 def test_every_operators_setting_is_in_the_reference_and_the_file_we_ship_is_good():
     page = (ROOT / "docs" / "settings.md").read_text()
-    missing = [f.name for f in fields(Operator) if f"| `{f.name.replace('_', '-')}` |" not in page]
+    missing = [
+        f.name for f in fields(OperatorSettings) if f"| `{f.name.replace('_', '-')}` |" not in page
+    ]
     assert missing == []
-    assert read_operator((ROOT / "deploy" / "roadbend.sexp").read_text()) == Operator()
+    assert read_operator((ROOT / "deploy" / "roadbend.sexp").read_text()) == OperatorSettings()
--- a/roadbend/test_nonsense.py
+++ b/roadbend/test_nonsense.py
@@ -38,7 +38,7 @@
         worker = w.workers()[0]
         codes = set()
         for n in range(400):
-            body = {**worker.report(), "hitch": f"m-{700_000 + n}"}
+            body = {**worker.heartbeat(), "hitch": f"m-{700_000 + n}"}
             row = {"leg": "run-000001/0", "try": 1, "status": "running"}
             body["legs"] = (
                 [{**row, rng.choice(list(row)): rng.choice(ODD)}] if n % 3 else body["legs"]
@@ -73,7 +73,7 @@
         await trio.sleep(5)
         for _ in range(300):
             worker = rng.choice(w.workers())
-            body = worker.report()
+            body = worker.heartbeat()
             kind = rng.randrange(3)
             if kind == 0 or not body["legs"]:
                 name = rng.choice((*names, "run-000009"))
@@ -114,7 +114,7 @@
             w.board.lengths[f"run-{n:06d}"] = 5.0
             await trio.sleep(4)
         service.handle = real
-        assert await w.settled() and len(w.nodes) == 3
+        assert await w.settled() and len(w.controllers) == 3
         assert await w.submit(0, job(20), 5.0) == 201
         assert await w.until(lambda: is_done(w), 120)
 
--- a/roadbend/test_ran_twice.py
+++ b/roadbend/test_ran_twice.py
@@ -11,15 +11,15 @@
 from roadbend import clock
 from roadbend.fakes.submission import job
 from roadbend.fakes.world import World, settings_for, world
-from roadbend.fleet.ended_attempts import AttemptEnd, Key
-from roadbend.fleet.messages import read_report
-from roadbend.parts.ownership import Tenure
+from roadbend.fleet.messages import parse_heartbeat
+from roadbend.fleet.terminations import TaskKey, Termination
+from roadbend.partitions.election import Leadership
 from roadbend.placement import ends
-from roadbend.placement.batch import Batch
+from roadbend.placement.transaction import TransactionBuilder
 from roadbend.settings import Team
 from roadbend.store.client import ConflictError
-from roadbend.store.records import Attempt, Need, Slice
-from roadbend.store.view import View
+from roadbend.store.record_view import RecordView
+from roadbend.store.records import Attempt, Resources, SliceShard
 
 TEAMS = {"red": Team("red", 0, 0, 20, 40)}
 SERVICE = dict(shape="daemon", dueS=None, loaners=False, yard="east")
@@ -46,9 +46,9 @@
 async def report_now(w: World, machine: str) -> None:
     """The machine reports at this very moment, and takes the answer."""
     worker = w.cloud.machines[machine].worker
-    sent, session, body = trio.current_time(), worker.session, worker.report()
+    sent, epoch, body = trio.current_time(), worker.epoch, worker.heartbeat()
     status, answer = await w.call(0, "POST", "/hello", body)
-    assert status == 200 and worker.take(answer, sent, session)
+    assert status == 200 and worker.take(answer, sent, epoch)
 
 
 async def test_an_attempt_with_a_proof_that_is_not_recorded_yet_is_not_ordered_again():
@@ -61,20 +61,20 @@
         assert await w.until(
             lambda: w.board.running("run-000001") and len(w.board.running("run-000002")) == 2, 60
         )
-        node, machine = w.nodes["node-0"], home(w)
+        controller, machine = w.controllers["node-0"], home(w)
         assert len(w.cloud.machines) == 2
-        runtime = node.runtimes["east"]
+        leader = controller.leaders["east"]
         w.cloud.down = True
         cut_off(w, machine)
         await trio.sleep(15)
         w.state.down = True
-        assert await w.until(lambda: TASK in runtime.ended, 20, 0.01), "the lease as proof"
+        assert await w.until(lambda: TASK in leader.ended, 20, 0.01), "the lease as proof"
         heal(w, machine)
         await trio.sleep(3)
         # The records are back, and the machine reports before its task's end has reached them.
         w.state.restore()
-        assert await w.until(lambda: node.ownership.may_start(clock.now()), 5, 0.005)
-        assert TASK in runtime.ended
+        assert await w.until(lambda: controller.election.may_start(clock.now()), 5, 0.005)
+        assert TASK in leader.ended
         await report_now(w, machine)
         cut_off(w, machine)
         assert await w.until(lambda: w.board.running("run-000001"), 60)
@@ -93,15 +93,15 @@
         assert await w.until(
             lambda: w.board.running("run-000001") and len(w.board.running("run-000002")) == 2, 60
         )
-        node, machine = w.nodes["node-0"], home(w)
-        runtime, worker = node.runtimes["east"], w.cloud.machines[machine].worker
+        controller, machine = w.controllers["node-0"], home(w)
+        leader, worker = controller.leaders["east"], w.cloud.machines[machine].worker
         w.cloud.down = True
         cut_off(w, machine)
         await trio.sleep(15)
-        held = worker.report()
+        held = worker.heartbeat()
         w.state.slow = 0.6
-        assert await w.until(lambda: TASK in runtime.ended._in_transaction, 20, 0.005)
-        assert worker.session == 2 and held["stint"] == 1
+        assert await w.until(lambda: TASK in leader.ended._in_transaction, 20, 0.005)
+        assert worker.epoch == 2 and held["stint"] == 1
         assert (await w.call(0, "POST", "/hello", held))[0] == 200
         await report_now(w, machine)
         cut_off(w, machine)
@@ -120,10 +120,10 @@
     with an order to start; the older one, read again, must neither set the machine's count back nor
     let a report from between the two prove that the task is absent."""
     async with world(count=1, capacity=1, teams=TEAMS, caches_images=True) as w:
-        node = w.nodes["node-0"]
+        controller = w.controllers["node-0"]
         assert await w.submit(0, job(2, legs=2, **SERVICE), None) == 201
         assert await w.until(lambda: len(w.board.running("run-000002")) == 2, 60)
-        machine, runtime = home(w, "run-000002/0"), node.runtimes["east"]
+        machine, leader = home(w, "run-000002/0"), controller.leaders["east"]
         assert await w.submit(0, job(1, **SERVICE), None) == 201
         await trio.sleep(5)
         worker = w.cloud.machines[machine].worker
@@ -134,21 +134,21 @@
         # state service is lost, so that the report waits to the end.
         failed = next(task for task in worker.tasks.values() if task.name == "run-000002/0")
         worker._end(failed, "error")
-        first, between = worker.report(), worker.report()
+        first, between = worker.heartbeat(), worker.heartbeat()
         w.state.deaf.add("node-0")
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(runtime.reports.handle, read_report(first))
-            assert await w.until(lambda: TASK in runtime.by_machine()[machine], 0.38, 0.005)
+            nursery.start_soon(leader.heartbeats.handle, parse_heartbeat(first))
+            assert await w.until(lambda: TASK in leader.by_machine()[machine], 0.38, 0.005)
             await report_now(w, machine)
-            attempt = runtime.by_machine()[machine][TASK][1]
+            attempt = leader.by_machine()[machine][TASK][1]
             if stopped_while_it_waits:
                 cut_off(w, machine)
-                runtime.stop(TASK, attempt, timedelta(seconds=5), "test", clock.now())
+                leader.stop(TASK, attempt, timedelta(seconds=5), "test", clock.now())
         w.state.deaf.clear()
         assert worker.tasks[(f"{TASK[0]}/0", attempt.number)].state != "ended"
         # The task is to be stopped, nothing reaches the machine, and the report from between comes.
         cut_off(w, machine)
-        runtime.stop(TASK, attempt, timedelta(seconds=5), "test", clock.now())
+        leader.stop(TASK, attempt, timedelta(seconds=5), "test", clock.now())
         await w.call(0, "POST", "/hello", between)
         await trio.sleep(17)
         heal(w, machine)
@@ -160,21 +160,21 @@
     async with world(count=1, teams=TEAMS) as w:
         assert await w.submit(0, job(1, **SERVICE), None) == 201
         assert await w.until(lambda: w.board.running("run-000001"), 60)
-        machine, runtime = home(w), w.nodes["node-0"].runtimes["east"]
+        machine, leader = home(w), w.controllers["node-0"].leaders["east"]
         worker = w.cloud.machines[machine].worker
         w.network.silence(machine)
         await trio.sleep(0.1)
         worker._end(next(iter(worker.tasks.values())), "error")
         answers = []
 
-        async def report() -> None:
-            answers.append(await runtime.reports.handle(read_report(worker.report())))
+        async def heartbeat() -> None:
+            answers.append(await leader.heartbeats.handle(parse_heartbeat(worker.heartbeat())))
 
         w.state.slow = 1.0
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(report)
+            nursery.start_soon(heartbeat)
             await trio.sleep(0.05)
-            runtime.gone(machine, "deleted")
+            leader.gone(machine, "deleted")
         assert answers == [None]
 
 
@@ -184,21 +184,21 @@
     async with world(count=1, teams=TEAMS) as w:
         assert await w.submit(0, job(1, **SERVICE), None) == 201
         assert await w.until(lambda: w.board.running("run-000001"), 60)
-        node, machine = w.nodes["node-0"], home(w)
-        runtime, worker = node.runtimes["east"], w.cloud.machines[machine].worker
+        controller, machine = w.controllers["node-0"], home(w)
+        leader, worker = controller.leaders["east"], w.cloud.machines[machine].worker
         w.cloud.down = True
         cut_off(w, machine)
-        known = runtime.machines[machine]
+        known = leader.machines[machine]
         await trio.sleep_until(worker._answered + LEASE_S - 0.05)
-        sent, session, body = trio.current_time(), worker.session, worker.report()
-        while TASK not in runtime.ended and trio.current_time() < sent + 3.9:
-            node.fleet.silence._expire(runtime, machine)
+        sent, epoch, body = trio.current_time(), worker.epoch, worker.heartbeat()
+        while TASK not in leader.ended and trio.current_time() < sent + 3.9:
+            controller.fleet.failure_detector._expire(leader, machine)
             await trio.sleep(0.05)
-        assert TASK in runtime.ended
-        report = read_report(body)
-        assert known.admit(report, runtime.reports.token(known), clock.now())
-        answer = {"baton": runtime.reports.token(known), "orders": []}
-        assert not worker.take(answer, sent, session) and not w.board.running("run-000001")
+        assert TASK in leader.ended
+        heartbeat = parse_heartbeat(body)
+        assert known.admit(heartbeat, leader.heartbeats.token(known), clock.now())
+        answer = {"baton": leader.heartbeats.token(known), "orders": []}
+        assert not worker.take(answer, sent, epoch) and not w.board.running("run-000001")
 
 
 async def test_a_direct_order_that_waited_does_not_start_what_is_proven_gone():
@@ -207,22 +207,26 @@
     async with world(count=1, teams=TEAMS) as w:
         assert await w.submit(0, job(1, **SERVICE), None) == 201
         assert await w.until(lambda: w.board.running("run-000001"), 60)
-        node, machine = w.nodes["node-0"], home(w)
-        runtime, worker = node.runtimes["east"], w.cloud.machines[machine].worker
-        attempt = runtime.recorded_attempt(Key(*TASK))
+        controller, machine = w.controllers["node-0"], home(w)
+        leader, worker = controller.leaders["east"], w.cloud.machines[machine].worker
+        attempt = leader.recorded_attempt(TaskKey(*TASK))
         w.state.down = True
-        runtime.ended.note(TASK, AttemptEnd(attempt.number, machine, False, "error"))
+        leader.ended.note(TASK, Termination(attempt.number, machine, False, "error"))
         before = len(worker.orders)
-        await node.fleet.commands._start_directly(runtime, machine, [(Key(*TASK), attempt)])
-        assert len(worker.orders) == before and TASK not in runtime.machines[machine].direct
-        runtime.ended.withdraw(TASK, machine)
+        await controller.fleet.commands._start_directly(
+            leader, machine, [(TaskKey(*TASK), attempt)]
+        )
+        assert len(worker.orders) == before and TASK not in leader.machines[machine].direct
+        leader.ended.withdraw(TASK, machine)
         w.state.restore()
         await trio.sleep(3)
         # One that goes out may be carried out by a machine that has just begun anew.
-        known = runtime.machines[machine]
-        known.lease_from, now = clock.ORIGIN, clock.now()
-        await node.fleet.commands._start_directly(runtime, machine, [(Key(*TASK), attempt)])
-        assert known.lease_from >= now
+        known = leader.machines[machine]
+        known.lease_started_at, now = clock.ORIGIN, clock.now()
+        await controller.fleet.commands._start_directly(
+            leader, machine, [(TaskKey(*TASK), attempt)]
+        )
+        assert known.lease_started_at >= now
 
 
 async def test_the_end_of_an_attempt_on_another_machine_ends_nothing_here():
@@ -230,12 +234,12 @@
     async with world(count=1, teams=TEAMS) as w:
         assert await w.submit(0, job(1, **SERVICE), None) == 201
         assert await w.until(lambda: w.board.running("run-000001"), 60)
-        runtime = w.nodes["node-0"].runtimes["east"]
-        attempt = runtime.recorded_attempt(Key(*TASK))
-        runtime.ended.note(TASK, AttemptEnd(attempt.number, "m-before", False, "absent"))
-        runtime.wake_up.set()
+        leader = w.controllers["node-0"].leaders["east"]
+        attempt = leader.recorded_attempt(TaskKey(*TASK))
+        leader.ended.note(TASK, Termination(attempt.number, "m-before", False, "absent"))
+        leader.wake_up.set()
         await trio.sleep(5)
-        assert runtime.recorded_attempt(Key(*TASK)) == attempt and TASK not in runtime.ended
+        assert leader.recorded_attempt(TaskKey(*TASK)) == attempt and TASK not in leader.ended
         assert len(w.board.starts) == 1
 
 
@@ -243,18 +247,18 @@
     """It may be our own transaction, whose answer was lost: until the records have been read,
     nothing is written on top of it."""
     async with world(count=1, teams=TEAMS) as w:
-        runtime, tried = w.nodes["node-0"].runtimes["east"], []
+        leader, tried = w.controllers["node-0"].leaders["east"], []
 
-        async def conflict(_state, when, _rows, **_options):
-            tried.append(when)
+        async def conflict(_state, conditions, _rows, **_options):
+            tried.append(conditions)
             w.state.down = True
             raise ConflictError(["r/job/run-000001"])
 
-        monkeypatch.setattr("roadbend.placement.runtime.commit", conflict)
+        monkeypatch.setattr("roadbend.placement.leader.commit", conflict)
         assert await w.submit(0, job(1, **SERVICE), None) == 201
         assert await w.until(lambda: tried, 60)
         await trio.sleep(4)
-        assert runtime.unsettled == tried[0] and len(tried) == 1
+        assert leader.in_doubt == tried[0] and len(tried) == 1
         monkeypatch.undo()
         w.state.restore()
         assert await w.until(lambda: w.board.running("run-000001"), 60)
@@ -263,65 +267,71 @@
 def test_a_split_moves_a_task_to_another_record_and_the_view_keeps_it():
     """A split writes the record that takes a task before the one that gives it up. The view lost
     the task, which was then started again elsewhere."""
-    wide = Slice(
+    wide = SliceShard(
         "run-000001",
         "east",
         "red",
-        Need(1, 1, 1),
-        run={0: Attempt(5, "m-1"), 200: Attempt(6, "m-2")},
+        Resources(1, 1, 1),
+        attempts={0: Attempt(5, "m-1"), 200: Attempt(6, "m-2")},
         shard=0,
     )
-    taking = replace(wide, shard=1, run={200: Attempt(6, "m-2")})
-    giving = replace(wide, run={0: Attempt(5, "m-1")})
+    taking = replace(wide, shard=1, attempts={200: Attempt(6, "m-2")})
+    giving = replace(wide, attempts={0: Attempt(5, "m-1")})
     for order in ((taking, giving), (giving, taking)):
-        view = View()
+        view = RecordView()
         view.put(wide.key, wide.to_value(), 5)
         view.applied([{"write": row.key, "value": row.to_value()} for row in order], 9)
-        work = view.slices["east"]["run-000001"]
-        assert work.run == wide.run and view.used["east"]["red"] == (2, 2)
-        assert view.machines["east"].keys() == {"m-1", "m-2"}
+        work = view.job_slices["east"]["run-000001"]
+        assert work.attempts == wide.attempts and view.usage["east"]["red"] == (2, 2)
+        assert view.attempts_by_machine["east"].keys() == {"m-1", "m-2"}
         assert [work.shard_of(index, 102) for index in (0, 200)] == [0, 1]
         # It is in one record now, and gone with that one.
         view.applied([{"delete": taking.key}], 10)
-        assert work.run == giving.run and view.machines["east"].keys() == {"m-1"}
+        assert work.attempts == giving.attempts and view.attempts_by_machine["east"].keys() == {
+            "m-1"
+        }
 
 
 def test_a_split_into_a_shard_that_changes_too_loses_no_task():
     """The transaction that splits a wide record also records the end of a task in a record that
     takes some of it. The second writing of that record lost what the first had moved there."""
     settings = settings_for(0, 1, value_bytes=1200, txn_ops=4)
-    view, width = View(), settings.shard_width
+    view, width = RecordView(), settings.shard_width
     # The shard that takes the most is the one that changes, too.
     indexes = [*range(2 * width), *range(2 * width, 7 * width, 2)]
-    wide = Slice("run-000001", "east", "red", Need(1, 1, 1), run=attempts(indexes), shard=0)
-    other = replace(wide, run=attempts(range(width, width + 3)), shard=1)
-    wide = replace(wide, run={n: a for n, a in wide.run.items() if n not in other.run})
+    wide = SliceShard(
+        "run-000001", "east", "red", Resources(1, 1, 1), attempts=attempts(indexes), shard=0
+    )
+    other = replace(wide, attempts=attempts(range(width, width + 3)), shard=1)
+    wide = replace(
+        wide, attempts={n: a for n, a in wide.attempts.items() if n not in other.attempts}
+    )
     view.put(wide.key, wide.to_value(), 5)
     view.put(other.key, other.to_value(), 6)
-    work = view.slices["east"]["run-000001"]
-    before = dict(work.run)
-    runtime = SimpleNamespace(width=width, part="east")
-    batch = Batch(view, "east", Tenure("east", 7, 1, clock.ORIGIN), settings)
+    work = view.job_slices["east"]["run-000001"]
+    before = dict(work.attempts)
+    leader = SimpleNamespace(width=width, partition="east")
+    transaction = TransactionBuilder(view, "east", Leadership("east", 7, 1, clock.ORIGIN), settings)
     found = [
-        (n, AttemptEnd(before[n].number, before[n].machine, False, "error")) for n in (3, width)
+        (n, Termination(before[n].number, before[n].machine, False, "error")) for n in (3, width)
     ]
-    job_ends = ends.collect(fake_records(runtime, view), batch, "run-000001", work, found)
-    more = ends.plan_splits(runtime, batch, job_ends)
-    ends.write_slices(runtime, batch, job_ends, {})
+    job_ends = ends.collect(fake_records(leader, view), transaction, "run-000001", work, found)
+    more = ends.plan_splits(leader, transaction, job_ends)
+    ends.write_slices(leader, transaction, job_ends, {})
     recorded = {n for n, _ in job_ends.ended}
-    view.applied(list(batch.rows.values()), 9)
-    assert work.run == {n: a for n, a in before.items() if n not in recorded}
-    reread = View()
+    view.applied(list(transaction.changes.values()), 9)
+    assert work.attempts == {n: a for n, a in before.items() if n not in recorded}
+    reread = RecordView()
     for piece in work.shards.values():
         reread.put(piece.key, piece.to_value(), 9)
-    assert reread.slices["east"]["run-000001"].run == work.run
+    assert reread.job_slices["east"]["run-000001"].attempts == work.attempts
     assert recorded == {3} and more, "the other end waits for the next transaction"
-    assert next(iter(batch.rows)) == wide.key, "the giving record comes first"
+    assert next(iter(transaction.changes)) == wide.key, "the giving record comes first"
 
 
 def attempts(indexes: Iterable[int]) -> dict[int, Attempt]:
     return {n: Attempt(7 << 32 | n, f"m-{n:06d}") for n in indexes}
 
 
-def fake_records(runtime: SimpleNamespace, view: View) -> SimpleNamespace:
-    return SimpleNamespace(shared=SimpleNamespace(view=view), **vars(runtime))
+def fake_records(leader: SimpleNamespace, view: RecordView) -> SimpleNamespace:
+    return SimpleNamespace(context=SimpleNamespace(view=view), **vars(leader))
--- a/roadbend/test_scenarios.py
+++ b/roadbend/test_scenarios.py
@@ -8,10 +8,10 @@
 from roadbend.fakes.submission import job
 from roadbend.fakes.world import world
 from roadbend.intake.messages import read_submission
-from roadbend.settings import Operator, Team
+from roadbend.settings import OperatorSettings, Team
 from roadbend.store import keys
 from roadbend.store.client import put
-from roadbend.store.records import Attempt, Job, Slice
+from roadbend.store.records import Attempt, Job, SliceShard
 
 
 async def test_an_array_runs_to_its_end_and_every_node_says_so():
@@ -70,7 +70,7 @@
         assert await w.until(
             lambda: len(w.board.running("run-000004")) == 4 and w.board.running("run-000005"), 60
         )
-        terms = {part: row["n"] for part, row in w.state.starting("r/term/").items()}
+        terms = {partition: row["n"] for partition, row in w.state.starting("r/term/").items()}
         for at in range(3):
             w.crash(at)
         await trio.sleep(5)
@@ -81,7 +81,9 @@
         assert w.board.running("run-000005") == ["run-000005/0"]
         # Nothing was started anew, and every part is under a new term.
         assert len(w.board.starts) == 5
-        assert all(row["n"] > terms[part] for part, row in w.state.starting("r/term/").items())
+        assert all(
+            row["n"] > terms[partition] for partition, row in w.state.starting("r/term/").items()
+        )
 
 
 async def test_a_dead_owners_part_is_taken_over_and_handed_back():
@@ -292,7 +294,7 @@
 
 async def test_a_job_that_waits_too_long_moves_to_a_part_with_room():
     """Capacity for one machine a zone: what queues behind long work is offered again and leaves."""
-    operator = Operator(reoffer_every=timedelta(seconds=2), dear=100.0)
+    operator = OperatorSettings(reoffer_every=timedelta(seconds=2), dear=100.0)
     async with world(capacity=1, operator=operator) as w:
         for n in (70, 71):
             assert (
@@ -306,11 +308,11 @@
         )
         # Recorded as held by the full part, as if drawn before the others were up.
         assert await w.submit(0, job(72, legs=2, dueS=60, crew="red"), 10) == 201
-        for node in w.nodes.values():
-            node.exchange.submit = lambda name: None
+        for controller in w.controllers.values():
+            controller.requester.submit = lambda name: None
         key = keys.job_key("run-000072")
         value = {**w.state.value(key), "a": {"east": [[0, 2]]}}
-        w.state.multi({"apply": [{"write": key, "value": value}]})
+        w.state.compare_and_swap({"apply": [{"write": key, "value": value}]})
         assert await w.until(lambda: is_(w, 1, 72, "done"), 100)
         assert {w_zone(w, m) for _, task, m in w.board.starts if task.startswith("run-000072")} <= {
             "north",
@@ -348,8 +350,8 @@
 
 async def test_a_late_report_of_a_deleted_machine_does_not_bring_it_back():
     async with world(count=1) as w:
-        node = w.nodes["node-0"]
-        node.shared.deleted["m-7"] = node.began
+        controller = w.controllers["node-0"]
+        controller.context.deleted["m-7"] = controller.began
         body = {
             "hitch": "m-7",
             "address": "m-7:1",
@@ -363,7 +365,7 @@
             "legs": [],
         }
         assert (await w.call(0, "POST", "/hello", body))[0] == 503
-        assert "m-7" not in node.runtimes["east"].machines
+        assert "m-7" not in controller.leaders["east"].machines
 
 
 async def test_a_crash_between_the_write_ahead_and_the_order_starts_the_task_once():
@@ -376,14 +378,16 @@
         w.rules.submitted(job(91))
         name, spec = read_submission(job(91))
         made = Job(name, spec, clock.wall(), {"east": ((0, 1),)})
-        piece = Slice(name, "east", "red", spec.need, run={0: Attempt((1 << 32) | 77, machine)})
+        piece = SliceShard(
+            name, "east", "red", spec.resources, attempts={0: Attempt((1 << 32) | 77, machine)}
+        )
         cpus, gpus = w.state.value(keys.team_key("red"))["east"]
         rows = [
             put(keys.job_key(name), made.to_value()),
             put(keys.slice_key("east", name, 0), piece.to_value()),
             put(keys.team_key("red"), {"east": [cpus, max(gpus, 2)]}),
         ]
-        assert w.state.multi({"apply": rows}).status == 200
+        assert w.state.compare_and_swap({"apply": rows}).status == 200
         w.board.lengths[name] = 5.0
         await trio.sleep(4)
         w.start(0)
--- a/roadbend/test_settings.py
+++ b/roadbend/test_settings.py
@@ -59,7 +59,7 @@
     settings = read_platform(PLATFORM)
     assert (
         settings.lease == timedelta(seconds=18)
-        and settings.controllers == 2
+        and settings.controller_count == 2
         and settings.cpu == 0.25
     )
     assert settings.teams["red"].gpus_max == 12 and settings.objectives[0].within == timedelta(
--- a/roadbend/test_troubles.py
+++ b/roadbend/test_troubles.py
@@ -8,7 +8,7 @@
 
 from roadbend.fakes.submission import job
 from roadbend.fakes.world import ZONES, World, world
-from roadbend.settings import Operator, Team
+from roadbend.settings import OperatorSettings, Team
 from roadbend.store import keys
 
 BIG = {"red": Team("red", 0, 0, 60, 400), "blue": Team("blue", 0, 0, 60, 400)}
@@ -35,7 +35,9 @@
 
 async def done(w: World, name: str, within: float = 200) -> bool:
     async def over():
-        return "done" in [await w.status(at, name) for at in range(3) if f"node-{at}" in w.nodes]
+        return "done" in [
+            await w.status(at, name) for at in range(3) if f"node-{at}" in w.controllers
+        ]
 
     return await w.until(over, within, 1.0)
 
@@ -133,13 +135,13 @@
 
     async def crash(self) -> None:
         at = self.rng.randrange(3)
-        if f"node-{at}" in self.w.nodes:
+        if f"node-{at}" in self.w.controllers:
             self.w.crash(at)
             await self._for(0.05, 8)
             self.w.start(at)
 
     async def crash_all(self) -> None:
-        ended = [at for at in range(3) if f"node-{at}" in self.w.nodes]
+        ended = [at for at in range(3) if f"node-{at}" in self.w.controllers]
         for at in ended:
             self.w.crash(at)
         for at in ended:
@@ -184,13 +186,13 @@
         await self._for(5, 40)
         hidden(self.w, machines, False)
 
-    async def begin_anew(self) -> None:
+    async def restart(self) -> None:
         up = [
             m
             for m in self.w.cloud.machines.values()
             if m.worker is not None and m.status == "running"
         ]
-        copies = [m.worker.report() for m in up]
+        copies = [m.worker.heartbeat() for m in up]
         for machine in self.rng.sample(up, len(up) // 3):
             self.w.cloud.reboot(machine.id)
         await self._for(0.1, 25)
@@ -212,7 +214,7 @@
 @pytest.mark.parametrize("seed", range(6))
 async def test_pairs_of_troubles_in_any_order_and_delay_break_no_rule(seed):
     rng = random.Random(seed)
-    operator = Operator(reoffer_every=timedelta(seconds=2))
+    operator = OperatorSettings(reoffer_every=timedelta(seconds=2))
     async with world(capacity=10, operator=operator, teams=BIG) as w:
         assert await w.submit(0, job(1, legs=6, apart=True, **SERVICE), None) == 201
         names = []
@@ -240,4 +242,4 @@
         assert (await w.call(0, "POST", "/v1/jobs", job(20, legs=4, **SERVICE)))[1][
             "status"
         ] == "aborted"
-        assert keys.fin_key("run-000020") in w.state.starting("fin/")
+        assert keys.job_end_key("run-000020") in w.state.starting("fin/")
--- a/roadbend/test_upgrade.py
+++ b/roadbend/test_upgrade.py
@@ -12,20 +12,20 @@
 
 from roadbend.bidding import messages
 from roadbend.bidding.casa import Bid
-from roadbend.bidding.messages import Ask
+from roadbend.bidding.messages import BidRequest
 from roadbend.fakes import previous_version
 from roadbend.fakes.submission import gang, job
 from roadbend.fakes.world import World, settings_for, world
-from roadbend.parts.ownership import Tenure
+from roadbend.partitions.election import Leadership
 from roadbend.peers import frames
-from roadbend.peers.heartbeat import Heartbeat
+from roadbend.peers.heartbeat import PeerHeartbeat
 from roadbend.placement import ends
-from roadbend.placement.batch import Batch
-from roadbend.settings import Operator, Team
+from roadbend.placement.transaction import TransactionBuilder
+from roadbend.settings import OperatorSettings, Team
 from roadbend.store import keys, ranges, records
-from roadbend.store.budget import Budget
-from roadbend.store.records import Attempt, Job, Need, Slice, Spec, Use
-from roadbend.store.view import View
+from roadbend.store.record_view import RecordView
+from roadbend.store.records import Attempt, Job, JobSpec, QuotaRecord, Resources, SliceShard
+from roadbend.store.request_budget import RequestBudget
 
 S = timedelta(seconds=1)
 FRAMES = {
@@ -82,13 +82,13 @@
     ),
     "fin/run-3": ("a2617364646f6e65616e09"),
 }
-SPEC = Spec(
+SPEC = JobSpec(
     "red",
     "plans",
     False,
     1,
     9,
-    Need(8.0, 1.0, 43.5),
+    Resources(8.0, 1.0, 43.5),
     ("g2", "ümlaut"),
     "east",
     False,
@@ -101,13 +101,13 @@
     4 * S,
     900 * S,
 )
-SERVICE = Spec(
+SERVICE = JobSpec(
     "blue",
     "live",
     True,
     3,
     4,
-    Need(8.0, 1.0, 40.0),
+    Resources(8.0, 1.0, 40.0),
     None,
     None,
     False,
@@ -127,8 +127,8 @@
     6: Attempt(8 << 32 | 1, "m-000014"),
 }
 JOB = Job("run-1", SPEC, AT, {"east": ((0, 3), (5, 9)), "west": ((3, 5),)}, ((0, 2),))
-SLICE = Slice("run-1", "east", "red", SPEC.need, ((0, 2),), RUN)
-PULSE = Heartbeat(
+SLICE = SliceShard("run-1", "east", "red", SPEC.resources, ((0, 2),), RUN)
+PULSE = PeerHeartbeat(
     "b1",
     9 * S,
     None,
@@ -138,8 +138,8 @@
     60 * S,
     ("run-1", "run-2"),
 )
-ASK = Ask("run-1", 3, 9, SPEC, waited=2 * S)
-AGAIN = Ask("run-1", 3, 9, SPEC, "east", 7 * S, 3 * S, 40 * S)
+ASK = BidRequest("run-1", 3, 9, SPEC, waited=2 * S)
+AGAIN = BidRequest("run-1", 3, 9, SPEC, "east", 7 * S, 3 * S, 40 * S)
 BIDS = [Bid("east", "node-0", 20 * S, 3 * S, 1 * S, 4, 12)]
 
 
@@ -148,10 +148,14 @@
         "hello": frames.pack(frames.HELLO, 0, b"node-0"),
         "ping": frames.pack(frames.PING, 3, PULSE.pack()),
         "pong": frames.pack(
-            frames.PING | frames.REPLY, 3, Heartbeat("b2", 9 * S, 2 * S, (1.5, 0.25, 0.5)).pack()
+            frames.PING | frames.REPLY,
+            3,
+            PeerHeartbeat("b2", 9 * S, 2 * S, (1.5, 0.25, 0.5)).pack(),
         ),
         "request": frames.pack(frames.REQUEST, 4, ASK.pack()),
-        "request-service": frames.pack(frames.REQUEST, 4, Ask("run-2", 3, 4, SERVICE).pack()),
+        "request-service": frames.pack(
+            frames.REQUEST, 4, BidRequest("run-2", 3, 4, SERVICE).pack()
+        ),
         "inform": frames.pack(frames.INFORM, 5, AGAIN.pack()),
         "bids": frames.pack(frames.REQUEST | frames.REPLY, 4, messages.pack_bids(BIDS)),
         "assign": frames.pack(frames.ASSIGN, 6, messages.pack_assign("run-1", b"\xa0", 77)),
@@ -162,9 +166,10 @@
         name: next(iter(frames.Splitter().feed(bytes.fromhex(data))))[2]
         for name, data in FRAMES.items()
     }
-    assert Heartbeat.unpack(read["ping"]) == PULSE and Ask.unpack(read["request"]) == ASK
+    assert PeerHeartbeat.unpack(read["ping"]) == PULSE and BidRequest.unpack(read["request"]) == ASK
     assert (
-        Ask.unpack(read["inform"]) == AGAIN and Ask.unpack(read["request-service"]).spec == SERVICE
+        BidRequest.unpack(read["inform"]) == AGAIN
+        and BidRequest.unpack(read["request-service"]).spec == SERVICE
     )
     assert messages.unpack_bids(read["bids"]) == BIDS and messages.unpack_assign(
         read["assign"]
@@ -181,44 +186,44 @@
         keys.job_key("run-1"): JOB.to_value(),
         keys.job_key("run-2"): Job("run-2", SERVICE, AT).to_value(),
         SLICE.key: SLICE.to_value(),
-        keys.team_key("red"): Use("red")
-        .with_part("east", 16.0, 2.0)
-        .with_part("west", 8.5, 1.0)
+        keys.team_key("red"): QuotaRecord("red")
+        .with_partition("east", 16.0, 2.0)
+        .with_partition("west", 8.5, 1.0)
         .to_value(),
-        keys.fin_key("run-3"): records.fin_value("done", 9),
+        keys.job_end_key("run-3"): records.job_end_value("done", 9),
     }
     assert {key: cbor2.dumps(value).hex() for key, value in made.items()} == RECORDS
-    view = View()
+    view = RecordView()
     for mod_revision, (key, data) in enumerate(RECORDS.items(), 1):
         if key.startswith("r/"):
             view.put(key, cbor2.loads(bytes.fromhex(data)), mod_revision)
-    assert view.jobs["run-1"].alloc == JOB.alloc and view.jobs["run-1"].spec == SPEC
-    assert view.jobs["run-2"].spec == SERVICE and view.slices["east"]["run-1"].run == RUN
-    assert view.teams["red"].parts == {"east": (16.0, 2.0), "west": (8.5, 1.0)}
+    assert view.jobs["run-1"].allocation == JOB.allocation and view.jobs["run-1"].spec == SPEC
+    assert view.jobs["run-2"].spec == SERVICE and view.job_slices["east"]["run-1"].attempts == RUN
+    assert view.quotas["red"].partitions == {"east": (16.0, 2.0), "west": (8.5, 1.0)}
 
 
 def test_a_gang_stays_one_when_a_version_before_gangs_has_written_its_record():
-    view, made = View(), Job("run-1", SPEC, AT).as_gang()
+    view, made = RecordView(), Job("run-1", SPEC, AT).as_gang()
     view.put(keys.gang_key("run-1"), 1, 1)
     view.put(keys.job_key("run-1"), made.to_value(), 1)
     assert view.jobs["run-1"].spec.gang
     view.put(keys.job_key("run-1"), {k: v for k, v in made.to_value().items() if k != "g"}, 2)
     assert view.jobs["run-1"].spec.gang
     # The job's record alone says so, too: it may come by an assignment before the other is read.
-    other = View()
+    other = RecordView()
     other.put(keys.job_key("run-1"), made.to_value(), 2)
     assert other.jobs["run-1"].spec.gang
 
 
 def test_a_job_whose_ranges_outgrow_the_values_to_come_is_written_smaller_and_read_the_same():
     rng = random.Random(4)
-    spec = Spec(
+    spec = JobSpec(
         "red",
         "plans",
         False,
         1,
         100_000,
-        Need(8.0, 1.0, 43.5),
+        Resources(8.0, 1.0, 43.5),
         None,
         None,
         False,
@@ -241,7 +246,7 @@
 
 
 async def test_the_rate_of_changes_falls_when_the_service_says_so_and_not_before():
-    budget = Budget(1000.0, 100.0, 1, 20.0)
+    budget = RequestBudget(1000.0, 100.0, 1, 20.0)
 
     async def count(seconds: float) -> int:
         n, end = 0, trio.current_time() + seconds
@@ -290,12 +295,12 @@
     old = [
         at
         for at in range(3)
-        if isinstance(w.nodes.get(f"node-{at}"), previous_version.PreviousVersionNode)
+        if isinstance(w.controllers.get(f"node-{at}"), previous_version.PreviousVersionController)
     ]
     at = rng.choice(old)
     w.crash(at)
     await trio.sleep(rng.uniform(0.2, 0.9))
-    if f"node-{at}" not in w.nodes:
+    if f"node-{at}" not in w.controllers:
         w.start(at, True)
 
 
@@ -326,7 +331,7 @@
         capacity=40,
         previous_version=True,
         teams=TEAMS,
-        operator=Operator(reoffer_every=2 * S),
+        operator=OperatorSettings(reoffer_every=2 * S),
         cancel_within=48 * S,
         **SMALL,
     ) as w:
@@ -354,7 +359,8 @@
                 await w.submit(n % 3, job(n, legs=2, crew="blue", dueS=30.0), 8.0)
         assert await w.settled()
         assert all(
-            not isinstance(node, previous_version.PreviousVersionNode) for node in w.nodes.values()
+            not isinstance(controller, previous_version.PreviousVersionController)
+            for controller in w.controllers.values()
         )
         w.state.limits(1200, 4)
         assert await w.submit(1, gang(20, 8, crew="blue"), 10.0) in (200, 201)
@@ -365,25 +371,32 @@
 
 def test_a_slice_that_outgrew_the_values_is_split_so_that_each_task_is_in_one_record():
     settings = settings_for(0, 1, value_bytes=1200, txn_ops=4)
-    view = View()
+    view = RecordView()
     run = {n: Attempt(7 << 32 | n, f"m-{n:06d}") for n in range(102)}
-    large = Slice("run-1", "east", "red", SPEC.need, ((200, 210),), run)
+    large = SliceShard("run-1", "east", "red", SPEC.resources, ((200, 210),), run)
     view.put(large.key, large.to_value(), 5)
-    work = view.slices["east"]["run-1"]
-    runtime = SimpleNamespace(width=settings.shard_width)
+    work = view.job_slices["east"]["run-1"]
+    leader = SimpleNamespace(width=settings.shard_width)
     less = replace(
         large,
-        run={task_index: attempt for task_index, attempt in run.items() if task_index != 3},
+        attempts={task_index: attempt for task_index, attempt in run.items() if task_index != 3},
         mod_revision=5,
     )
-    batch = Batch(view, "east", Tenure("east", 7, 1, AT), settings)
-    pieces = ends.split(runtime, batch, work, less)
-    assert 1 < len(pieces) <= 4 and all(batch.fits(piece) for piece in pieces)
-    found = [(task_index, attempt) for piece in pieces for task_index, attempt in piece.run.items()]
-    assert sorted(found) == sorted(less.run.items()) and len(found) == len(dict(found)) == 101
+    transaction = TransactionBuilder(view, "east", Leadership("east", 7, 1, AT), settings)
+    pieces = ends.split(leader, transaction, work, less)
+    assert 1 < len(pieces) <= 4 and all(transaction.fits(piece) for piece in pieces)
+    found = [
+        (task_index, attempt) for piece in pieces for task_index, attempt in piece.attempts.items()
+    ]
+    assert sorted(found) == sorted(less.attempts.items()) and len(found) == len(dict(found)) == 101
     # What no transaction of that size can split waits until fewer of its tasks are left.
-    wide = replace(large, run={n: Attempt(7 << 32 | n, f"m-{n:06d}") for n in range(400)})
+    wide = replace(large, attempts={n: Attempt(7 << 32 | n, f"m-{n:06d}") for n in range(400)})
     assert (
-        ends.split(runtime, Batch(view, "east", Tenure("east", 7, 1, AT), settings), work, wide)
+        ends.split(
+            leader,
+            TransactionBuilder(view, "east", Leadership("east", 7, 1, AT), settings),
+            work,
+            wide,
+        )
         == []
     )
--- a/roadbend/tracing/recorder.py
+++ b/roadbend/tracing/recorder.py
@@ -11,7 +11,7 @@
 from opentelemetry.util.types import AttributeValue
 
 from roadbend import clock
-from roadbend.fleet.ended_attempts import AttemptEnd
+from roadbend.fleet.terminations import Termination
 from roadbend.observer import Observer
 from roadbend.store.records import Attempt, Job
 from roadbend.tracing.ids import (
@@ -109,20 +109,22 @@
                 self.nonsense_headers += 1
             else:
                 links = (Link(_context_of(theirs)),)
-        self._span("job.accept", None, parent, job.at, clock.wall(), self._of_job(job), links)
+        self._span(
+            "job.accept", None, parent, job.submitted_at, clock.wall(), self._of_job(job), links
+        )
 
-    def job_assigned(self, job: Job, parts: list[str]) -> None:
+    def job_assigned(self, job: Job, partitions: list[str]) -> None:
         """From submission to assignment."""
-        attributes = {**self._of_job(job), ZONE: tuple(parts)}
-        self._span("job.assign", None, _ids_of(job), job.at, clock.wall(), attributes)
+        attributes = {**self._of_job(job), ZONE: tuple(partitions)}
+        self._span("job.assign", None, _ids_of(job), job.submitted_at, clock.wall(), attributes)
 
-    def attempt_recorded(self, part: str, job: Job, index: int, attempt: Attempt) -> None:
+    def attempt_recorded(self, partition: str, job: Job, index: int, attempt: Attempt) -> None:
         """Remembers when an attempt began; its span is made at its end."""
         self._started[(job.id, index, attempt.number)] = (_ids_of(job), clock.wall())
         while len(self._started) > self._most:
             self._started.popitem(last=False)
 
-    def attempt_ended(self, part: str, job: str, index: int, end: AttemptEnd) -> None:
+    def attempt_ended(self, partition: str, job: str, index: int, end: Termination) -> None:
         """The span of an attempt that this controller started. Of others its trace is not known
         once the job is over."""
         found = self._started.pop((job, index, end.attempt), None)
@@ -134,7 +136,7 @@
             INDEX: index,
             ATTEMPT: str(end.attempt),
             MACHINE: end.machine,
-            ZONE: part,
+            ZONE: partition,
             PROOF: end.cause,
         }
         ids = attempt_ids(parent, index, end.attempt, end.machine)
@@ -144,52 +146,54 @@
     def job_over(self, job: Job, status: str) -> None:
         """The span of a whole job, by the controller that recorded its end."""
         attributes = {**self._of_job(job), STATUS: status, TASKS: job.spec.task_count}
-        self._span("job", _ids_of(job), None, job.at, clock.wall(), attributes)
+        self._span("job", _ids_of(job), None, job.submitted_at, clock.wall(), attributes)
 
     # Recoveries.
 
     def recovery_phase(
-        self, part: str, term: int, phase: str, since: datetime, counts: dict[str, int]
+        self, partition: str, term: int, phase: str, since: datetime, counts: dict[str, int]
     ) -> None:
         """A phase, within its recovery."""
-        attributes = {**_of_recovery(part, term, counts), PHASE: phase}
-        ids = recovery_ids(part, term)
+        attributes = {**_of_recovery(partition, term, counts), PHASE: phase}
+        ids = recovery_ids(partition, term)
         self._span(f"recovery.{phase}", None, ids, _wall_at(since), clock.wall(), attributes)
 
-    def recovery_over(self, part: str, term: int, since: datetime, counts: dict[str, int]) -> None:
+    def recovery_over(
+        self, partition: str, term: int, since: datetime, counts: dict[str, int]
+    ) -> None:
         """A whole recovery."""
-        attributes = _of_recovery(part, term, counts)
-        ids = recovery_ids(part, term)
+        attributes = _of_recovery(partition, term, counts)
+        ids = recovery_ids(partition, term)
         self._span("recovery", ids, None, _wall_at(since), clock.wall(), attributes)
 
-    def recovery_machine(self, part: str, term: int, machine: str, since: datetime) -> None:
+    def recovery_machine(self, partition: str, term: int, machine: str, since: datetime) -> None:
         """From the beginning of the term until a machine was heard."""
-        attributes: Attributes = {ZONE: part, TERM: term, MACHINE: machine}
-        ids = recovery_ids(part, term)
+        attributes: Attributes = {ZONE: partition, TERM: term, MACHINE: machine}
+        ids = recovery_ids(partition, term)
         self._span("recovery.machine", None, ids, _wall_at(since), clock.wall(), attributes)
 
     def recovery_settled(
-        self, part: str, term: int, task: str, machine: str, how: str, since: datetime
+        self, partition: str, term: int, task: str, machine: str, how: str, since: datetime
     ) -> None:
         """From when an unrecorded attempt was first seen until it was settled."""
         attributes: Attributes = {
-            ZONE: part,
+            ZONE: partition,
             TERM: term,
             MACHINE: machine,
             "roadbend.task": task,
             "roadbend.recovery.settlement": how,
         }
-        ids = recovery_ids(part, term)
+        ids = recovery_ids(partition, term)
         self._span("recovery.settlement", None, ids, _wall_at(since), clock.wall(), attributes)
 
 
-def _of_recovery(part: str, term: int, counts: dict[str, int]) -> Attributes:
+def _of_recovery(partition: str, term: int, counts: dict[str, int]) -> Attributes:
     found: Attributes = {f"roadbend.recovery.{kind}": count for kind, count in counts.items()}
-    return {ZONE: part, TERM: term, **found}
+    return {ZONE: partition, TERM: term, **found}
 
 
 def _ids_of(job: Job) -> SpanIds:
-    return job_ids(job.id, clock.to_ms(job.at))
+    return job_ids(job.id, clock.to_ms(job.submitted_at))
 
 
 def _context_of(ids: SpanIds) -> trace.SpanContext:
--- a/roadbend/tracing/switch.py
+++ b/roadbend/tracing/switch.py
@@ -19,7 +19,7 @@
 from roadbend.tracing.settings import TracingSettings
 
 if TYPE_CHECKING:
-    from roadbend.node import Node
+    from roadbend.controller import Controller
 
 log = Log("tracing")
 MEGABYTE = 1024 * 1024
@@ -92,11 +92,11 @@
 
 
 def install(
-    node: Node, settings: TracingSettings, exporters: list[SpanExporter] | None = None
+    controller: Controller, settings: TracingSettings, exporters: list[SpanExporter] | None = None
 ) -> Tracing:
     """Switches tracing on in a controller that has not started yet."""
     made = exporters_of(settings) if exporters is None else exporters
-    tracing = Tracing(node.settings.zone, node.settings.name, settings, made)
-    node.shared.observer = tracing.recorder
-    node.background.append(tracing.run)
+    tracing = Tracing(controller.settings.zone, controller.settings.name, settings, made)
+    controller.context.observer = tracing.recorder
+    controller.background.append(tracing.run)
     return tracing
--- a/roadbend/tracing/test_tracing.py
+++ b/roadbend/tracing/test_tracing.py
@@ -13,11 +13,11 @@
 from roadbend.fakes.collector import FakeCollector
 from roadbend.fakes.submission import job
 from roadbend.fakes.world import world
-from roadbend.fleet.ended_attempts import AttemptEnd
+from roadbend.fleet.terminations import Termination
 from roadbend.recovery.service import install as install_recovery
 from roadbend.recovery.settings import RecoverySettings
 from roadbend.settings import SettingsError
-from roadbend.store.records import Attempt, Job, Need, Spec
+from roadbend.store.records import Attempt, Job, JobSpec, Resources
 from roadbend.tracing.export import FileExporter
 from roadbend.tracing.ids import attempt_ids, job_ids, read_trace_parent, recovery_ids
 from roadbend.tracing.settings import TracingSettings, load
@@ -25,8 +25,8 @@
 
 S = timedelta(seconds=1)
 AT = datetime(2026, 1, 1, tzinfo=UTC)
-SPEC = Spec(
-    "red", "plans", False, 1, 1, Need(1, 1, 1), None, None, False, False, True, "i", 1.0,
+SPEC = JobSpec(
+    "red", "plans", False, 1, 1, Resources(1, 1, 1), None, None, False, False, True, "i", 1.0,
     S, S, S, None,
 )  # fmt: skip
 JOB = Job("run-000001", SPEC, AT)
@@ -89,7 +89,7 @@
     theirs = "00-" + "a" * 32 + "-" + "b" * 16 + "-01"
     recorder.job_accepted(JOB, theirs)
     recorder.attempt_recorded("east", JOB, 0, Attempt(7, "m-1"))
-    recorder.attempt_ended("east", JOB.id, 0, AttemptEnd(7, "m-1", False, "error"))
+    recorder.attempt_ended("east", JOB.id, 0, Termination(7, "m-1", False, "error"))
     end_job(tracing)
     assert until(lambda: len(collector.spans) == 3)
     spans = {span.name: span for span in collector.spans}
@@ -157,9 +157,9 @@
 async def test_spans_of_several_controllers_join_one_trace():
     exporter = InMemorySpanExporter()
 
-    def equip(node):
-        install(node, TracingSettings(export_every=0.05 * S), [exporter])
-        install_recovery(node, RecoverySettings())
+    def equip(controller):
+        install(controller, TracingSettings(export_every=0.05 * S), [exporter])
+        install_recovery(controller, RecoverySettings())
 
     async with world(equip=equip) as w:
         assert await w.submit(0, job(1, legs=2, dueS=None), 20.0) == 201
@@ -186,7 +186,7 @@
 def test_off_nothing_of_it_is_imported():
     """A controller that has it off pays nothing."""
     code = (
-        "import sys, roadbend.node, roadbend.cli\n"
+        "import sys, roadbend.controller, roadbend.cli\n"
         "found = [m for m in sys.modules if m.split('.')[0] in "
         "('opentelemetry', 'pyroaring', 'datasketches', 'numpy', 'google')"
         " or m.startswith(('roadbend.tracing', 'roadbend.recovery', 'roadbend.rehearsal'))]\n"
