--- a/roadbend/autoscaler/scale_in.py
+++ b/roadbend/autoscaler/scale_in.py
@@ -12,7 +12,7 @@
 from roadbend.placement.leader import PartitionLeader
 from roadbend.store.records import Job
 
-log = Log("rental")
+log = Log("autoscaler")
 # Returns of machines are gathered for this long.
 GATHER = timedelta(seconds=2)
 
@@ -48,7 +48,12 @@
         if not names:
             return
         await self._cloud.delete(names, still=still)
-        log.info("returned", partition=leader.partition, count=len(names), machines=",".join(names))
+        log.info(
+            "machines-deleted",
+            partition=leader.partition,
+            count=len(names),
+            machines=",".join(names),
+        )
         for name in names:
             leader.gone(name, "deleted")
 
@@ -65,7 +70,7 @@
             failed = len(machine.failures) >= self._context.operator.error_limit
             if failed and machine.draining is None:
                 machine.draining = "sick"
-                log.info("sick", partition=leader.partition, machine=machine.id)
+                log.info("machine-quarantined", partition=leader.partition, machine=machine.id)
             if machine.draining is not None and not _is_busy(leader, machine):
                 names.append(machine.id)
         return names
--- a/roadbend/autoscaler/service.py
+++ b/roadbend/autoscaler/service.py
@@ -32,7 +32,7 @@
 from roadbend.store.client import ConflictError, LeaseEndedError, UnavailableError, commit, put
 from roadbend.store.records import Job
 
-log = Log("rental")
+log = Log("autoscaler")
 ROUND = timedelta(milliseconds=900)
 # Requests to rent machines of one type and kind in a round; after these the queue is looked at
 # anew.
@@ -88,9 +88,9 @@
         if not self._context.machine_types and self._context.view.catalog is not None:
             try:
                 self._context.machine_types = read_machine_types(self._context.view.catalog)
-                log.info("catalog-adopted", machine_types=len(self._context.machine_types))
+                log.info("catalog-loaded", machine_types=len(self._context.machine_types))
             except MalformedError as error:
-                log.error("bad-record", key=keys.CATALOG_KEY, error=error)
+                log.error("record-unreadable", key=keys.CATALOG_KEY, error=error)
 
     async def catalog_loop(self) -> None:
         while True:
@@ -105,7 +105,7 @@
                     timedelta(seconds=20 if self._context.view.catalog is not None else 1)
                 )
             except (NoAnswerError, CloudBusyError, NoCapacityError) as error:
-                log.info("no-catalog", error=str(error)[:60])
+                log.info("catalog-unavailable", error=str(error)[:60])
                 await clock.pause(timedelta(seconds=1 if not self._context.machine_types else 4))
 
     async def _keep_catalog(self, machine_types) -> None:
@@ -140,9 +140,9 @@
                 self._fleet.inventory.take(rows)
                 self._sort_listed(rows)
             except (NoAnswerError, CloudBusyError, NoCapacityError) as error:
-                log.debug("no-list", error=str(error)[:60])
+                log.debug("machine-list-unavailable", error=str(error)[:60])
             except Exception:
-                log.crash("list-failed")
+                log.crash("machine-list-failed")
             await clock.pause(self._cloud.list_pause(len(self._fleet.inventory.rows)))
 
     def _sort_listed(self, rows: list[Listed]) -> None:
@@ -180,10 +180,10 @@
                     pause = max(ROUND, self._context.rest(clock.now() - now))
                     await self._round(leader, now, *hires)
             except (NoAnswerError, CloudBusyError) as error:
-                log.debug("cloud-trouble", partition=partition, error=str(error)[:60])
+                log.debug("cloud-unavailable", partition=partition, error=str(error)[:60])
                 await clock.pause(timedelta(seconds=1))
             except Exception:
-                log.crash("rental-failed", partition=partition)
+                log.crash("autoscaling-failed", partition=partition)
                 await clock.pause(timedelta(seconds=1))
 
     def closed(self, partition: str, now: datetime) -> set[tuple[str, bool]]:
@@ -296,7 +296,12 @@
             ):
                 late.append(boot.id)
         if late:
-            log.info("never-up", partition=partition, machines=",".join(late[:5]), count=len(late))
+            log.info(
+                "machines-never-registered",
+                partition=partition,
+                machines=",".join(late[:5]),
+                count=len(late),
+            )
             await self._cloud.delete(late, still=self._still(leader))
             for name in late:
                 boots.pop(name, None)
@@ -390,12 +395,12 @@
             if machine not in leader.machines:
                 leader.rented.add(machine)
         log.info(
-            "hired",
+            "machines-created",
             partition=partition,
             machine_type=machine_type,
             spot=spot,
-            wanted=count,
-            got=len(got),
+            requested=count,
+            created=len(got),
             machines=",".join(got),
         )
         if len(got) < count:
@@ -419,9 +424,9 @@
         pause = min(operator.refusal_pause_max, old.pause * 2) if old else operator.refusal_pause
         self.refused[key] = CapacityRefusal(now + drawn(pause, self._rng), pause)
         log.info(
-            "refused",
+            "capacity-refused",
             partition=key[0],
             machine_type=key[1],
             spot=key[2],
-            pause=pause.total_seconds(),
+            pause_s=pause.total_seconds(),
         )
--- a/roadbend/bidding/requester.py
+++ b/roadbend/bidding/requester.py
@@ -167,7 +167,7 @@
             except (UnavailableError, LeaseEndedError):
                 pass
             except Exception:
-                log.crash("distribute-failed", job=job)
+                log.crash("bidding-failed", job=job)
             finally:
                 self._busy.discard(job)
 
@@ -203,7 +203,7 @@
         except NoReplyError:
             pass
         except FrameError as error:
-            log.error("bad-bid", peer=link.peer.name, error=str(error))
+            log.error("bid-malformed", peer=link.peer.name, error=str(error))
 
     async def gather(self, ask: BidRequest) -> list[Bid]:
         again = ask.theirs is not None
@@ -246,7 +246,7 @@
                 job, bids, self._context.operator.omega, self._rng, left=self._left(job)
             )
             if not shares:
-                log.debug("no-bid", job=name, bids=len(bids))
+                log.debug("no-bids-received", job=name, bids=len(bids))
                 return
             fresh = job
             for partition, piece in shares.items():
@@ -270,7 +270,7 @@
                 except (UnavailableError, LeaseEndedError):
                     pass
                 except Exception:
-                    log.crash("reoffer-failed", partition=leader.partition)
+                    log.crash("rescheduling-failed", partition=leader.partition)
 
     async def _reoffer(self, leader: PartitionLeader) -> None:
         operator, now, partition = self._context.operator, clock.now(), leader.partition
@@ -335,7 +335,7 @@
                 continue
             if await self.move(job, replace(job, allocation={}), [], set(), conditions):
                 log.info(
-                    "released", partition=leader.partition, job=name, tasks=job.spec.task_count
+                    "gang-released", partition=leader.partition, job=name, tasks=job.spec.task_count
                 )
                 leader.queued.pop(name, None)
                 leader.to_release.discard(name)
@@ -419,11 +419,11 @@
             return True
         if await self.move(job, fresh, bids, set(shares), also):
             log.info(
-                "moved",
+                "tasks-rescheduled",
                 job=job.id,
                 tasks=ranges.size(gone),
-                source=partition,
-                to=",".join(sorted(shares)),
+                from_partition=partition,
+                to_partitions=",".join(sorted(shares)),
             )
         return True
 
@@ -446,7 +446,7 @@
         view.applied(rows, revision)
         self._context.observer.job_assigned(fresh, sorted(chosen))
         log.debug(
-            "assigned",
+            "job-allocated",
             job=job.id,
             to=",".join(f"{p}:{ranges.size(fresh.allocation.get(p, ()))}" for p in sorted(chosen)),
             bids=" ".join(self._describe(bid) for bid in bids),
--- a/roadbend/controller.py
+++ b/roadbend/controller.py
@@ -31,7 +31,7 @@
 from roadbend.store.record_view import RecordView
 from roadbend.store.request_budget import RequestBudget
 
-log = Log("node")
+log = Log("controller")
 # Cancellations that a heartbeat names; with more its list reaches back less far, and says so.
 MAX_CANCELLATIONS = 1024
 # Sockets kept for what we open ourselves (the state service 16, the cloud 6, machines asked and
@@ -296,7 +296,7 @@
                         try:
                             await self.election.hand_over_deaf(partition)
                         except Exception:
-                            log.crash("hand-over-failed", partition=partition)
+                            log.crash("failover-failed", partition=partition)
                 else:
                     silent_since.pop(partition, None)
 
@@ -316,7 +316,7 @@
 
     async def run(self, *, task_status=trio.TASK_STATUS_IGNORED) -> None:
         log.info(
-            "start",
+            "controller-started",
             controller=self.settings.name,
             zone=self.settings.zone,
             incarnation=self.incarnation,
--- a/roadbend/fleet/direct_commands.py
+++ b/roadbend/fleet/direct_commands.py
@@ -68,7 +68,7 @@
             async with self._direct:
                 await client.request("POST", "/commands", body, within=timedelta(seconds=2))
         except NoAnswerError as error:
-            log.debug("command-lost", machine=machine, error=error)
+            log.debug("direct-command-lost", machine=machine, error=error)
 
     def order_now(
         self, leader: PartitionLeader, machine: str, rows: list[tuple[TaskKey, Attempt]]
@@ -82,7 +82,7 @@
         try:
             await self._start_directly(leader, name, rows)
         except Exception:
-            log.crash("order-failed", machine=name)
+            log.crash("direct-start-failed", machine=name)
 
     async def _start_directly(
         self, leader: PartitionLeader, name: str, rows: list[tuple[TaskKey, Attempt]]
@@ -135,14 +135,14 @@
                             del machine.direct[key]
                     return
             except (NoAnswerError, MalformedError) as error:
-                log.debug("command-lost", machine=name, error=error)
+                log.debug("direct-command-lost", machine=name, error=error)
         if heartbeat is not None and heartbeat.machine == name:
             for key, attempt in rows:
                 row = machine.direct.get(key)
                 if row is not None and row.attempt == attempt.number:
                     row.acknowledged_position = heartbeat.position
             return
-        log.info("direct-unanswered", partition=leader.partition, machine=name)
+        log.info("direct-start-unanswered", partition=leader.partition, machine=name)
         if leader.machines.get(name) is machine:
             machine.fence()
             await self._raise_token(leader, machine)
@@ -165,7 +165,7 @@
                     await client.request("POST", "/commands", body, within=FENCE_TIMEOUT)
                 return
             except NoAnswerError as error:
-                log.debug("fence-unanswered", machine=machine.id, error=error)
+                log.debug("token-raise-unanswered", machine=machine.id, error=error)
 
     async def send_stops(self, nursery: trio.Nursery) -> None:
         """Kills go out directly as well as with reports."""
--- a/roadbend/fleet/failure_detector.py
+++ b/roadbend/fleet/failure_detector.py
@@ -87,7 +87,7 @@
                 try:
                     self._look(leader, nursery)
                 except Exception:
-                    log.crash("watch-failed", partition=leader.partition)
+                    log.crash("failure-detection-failed", partition=leader.partition)
 
     def note_time(self, last: datetime) -> None:
         """A second was to pass. Where far more did, this process stood still while its clocks ran
@@ -95,7 +95,7 @@
         now = clock.now()
         still = now - last - timedelta(seconds=1)
         if still > self._context.settings.heartbeat_interval / 2:
-            log.info("stood-still", seconds=f"{still.total_seconds():.1f}")
+            log.info("process-paused", paused_s=f"{still.total_seconds():.1f}")
             self._stalls.append((now, still))
 
     def _silence(self, since: datetime, now: datetime) -> timedelta:
@@ -151,7 +151,7 @@
         try:
             await self._probe_once(leader, name)
         except Exception:
-            log.crash("probe-failed", machine=name)
+            log.crash("machine-probe-failed", machine=name)
         finally:
             self._probing.discard((leader.partition, name))
 
@@ -208,7 +208,7 @@
         if self._context.election.leadership(leader.partition) != leader.leadership:
             return
         if self._may_be_alive(leader, machine, probe):
-            log.info("doubt", partition=leader.partition, machine=name)
+            log.info("machine-suspected", partition=leader.partition, machine=name)
         elif await self._fence(leader, machine, name):
             return
         self._expire(leader, name)
@@ -270,21 +270,27 @@
         except CloudBusyError as error:
             # Not carried out.
             log.info(
-                "fence-refused", partition=leader.partition, machine=name, error=str(error)[:60]
+                "machine-fence-refused",
+                partition=leader.partition,
+                machine=name,
+                error=str(error)[:60],
             )
             if machine is not None:
                 machine.fencing = False
             return False
         except (NoAnswerError, NoCapacityError) as error:
             log.info(
-                "fence-failed", partition=leader.partition, machine=name, error=str(error)[:60]
+                "machine-fence-failed",
+                partition=leader.partition,
+                machine=name,
+                error=str(error)[:60],
             )
             if machine is not None:
                 # The deletion may still be carried out: should it report again, it gets nothing
                 # new.
                 machine.draining, machine.fencing = "fence", False
             return False
-        log.info("fenced", partition=leader.partition, machine=name)
+        log.info("machine-fenced", partition=leader.partition, machine=name)
         leader.gone(name, "deleted")
         return True
 
@@ -310,5 +316,5 @@
                 last + s.lease * (1 + 2 * clock.DRIFT) + margin,
             )
         if sure and leader.by_machine().get(name):
-            log.info("lease-over", partition=leader.partition, machine=name)
+            log.info("worker-lease-expired", partition=leader.partition, machine=name)
             leader.gone(name, "lease")
--- a/roadbend/fleet/heartbeat_evaluation.py
+++ b/roadbend/fleet/heartbeat_evaluation.py
@@ -118,7 +118,7 @@
     machine.unrecorded_tasks += 1
     recorded = expected.recorded_attempt(TaskKey(task.job, task.task_index))
     log.warning(
-        "unrecorded-task",
+        "task-unrecorded",
         partition=expected.partition,
         job=task.job,
         index=task.task_index,
--- a/roadbend/fleet/terminations.py
+++ b/roadbend/fleet/terminations.py
@@ -65,12 +65,12 @@
         self._ends[TaskKey(*key)] = end
         self.changes += 1
         log.info(
-            "attempt-gone",
+            "attempt-terminated",
             job=key[0],
             index=key[1],
             attempt=end.attempt,
             machine=end.machine,
-            proof=end.cause,
+            evidence=end.cause,
         )
 
     def begin_transaction(self, keys: Iterable[tuple[str, int]]) -> None:
@@ -94,13 +94,13 @@
             del self._ends[TaskKey(*key)]
             self.changes += 1
         log.warning(
-            "proof-contradicted",
+            "termination-contradicted",
             job=key[0],
             index=key[1],
             attempt=end.attempt,
             machine=end.machine,
             shown_by=shown_by,
-            proof=end.cause,
+            evidence=end.cause,
             withdrawn=not kept,
         )
 
--- a/roadbend/fleet/test_machines.py
+++ b/roadbend/fleet/test_machines.py
@@ -173,7 +173,7 @@
     with caplog.at_level("WARNING"):
         assert desk.take(tasks=[("run-000001/0", 70, "running", None)]) == []
     assert KEY not in desk.ended
-    for word in ("proof-contradicted", "run-000001", "index=0", "attempt=70", "machine=m-1"):
+    for word in ("termination-contradicted", "run-000001", "index=0", "attempt=70", "machine=m-1"):
         assert word in caplog.text
     desk.take(sequence=6, tasks=[("run-000001/0", 70, "ended", "done")])
     desk.take(sequence=7, tasks=[("run-000001/0", 70, "running", None)])
@@ -187,7 +187,7 @@
     with caplog.at_level("WARNING"):
         orders = desk.take(tasks=[("run-000001/0", 70, "running", None)])
     assert verbs(orders) == [("kill", "run-000001/0", 70)] and not desk.ended
-    for word in ("unrecorded-task", "machine=m-1", "recorded_machine=m-2", "recorded_attempt=71"):
+    for word in ("task-unrecorded", "machine=m-1", "recorded_machine=m-2", "recorded_attempt=71"):
         assert word in caplog.text
 
 
--- a/roadbend/http/net.py
+++ b/roadbend/http/net.py
@@ -114,5 +114,5 @@
                         pass
                     except OSError as error:
                         # No sockets or no memory left: those who end leave some.
-                        log.error("not-accepted", error=error)
+                        log.error("connection-not-accepted", error=error)
                         await trio.sleep(REFUSED_PAUSE_S)
--- a/roadbend/intake/users.py
+++ b/roadbend/intake/users.py
@@ -186,13 +186,13 @@
             return self._later("no state")
         context.view.applied(rows, revision)
         log.info(
-            "accepted",
+            "job-accepted",
             job=name,
             team=spec.team,
             tasks=spec.task_count,
             service=spec.service,
-            expected=spec.expected_duration.total_seconds(),
-            due=None if spec.due is None else spec.due.total_seconds(),
+            expected_s=spec.expected_duration.total_seconds(),
+            due_s=None if spec.due is None else spec.due.total_seconds(),
             image=f"{spec.image}:{spec.image_gb:.1f}",
         )
         context.observer.job_accepted(job, request.trace_parent)
@@ -306,7 +306,7 @@
                     continue
                 # Recorded before it is told. Owners stop the tasks of a job that is no longer live.
                 context.view.applied(rows, revision)
-                log.info("cancelled", job=name)
+                log.info("job-cancelled", job=name)
                 context.observer.job_over(job, STATUS_ABORTED)
                 return await self._told_all(name, (STATUS_ABORTED, done))
         return self._later("no state")
--- a/roadbend/partitions/election.py
+++ b/roadbend/partitions/election.py
@@ -31,7 +31,7 @@
 from roadbend.store.record_reader import RecordReader
 from roadbend.store.record_view import RecordView
 
-log = Log("parts")
+log = Log("partitions")
 # An owner starts tasks only on records that it read this lately; so whoever records a cancellation
 # knows from when on nobody can start its tasks any more without knowing of it.
 START_FRESH = timedelta(seconds=2)
@@ -124,7 +124,7 @@
             if mine is None or mine.term >= term:
                 return
             del self.leaderships[partition]
-        log.info("stepped-down", partition=partition, term=mine.term, higher=term)
+        log.info("leadership-deposed", partition=partition, term=mine.term, higher_term=term)
         self._tell(partition)
 
     def raise_above(self, partition: str, term: int) -> None:
@@ -142,7 +142,7 @@
             partitions = list(self.leaderships)
             self.leaderships.clear()
         for partition in partitions:
-            log.info("lost", partition=partition, why=why)
+            log.info("leadership-lost", partition=partition, reason=why)
             self._tell(partition)
 
     def _tell(self, partition: str) -> None:
@@ -161,7 +161,7 @@
             except (RefusedError, NoAnswerError, UnavailableError):
                 pass
             except Exception:
-                log.crash("ownership-failed")
+                log.crash("election-failed")
             await clock.pause(timedelta(milliseconds=300))
 
     async def _keep_lease(self) -> None:
@@ -266,10 +266,10 @@
                 and self._lost_terms.get(partition, 0) >= mine.term
             ):
                 log.info(
-                    "term-lost",
+                    "term-raised",
                     partition=partition,
                     term=mine.term,
-                    seen=self._lost_terms[partition],
+                    seen_term=self._lost_terms[partition],
                 )
                 await self._take(partition, own.mod_revision, now)
             elif mine is not None and own.controller != me:
@@ -285,7 +285,7 @@
         with self.lock:
             gone = self.leaderships.pop(partition, None)
         if gone is not None:
-            log.info("lost", partition=partition, why=why)
+            log.info("leadership-lost", partition=partition, reason=why)
             self._tell(partition)
 
     async def _take(self, partition: str, own_mod_revision: int, now: datetime) -> None:
@@ -343,7 +343,7 @@
             self.leaderships[partition] = Leadership(
                 partition, number, term.mod_revision, clock.now()
             )
-        log.info("took", partition=partition, term=number)
+        log.info("leadership-acquired", partition=partition, term=number)
         self._tell(partition)
 
     async def _release(self, partition: str) -> None:
@@ -388,7 +388,7 @@
             return
         if now < self._declining_until.get(f"{partition}>{first}", now):
             return
-        log.info("hand-back", partition=partition, to=first)
+        log.info("failback-started", partition=partition, to_controller=first)
         self._declining_until[partition] = now + self._operator.takeover_grace * 4
         self._declining_until[f"{partition}>{first}"] = now + timedelta(seconds=30)
         self._forget(partition, "handed back")
--- a/roadbend/peers/links.py
+++ b/roadbend/peers/links.py
@@ -117,7 +117,7 @@
             except (OSError, trio.TooSlowError, trio.BrokenResourceError, trio.ClosedResourceError):
                 pass
             except Exception:
-                log.crash("link-failed", peer=self.peer.name)
+                log.crash("peer-link-failed", peer=self.peer.name)
             for send in list(self._waiting.values()):
                 send.close()
             await clock.pause(waits.next())
@@ -144,7 +144,7 @@
             else:
                 missed += 1
                 if missed >= 2:
-                    log.debug("link-silent", peer=self.peer.name)
+                    log.debug("peer-link-silent", peer=self.peer.name)
                     scope.cancel()
             await clock.pause(HEARTBEAT_INTERVAL)
 
@@ -165,7 +165,7 @@
         except (OSError, trio.BrokenResourceError, trio.ClosedResourceError):
             pass
         except FrameError as error:
-            log.error("bad-frame", peer=self.peer.name, error=str(error))
+            log.error("frame-malformed", peer=self.peer.name, error=str(error))
         scope.cancel()
 
 
@@ -213,11 +213,11 @@
                     with trio.fail_after(5):
                         await stream.send_all(out)
         except FrameError as error:
-            log.error("bad-frame", peer=sender, error=str(error))
+            log.error("frame-malformed", peer=sender, error=str(error))
         except (OSError, trio.BrokenResourceError, trio.ClosedResourceError, trio.TooSlowError):
             pass
         except Exception:
-            log.crash("peer-failed", peer=sender)
+            log.crash("peer-connection-failed", peer=sender)
         finally:
             self._incoming -= 1
             await trio.aclose_forcefully(stream)
--- a/roadbend/placement/ends.py
+++ b/roadbend/placement/ends.py
@@ -207,7 +207,9 @@
             for row in ends.plans[n]:
                 transaction.set_slice(row)
             into = len(ends.plans[n])
-            log.info("split", partition=leader.partition, job=ends.name, shard=n, into=into)
+            log.info(
+                "shard-split", partition=leader.partition, job=ends.name, shard=n, into_shards=into
+            )
         elif n not in over:
             # Fewer attempts never make the record larger than a range each.
             transaction.set_slice(piece)
@@ -319,7 +321,7 @@
 ) -> None:
     leader.context.observer.attempt_ended(leader.partition, job, task_index, end)
     log.debug(
-        "ended",
+        "attempt-end-recorded",
         partition=leader.partition,
         task=f"{job}/{task_index}",
         machine=end.machine,
@@ -355,9 +357,9 @@
             )
             leader.backoff[job] = (times, now + pause)
             log.info(
-                "task-error",
+                "task-failed",
                 partition=leader.partition,
                 task=f"{job}/{task_index}",
                 machine=end.machine,
-                times=times,
+                failures=times,
             )
--- a/roadbend/placement/gang_reservations.py
+++ b/roadbend/placement/gang_reservations.py
@@ -35,7 +35,12 @@
         machines = machines_for(leader, item)
         if not machines:
             continue
-        log.info("keep-room", partition=leader.partition, job=item.job.id, machines=len(machines))
+        log.info(
+            "gang-capacity-reserved",
+            partition=leader.partition,
+            job=item.job.id,
+            machines=len(machines),
+        )
         until = now + KEEP
         for machine in machines:
             leader.gang_reservations_by_machine[machine] = (item.job.id, until)
--- a/roadbend/placement/gangs.py
+++ b/roadbend/placement/gangs.py
@@ -194,7 +194,10 @@
         if apart_gangs.is_apart(job):
             if gone or not apart_gangs.intact(leader, job, now):
                 log.info(
-                    "gang-over", partition=leader.partition, job=name, left=len(job_slice.attempts)
+                    "gang-attempt-abandoned",
+                    partition=leader.partition,
+                    job=name,
+                    remaining_tasks=len(job_slice.attempts),
                 )
                 apart_gangs.rest(leader, job, now)
                 stop_whole(leader, job, "peers", now, clock.ZERO)
@@ -210,7 +213,12 @@
             leader, job, job_slice, rest
         ):
             continue
-        log.info("gang-over", partition=leader.partition, job=name, left=len(rest))
+        log.info(
+            "gang-attempt-abandoned",
+            partition=leader.partition,
+            job=name,
+            remaining_tasks=len(rest),
+        )
         stop_whole(leader, job, "peers", now, clock.ZERO)
 
 
--- a/roadbend/placement/heartbeats.py
+++ b/roadbend/placement/heartbeats.py
@@ -108,7 +108,7 @@
                 leader.rented.discard(heartbeat.machine)
                 leader.machines[machine.id] = machine
                 log.info(
-                    "machine-up",
+                    "machine-registered",
                     partition=leader.partition,
                     machine=machine.id,
                     machine_type=machine.machine_type,
@@ -127,10 +127,10 @@
                 machine.acknowledged_at = now
             if machine.reclaim_at is not None and not had_notice:
                 log.info(
-                    "notice",
+                    "machine-reclaim-announced",
                     partition=leader.partition,
                     machine=machine.id,
-                    seconds=heartbeat.notice,
+                    notice_s=heartbeat.notice,
                 )
                 self._evacuate(machine, leader.by_machine().get(machine.id, {}), now)
                 news = True
@@ -213,7 +213,7 @@
         leader = self._leader
         with leader.lock:
             log.info(
-                "machine-anew",
+                "machine-restarted",
                 partition=leader.partition,
                 machine=machine.id,
                 incarnation=machine.incarnation + 1,
--- a/roadbend/placement/leader.py
+++ b/roadbend/placement/leader.py
@@ -245,7 +245,7 @@
                     await clock.pause(timedelta(milliseconds=200))
                     again = False
                 except Exception:
-                    log.crash("step-failed", partition=self.partition)
+                    log.crash("scheduling-step-failed", partition=self.partition)
                     await clock.pause(timedelta(seconds=1))
                     again = False
                 finally:
@@ -293,7 +293,12 @@
             )
         except TooLargeError as error:
             # Certainly not carried out, and never would be: next time in smaller pieces.
-            log.error("too-large", partition=self.partition, changes=len(rows), error=str(error))
+            log.error(
+                "transaction-oversized",
+                partition=self.partition,
+                changes=len(rows),
+                error=str(error),
+            )
             self.most_rows = max(2, len(rows) // 2)
             self.ended.end_transaction()
             raise
@@ -301,7 +306,7 @@
             self.in_doubt = dict(transaction.conditions)
             raise
         except ConflictError as conflict:
-            log.debug("conflict", partition=self.partition, failed=conflict.failed)
+            log.debug("transaction-conflict", partition=self.partition, failed_keys=conflict.failed)
             # It may be our own success, of which the answer was lost: until the records have been
             # read, nobody knows.
             self.in_doubt = dict(transaction.conditions)
@@ -359,7 +364,7 @@
                 except (ConflictError, UnavailableError):
                     return False
                 view.applied(rows, revision)
-                log.info("made-sure", partition=self.partition, key=key)
+                log.info("in-doubt-transaction-resolved", partition=self.partition, key=key)
                 self._forget_in_doubt()
                 return True
         return False
--- a/roadbend/placement/preemption.py
+++ b/roadbend/placement/preemption.py
@@ -165,11 +165,11 @@
     for victim in chosen:
         key, attempt, job = victim.handle
         log.info(
-            "preempt",
+            "task-preempted",
             partition=leader.partition,
             task=f"{key[0]}/{key[1]}",
             machine=capacity.id,
-            by=item.job.id,
+            by_job=item.job.id,
         )
         if job.spec.gang:
             gangs.stop_whole(leader, job, "preempted", now)
--- a/roadbend/placement/starts.py
+++ b/roadbend/placement/starts.py
@@ -118,7 +118,9 @@
     ):
         return False
     if not all(transaction.fits(piece) for piece in pieces):
-        log.error("record-full", partition=leader.partition, job=job.id, tasks=len(share))
+        log.error(
+            "shard-record-oversized", partition=leader.partition, job=job.id, tasks=len(share)
+        )
         return True
     for piece in pieces:
         transaction.set_slice(piece)
@@ -137,11 +139,11 @@
     transaction.after.append(partial(tell_observer, leader, job, pieces, [row[1] for row in share]))
     for _, task_index, capacity in share:
         log.debug(
-            "start",
+            "attempt-started",
             partition=leader.partition,
             task=f"{job.id}/{task_index}",
             machine=capacity.id,
-            wait=f"{(clock.wall() - job.submitted_at).total_seconds():.1f}",
+            waited_s=f"{(clock.wall() - job.submitted_at).total_seconds():.1f}",
             cached=job.spec.image in capacity.images,
         )
     return len(share) == len(rows)
--- a/roadbend/recovery/partition.py
+++ b/roadbend/recovery/partition.py
@@ -100,7 +100,7 @@
         if not self.held.add(held):
             return False
         log.info(
-            "hold",
+            "attempt-held",
             partition=self.leader.partition,
             job=task.job,
             index=task.task_index,
@@ -173,7 +173,7 @@
         token_confirmed = self.leader.leadership.term
         if not token_confirmed <= term < min(MOST_TERM, token_confirmed + MOST_TERM_AHEAD):
             log.warning(
-                "nonsense-term", partition=self.leader.partition, machine=machine, term=term
+                "term-implausible", partition=self.leader.partition, machine=machine, term=term
             )
             return
         if term == token_confirmed and not (self.cold and self.machines.is_present(machine)):
@@ -221,11 +221,11 @@
     def _log_phase(self, now: datetime) -> None:
         evidence = self.machines.evidence(self.lost_writes)
         log.info(
-            "phase",
+            "recovery-phase-ended",
             partition=self.leader.partition,
             term=self.leader.leadership.term,
             phase=self.phase.name,
-            seconds=f"{(now - self.phase.since).total_seconds():.1f}",
+            lasted_s=f"{(now - self.phase.since).total_seconds():.1f}",
             heard=len(evidence.heard),
             expected=len(evidence.expected),
             lost_writes=self.lost_writes,
@@ -257,7 +257,7 @@
             if held.decision is before:
                 continue
             log.info(
-                "decision",
+                "held-attempt-decided",
                 partition=self.leader.partition,
                 job=held.job,
                 index=held.index,
@@ -278,7 +278,10 @@
             job = self.leader.live(held.job)
             if job is not None and held.attempt >> ATTEMPT_TERM_BITS < self.leader.leadership.term:
                 log.error(
-                    "lost-writes", partition=self.leader.partition, job=held.job, index=held.index
+                    "lost-writes-detected",
+                    partition=self.leader.partition,
+                    job=held.job,
+                    index=held.index,
                 )
                 self._around.note_lost_writes(self.leader.partition)
                 return
@@ -294,11 +297,11 @@
             held.since,
         )
         log.info(
-            "hold-over",
+            "attempt-released",
             partition=self.leader.partition,
             job=held.job,
             index=held.index,
             attempt=held.attempt,
             machine=held.machine,
-            why=why,
+            reason=why,
         )
--- a/roadbend/recovery/service.py
+++ b/roadbend/recovery/service.py
@@ -82,7 +82,7 @@
         )
         self._parts[leader.partition] = partition
         log.info(
-            "begin",
+            "recovery-started",
             partition=leader.partition,
             term=leader.leadership.term,
             cold=partition.cold,
@@ -130,7 +130,7 @@
             try:
                 await self._look(clock.now())
             except (RefusedError, NoAnswerError, UnavailableError) as error:
-                log.debug("no-state", error=str(error)[:80])
+                log.debug("state-store-unavailable", error=str(error)[:80])
             except Exception:
                 log.crash("recovery-failed")
 
@@ -244,7 +244,9 @@
         if term is None or term.number != leader.leadership.term:
             return
         seen = max(partition.terms_in_use.values())
-        log.error("lost-term", partition=leader.partition, term=term.number, seen=seen)
+        log.error(
+            "lost-term-detected", partition=leader.partition, term=term.number, seen_term=seen
+        )
         partition.terms_in_use, partition.in_use_since = {}, None
         self._note_lost_writes(leader.partition)
         self._context.election.raise_above(leader.partition, seen)
@@ -313,7 +315,9 @@
         try:
             revision = await commit(self._context.state, conditions, rows, within=WRITE_WITHIN)
         except (ConflictError, LeaseEndedError, UnavailableError) as error:
-            log.debug("not-written", partition=leader.partition, error=str(error)[:80])
+            log.debug(
+                "recovery-progress-not-written", partition=leader.partition, error=str(error)[:80]
+            )
             return False
         self._context.view.applied(rows, revision)
         return True
--- a/roadbend/store/record_reader.py
+++ b/roadbend/store/record_reader.py
@@ -60,11 +60,13 @@
             except (RefusedError, NoAnswerError) as error:
                 self.refusals += 1
                 if self.refusals in (1, 10) or self.refusals % 100 == 0:
-                    log.error("no-state", error=str(error)[:80], times=self.refusals)
+                    log.error(
+                        "state-store-unavailable", error=str(error)[:80], failures=self.refusals
+                    )
                 pause = waits.next()
                 continue
             if self.refusals > 1:
-                log.info("state-back", after=self.refusals)
+                log.info("state-store-recovered", after_failures=self.refusals)
             waits.reset()
             pause, self.refusals, self.contact = clock.ZERO, 0, sent
             async with self._turn:
@@ -77,7 +79,7 @@
             if news is not None:
                 self.view.events(*news)
                 return
-            log.info("log-too-old", revision=self.view.revision)
+            log.info("change-log-compacted", revision=self.view.revision)
         rows, revision = await self._state.read_all(keys.LIVE)
         self.view.load(rows, revision)
-        log.info("records-read", count=len(rows), revision=revision)
+        log.info("records-loaded", count=len(rows), revision=revision)
--- a/roadbend/store/record_view.py
+++ b/roadbend/store/record_view.py
@@ -162,7 +162,7 @@
                 self._store(key, value, mod_revision)
             except (KeyError, TypeError, ValueError, IndexError, AttributeError) as error:
                 # A record that can't be read must not stop the rest from being served.
-                log.error("bad-record", key=key, error=repr(error)[:120])
+                log.error("record-unreadable", key=key, error=repr(error)[:120])
                 return
             self._mod_revisions[key] = mod_revision
             self._gone.pop(key, None)
--- a/roadbend/store/request_budget.py
+++ b/roadbend/store/request_budget.py
@@ -139,7 +139,7 @@
         self._writes.drain()
         if writing and self._rates[1] < self._rates[0]:
             if self._fell is None:
-                log.info("write-rate", changes=f"{self._rates[1]:.1f}")
+                log.info("write-rate-reduced", changes_per_s=f"{self._rates[1]:.1f}")
             self._fell = clock.now()
             self._writes.set_total(self._rates[1])
 
--- a/roadbend/tracing/switch.py
+++ b/roadbend/tracing/switch.py
@@ -71,7 +71,7 @@
         """One line for each place that spans go to."""
         for processor in self.processors:
             log.info(
-                "spans",
+                "spans-exported",
                 exported=processor.exported,
                 failed=processor.failed,
                 dropped=processor.dropped,
