--- a/roadbend/autoscaler/cloud.py
+++ b/roadbend/autoscaler/cloud.py
@@ -95,8 +95,8 @@
 
 
 # Whether there is still reason for a call, asked right before it goes out: it may have waited for
-# its turn, and the process may have stood still meanwhile while another controller took the part
-# over.
+# its turn, and the process may have stood still meanwhile while another controller took the
+# partition over.
 Still = Callable[[], bool]
 
 
--- a/roadbend/autoscaler/policy.py
+++ b/roadbend/autoscaler/policy.py
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True)
 class MachineOption:
-    """A type and kind that may be hired in this part, at its price an hour."""
+    """A type and kind that may be hired in this partition, at its price an hour."""
 
     machine_type: MachineType
     spot: bool
@@ -105,8 +105,8 @@
     job: Job, machine_types: Iterable[MachineType], dear: float, partition: str
 ) -> set[str]:
     """Types on which a task of this job costs over `dear` times the least, when machines are full.
-    A job that must spread over zones can't go where the cheap type is: there only this part's types
-    compare."""
+    A job that must spread over zones can't go where the cheap type is: there only this partition's
+    types compare."""
     prices: dict[str, float] = {}
     if job.spec.zone_cap < job.spec.task_count:
         machine_types = [
@@ -264,8 +264,8 @@
     arrivals: list[int], boot: timedelta, window: timedelta, partitions: int, most: int
 ) -> int:
     """Places to keep for services that must start sooner than a machine boots: what arrives on
-    average while one boots, and one deviation more, over the parts. `arrivals`: the replicas of
-    each service that came; wide ones make the deviation larger. Zero when none arrive."""
+    average while one boots, and one deviation more, over the partitions. `arrivals`: the replicas
+    of each service that came; wide ones make the deviation larger. Zero when none arrive."""
     if not arrivals:
         return 0
     share = boot / window
--- a/roadbend/autoscaler/scale_in.py
+++ b/roadbend/autoscaler/scale_in.py
@@ -18,11 +18,11 @@
 
 
 class ScaleIn:
-    """Gives machines of all parts back to the cloud."""
+    """Gives machines of all partitions back to the cloud."""
 
     def __init__(self, context: ControllerContext, cloud: Cloud):
         self._context, self._cloud = context, cloud
-        # When machines of each part were last given back.
+        # When machines of each partition were last given back.
         self._returned: dict[str, datetime] = {}
 
     async def give_back(
@@ -34,7 +34,7 @@
         still: Still,
     ) -> None:
         """`model`: the service that warm room is kept for, of which `surplus` places may go.
-        `still`: whether the part is still ours when the call goes out."""
+        `still`: whether the partition is still ours when the call goes out."""
         names = self._faulty(leader) + self._unneeded(leader, now, model, surplus)
         if not names or not self._is_worth_a_call(leader, names, now):
             return
--- a/roadbend/autoscaler/service.py
+++ b/roadbend/autoscaler/service.py
@@ -1,4 +1,4 @@
-"""Hiring for a part's queue, returning what is empty, deleting what never came up, adopting
+"""Hiring for a partition's queue, returning what is empty, deleting what never came up, adopting
 strays."""
 
 import random
@@ -37,7 +37,7 @@
 # Requests to rent machines of one type and kind in a round; after these the queue is looked at
 # anew.
 MAX_REQUESTS = 8
-# How often a controller without a part looks whether it has one, before it reads the list.
+# How often a controller without a partition looks whether it has one, before it reads the list.
 LIST_SOON = timedelta(milliseconds=300)
 
 
@@ -62,7 +62,7 @@
 
 
 class Autoscaler:
-    """Rents and returns the machines of all parts that this controller owns."""
+    """Rents and returns the machines of all partitions that this controller owns."""
 
     def __init__(
         self,
@@ -132,7 +132,7 @@
     async def list_loop(self) -> None:
         while True:
             if not self._leaders:
-                # Soon after a part was taken its machines are to be known.
+                # Soon after a partition was taken its machines are to be known.
                 await clock.pause(LIST_SOON)
                 continue
             try:
@@ -146,8 +146,8 @@
             await clock.pause(self._cloud.list_pause(len(self._fleet.inventory.rows)))
 
     def _sort_listed(self, rows: list[Listed]) -> None:
-        """Strays: machines of our parts that we don't know. They are used when they report, and
-        returned when they never do."""
+        """Strays: machines of our partitions that we don't know. They are used when they report,
+        and returned when they never do."""
         now = clock.now()
         ids = {row.id for row in rows}
         self._first_listed = {k: at for k, at in self._first_listed.items() if k in ids}
@@ -165,7 +165,7 @@
                     row.id, row.machine_type, row.spot, now - row.age, row.status == "running"
                 )
 
-    # A part's loop.
+    # A partition's loop.
 
     async def run(self, leader: PartitionLeader) -> None:
         partition, pause = leader.partition, ROUND
@@ -286,7 +286,7 @@
             if boot.stray:
                 limit = min(limit, operator.find_owner)
             # What we hired in an earlier term may long be up, and report to us only now: an owner
-            # that got its part back once deleted healthy machines here.
+            # that got its partition back once deleted healthy machines here.
             since = max(boot.since, leader.leadership.acquired_at)
             unheard = boot.id not in leader.machines and boot.id not in leader.by_machine()
             if (
@@ -410,8 +410,8 @@
         return len(got)
 
     def _still(self, leader: PartitionLeader) -> Still:
-        """Machines are hired and given back for a part only while it is ours: a new owner may have
-        put work on what we found empty before we stood still."""
+        """Machines are hired and given back for a partition only while it is ours: a new owner may
+        have put work on what we found empty before we stood still."""
         election = self._context.election
         return lambda: (
             election.leadership(leader.partition) == leader.leadership
--- a/roadbend/autoscaler/warm_pool.py
+++ b/roadbend/autoscaler/warm_pool.py
@@ -1,4 +1,4 @@
-"""Free places that a part keeps for services which must start sooner than a machine boots."""
+"""Free places that a partition keeps for services which must start sooner than a machine boots."""
 
 from dataclasses import replace
 
@@ -11,14 +11,14 @@
 
 
 class WarmPool:
-    """Says how many such places a part should keep, and how many it has."""
+    """Says how many such places a partition should keep, and how many it has."""
 
     def __init__(self, context: ControllerContext):
         self._context = context
 
     def wanted(self, partition: str) -> tuple[Job | None, int]:
-        """The service to keep room for, and how many places of this part: for classes whose aim is
-        a start sooner than a machine boots, as many as measured arrivals justify."""
+        """The service to keep room for, and how many places of this partition: for classes whose
+        aim is a start sooner than a machine boots, as many as measured arrivals justify."""
         operator, wall = self._context.operator, clock.wall()
         arrivals: list[int] = []
         model = None
@@ -37,7 +37,7 @@
                 arrivals.append(job.spec.task_count)
         if model is None:
             return None, 0
-        # Only parts that can host it cheaply keep room for it.
+        # Only partitions that can host it cheaply keep room for it.
         machine_types = self._context.machine_types
         zones = {zone for machine_type in machine_types.values() for zone in machine_type.zones}
         dear = {
--- a/roadbend/bidding/casa.py
+++ b/roadbend/bidding/casa.py
@@ -1,7 +1,7 @@
 """The community-aware scheduling algorithm as pure functions.
 
 Names and numbers are those of Huang et al., sections 3 and 4; docs/design.md says what was kept and
-what was changed. Times here are durations of work; `cores` are those of a part's machines."""
+what was changed. Times here are durations of work; `cores` are those of a partition's machines."""
 
 import random
 from collections.abc import Sequence
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True)
 class Bid:
-    """An accept message: what a part promises for a job (section 4.2)."""
+    """An accept message: what a partition promises for a job (section 4.2)."""
 
     partition: str
     controller: str
@@ -76,11 +76,12 @@
     slice_most: int = 64,
     left: timedelta | None = None,
 ) -> dict[str, ranges.Ranges]:
-    """Which part gets which of the job's free tasks, by slices. Among the parts that can start some
-    now, one of those wins; only when there is none is one of all drawn. Zone caps hold throughout.
+    """Which partition gets which of the job's free tasks, by slices. Among the partitions that can
+    start some now, one of those wins; only when there is none is one of all drawn. Zone caps hold
+    throughout.
 
     `left`: what is left until the job is due. Where some bids promise to be in time, those that
-    don't are not drawn: an inverse weight hardly tells a part just in time from one just too
+    don't are not drawn: an inverse weight hardly tells a partition just in time from one just too
     late."""
     spec = job.spec
     free = job.unassigned
@@ -134,7 +135,8 @@
     if held:
         return {held[0]: job.unassigned} if any(bid.partition == held[0] for bid in bids) else {}
     if job.done:
-        # Its zone is known only to the part that held it; parts never give back started slices.
+        # Its zone is known only to the partition that held it; partitions never give back started
+        # slices.
         return {}
     count = ranges.size(job.unassigned)
     able = [bid for bid in bids if bid.capacity >= count]
@@ -147,7 +149,7 @@
     job: Job, bids: Sequence[Bid], omega: float, rng: random.Random
 ) -> dict[str, ranges.Ranges]:
     """Shares of a gang that is to be apart: all of it is given out at once, or nothing. As ever,
-    parts that can start their shares now come first, and the draw is by inverse time."""
+    partitions that can start their shares now come first, and the draw is by inverse time."""
     if job.allocation or job.done:
         return {}
     now = {bid.partition: min(bid.startable_now, job.spec.zone_cap) for bid in bids}
--- a/roadbend/bidding/messages.py
+++ b/roadbend/bidding/messages.py
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True)
 class BidRequest:
-    """A request, or, with `theirs` set, an inform: what a part must know to bid."""
+    """A request, or, with `theirs` set, an inform: what a partition must know to bid."""
 
     job: str
     requests: int
--- a/roadbend/bidding/requester.py
+++ b/roadbend/bidding/requester.py
@@ -32,14 +32,14 @@
 MAX_REFUSED = 3
 # For how long it is remembered that nobody took a job.
 FORGET_REFUSALS = timedelta(seconds=60)
-# A job that has waited for so long goes to any part that could start it now.
+# A job that has waited for so long goes to any partition that could start it now.
 LONG_WAIT = timedelta(seconds=30)
 # Shards of one job from which tasks move at once; each is a condition of the transaction.
 MAX_SHARDS = 16
 
 
 class Requester:
-    """Asks all parts for bids, records who got what, and offers again what waits too long."""
+    """Asks all partitions for bids, records who got what, and offers again what waits too long."""
 
     def __init__(
         self,
@@ -113,9 +113,9 @@
         for bid in self.bids(ask):
             average = self._bidder(bid.partition).average_queuing(now)
             estimate = casa.response(bid, operator.omega)
-            # A part that can start it now takes what has waited for long, whatever waits here for
-            # other machines: by the averages alone a job can wait for ever beside room that fits
-            # it.
+            # A partition that can start it now takes what has waited for long, whatever waits here
+            # for other machines: by the averages alone a job can wait for ever beside room that
+            # fits it.
             if ask.theirs is not None and (
                 casa.accepts_reoffer(
                     estimate, ask.theirs, average, ask.their_average, operator.varpi
@@ -215,7 +215,7 @@
             for link in self._peers.links.values():
                 if not ask.spec.gang or link.known.speaks(frames.GANGS):
                     nursery.start_soon(self._ask, link, kind, payload, bids)
-        # One bid a part: while ownership moves, two may answer for it.
+        # One bid a partition: while ownership moves, two may answer for it.
         return list({bid.partition: bid for bid in bids}.values())
 
     @staticmethod
@@ -319,9 +319,9 @@
                 break
 
     async def _release_gangs(self, leader: PartitionLeader, now: datetime) -> None:
-        """Gives back gangs of which several parts hold tasks, so that they are bid for anew: those
-        that are to be apart when they have waited for long, for one of the shares may find no room
-        where it is; others at once, since one part must hold them whole."""
+        """Gives back gangs of which several partitions hold tasks, so that they are bid for anew:
+        those that are to be apart when they have waited for long, for one of the shares may find no
+        room where it is; others at once, since one partition must hold them whole."""
         for name in list(self._context.view.assigned_jobs.get(leader.partition, ())):
             job = self._context.view.jobs[name]
             if not job.spec.gang or name in self._context.cancelled:
--- a/roadbend/bidding/responder.py
+++ b/roadbend/bidding/responder.py
@@ -1,4 +1,5 @@
-"""A part's answer to a request: the paper's times, and real fit on machines instead of totals."""
+"""A partition's answer to a request: the paper's times, and real fit on machines instead of
+totals."""
 
 from datetime import datetime, timedelta
 
@@ -37,7 +38,7 @@
 
 
 class Responder:
-    """Bids for one part while we own it."""
+    """Bids for one partition while we own it."""
 
     def __init__(self, leader: PartitionLeader, controller: str, closed, shadow: Promises):
         self._leader, self._controller, self._closed, self._shadow = (
@@ -61,7 +62,7 @@
         cores, ready = projection.cores, projection.ready
         now_count, when_booted = self._fitting(job, projection)
         # All of a gang at once on machines' real free room, or it can't start now; of one that is
-        # to be apart, what one part may run of it.
+        # to be apart, what one partition may run of it.
         whole = spec.task_count if spec.gang and not spec.apart else 1
         if now_count < whole:
             now_count = 0
@@ -81,7 +82,7 @@
             return None
         # Slices fit the free room: what the team's limit or our own queue keeps waiting is not
         # asked for, or a huge array would pile up here range by range. A gang is held whole by one
-        # part, and queues there while its team is at its limit.
+        # partition, and queues there while its team is at its limit.
         left = spec.task_count if spec.gang else self._team_left(job) - own
         now_count, capacity = min(now_count, left), min(max(capacity, 0 if own else 1), left)
         if capacity <= 0 or capacity < whole:
@@ -112,14 +113,14 @@
         return bid
 
     def average_queuing(self, now: datetime) -> timedelta:
-        """Definition 4 for this part: of those that wait, else of those that were started."""
+        """Definition 4 for this partition: of those that wait, else of those that were started."""
         leader = self._leader
         waiting = [now - leader.queued.get(item.job.id, now) for item in leader.queue.lately()]
         return casa.average_queuing(waiting, list(leader.waits))
 
     def estimate(self, job: Job, now: datetime) -> timedelta:
-        """What this part itself expects for a job that waits here: its run, and when the last of
-        what waits can start; a slice is not over before its last task is."""
+        """What this partition itself expects for a job that waits here: its run, and when the last
+        of what waits can start; a slice is not over before its last task is."""
         leader = self._leader
         starts = self.starts(job)
         start = starts[-1] if starts else forecast.NEVER
@@ -194,8 +195,8 @@
     ) -> tuple[float, int, MachineType] | None:
         """Boot time, places and type of the cheapest machine that we believe we can hire.
 
-        A part that could only hire dearly leaves a job to those who can do it cheaply, for as long
-        as the job can wait: the paper's acceptance takes the responder's own preferences into
+        A partition that could only hire dearly leaves a job to those who can do it cheaply, for as
+        long as the job can wait: the paper's acceptance takes the responder's own preferences into
         account."""
         leader, operator = self._leader, self._leader.context.operator
         machine_types = leader.context.machine_types.values()
--- a/roadbend/controller.py
+++ b/roadbend/controller.py
@@ -204,7 +204,7 @@
                 self.cancellations.popitem(last=False)
 
     async def propagate_cancellations(self) -> None:
-        """Returns when every controller that owns a part has heard all that we tell users is
+        """Returns when every controller that owns a partition has heard all that we tell users is
         cancelled, or can start nothing any more without having read it in the records."""
         me, heard, read = self.settings.name, set(), []
         most = START_FRESH * (1 + 2 * clock.DRIFT)
@@ -269,7 +269,7 @@
     # Deaf owners.
 
     async def _listen_for_deafness(self) -> None:
-        """Our part's workers reach a peer but not us: the part is handed over."""
+        """Our partition's workers reach a peer but not us: the partition is handed over."""
         silent_since: dict[str, datetime] = {}
         while True:
             await clock.pause(timedelta(seconds=1))
--- a/roadbend/fakes/troubles.py
+++ b/roadbend/fakes/troubles.py
@@ -21,7 +21,7 @@
 LATE_AT_LEAST = 2.0
 # The longest time that a direct command is held up.
 LATEST_COMMAND = 16.0
-# Copies kept for the next owner of a part, and how often it is looked whether there is one.
+# Copies kept for the next owner of a partition, and how often it is looked whether there is one.
 MAX_COPIES = 400
 OWNER_POLL = 0.05
 
--- a/roadbend/fleet/direct_commands.py
+++ b/roadbend/fleet/direct_commands.py
@@ -37,7 +37,7 @@
 
 
 class DirectCommands:
-    """Sends direct commands for all parts that this controller owns."""
+    """Sends direct commands for all partitions that this controller owns."""
 
     def __init__(self, context: ControllerContext, net: Net, leaders: dict[str, PartitionLeader]):
         self._context, self._net, self._leaders = context, net, leaders
--- a/roadbend/fleet/failure_detector.py
+++ b/roadbend/fleet/failure_detector.py
@@ -30,7 +30,7 @@
 PROBE_WITHIN = timedelta(seconds=3)
 # How long a machine that was looked into is left alone.
 PROBE_PAUSE = timedelta(seconds=2)
-# Whether a peer hears a machine of a part: part, machine, now.
+# Whether a peer hears a machine of a partition: partition, machine, now.
 HeardElsewhere = Callable[[str, str, datetime], bool]
 
 
@@ -43,7 +43,7 @@
     # The cloud lists it as failed.
     failed: bool
     took: timedelta
-    # When it last heard us before it was asked; `last`: that, or when our tenure began.
+    # When it last heard us before it was asked; `last`: that, or when our leadership began.
     heard: datetime | None
     last: datetime
 
@@ -52,7 +52,7 @@
 
 
 class FailureDetector:
-    """Looks after the silent machines of all parts that this controller owns."""
+    """Looks after the silent machines of all partitions that this controller owns."""
 
     def __init__(
         self,
--- a/roadbend/fleet/heartbeat_evaluation.py
+++ b/roadbend/fleet/heartbeat_evaluation.py
@@ -34,7 +34,7 @@
     stops: dict[TaskKey, StopOrder]
     ended: Terminations
     may_start: bool
-    # The attempt of a task that the part's records name on any machine.
+    # The attempt of a task that the partition's records name on any machine.
     recorded_attempt: Callable[[TaskKey], Attempt | None]
     # Whether a task that no record names is left alone for now.
     keeps_unrecorded: Callable[[TaskStatus], bool] = lambda task: False
--- a/roadbend/fleet/machines.py
+++ b/roadbend/fleet/machines.py
@@ -1,4 +1,4 @@
-"""A part's machines as their owner knows them, and which of their reports are taken in."""
+"""A partition's machines as their owner knows them, and which of their reports are taken in."""
 
 from dataclasses import dataclass, field
 from datetime import datetime, timedelta
@@ -32,7 +32,7 @@
 
 @dataclass
 class Machine:
-    """A machine of a part, as its owner knows it."""
+    """A machine of a partition, as its owner knows it."""
 
     id: str
     address: str
--- a/roadbend/fleet/service.py
+++ b/roadbend/fleet/service.py
@@ -17,8 +17,8 @@
 from roadbend.placement.context import ControllerContext
 from roadbend.placement.leader import PartitionLeader
 
-# Bytes of names of machines that we tell their owner we hear, a part and all together (a heartbeat
-# is one frame), and reports of other owners' machines that we remember.
+# Bytes of names of machines that we tell their owner we hear, a partition and all together (a
+# heartbeat is one frame), and reports of other owners' machines that we remember.
 MAX_HEARD = 64 * 1024
 MAX_HEARD_IN_ALL = 3 * MAX_HEARD
 MAX_FOREIGN_HEARTBEATS = 16_384
@@ -36,7 +36,8 @@
         leaders: dict[str, PartitionLeader],
     ):
         self._peers, self._context, self._leaders = peers, context, leaders
-        # Reports of parts that we don't own, lately: part -> machine -> when, and which it was.
+        # Reports of partitions that we don't own, lately: partition -> machine -> when, and which
+        # it was.
         self._foreign_heartbeats: dict[str, OrderedDict[str, tuple[datetime, tuple[int, int]]]] = {}
         self.inventory = CloudInventory()
         self.reachability = ZoneReachability(context, self.inventory)
--- a/roadbend/fleet/test_machine_incarnations.py
+++ b/roadbend/fleet/test_machine_incarnations.py
@@ -68,8 +68,8 @@
             before = leader.machines[name].last_heartbeat_at
             assert (await w.call(0, "POST", "/hello", body))[0] == 503
             assert leader.machines[name].last_heartbeat_at == before
-        # To a node that does not own the part, the newest of them counts once, the others not at
-        # all.
+        # To a node that does not own the partition, the newest of them counts once, the others not
+        # at all.
         fleet = w.controllers["node-1"].fleet
         for body in (copies[2], copies[2], copies[0], copies[1]):
             assert (await w.call(1, "POST", "/hello", body))[0] == 421
--- a/roadbend/fleet/zone_reachability.py
+++ b/roadbend/fleet/zone_reachability.py
@@ -14,22 +14,22 @@
 
 
 class ZoneReachability:
-    """Which parts' machines can't be reached together."""
+    """Which partitions' machines can't be reached together."""
 
     def __init__(self, context: ControllerContext, inventory: CloudInventory):
         self._context, self._inventory = context, inventory
-        # By part: machines silent, machines known, and whether the silent ones are only spot
+        # By partition: machines silent, machines known, and whether the silent ones are only spot
         # machines.
         self._quiet: dict[str, tuple[int, int, bool]] = {}
-        # Parts most of whose machines are silent: since when, and which; the records cease to name
-        # them as their leases end.
+        # Partitions most of whose machines are silent: since when, and which; the records cease to
+        # name them as their leases end.
         self._cut: dict[str, tuple[datetime, frozenset[str]]] = {}
 
     def note(self, leader: PartitionLeader, recorded: Iterable[str], now: datetime) -> None:
-        """Whether most of a part's machines are silent, those counted that the records name and
-        that a new owner has not heard at all: then it is the zone that can't be reached. An owner
-        that took a part over during a cut of its zone once deleted all of its machines, which went
-        on working inside."""
+        """Whether most of a partition's machines are silent, those counted that the records name
+        and that a new owner has not heard at all: then it is the zone that can't be reached. An
+        owner that took a partition over during a cut of its zone once deleted all of its machines,
+        which went on working inside."""
         self._quiet[leader.partition] = self._count_quiet(leader, now)
         since, before = self._cut.get(leader.partition, (now, frozenset()))
         heartbeat = self._context.settings.heartbeat_interval
@@ -46,8 +46,8 @@
             self._cut.pop(leader.partition, None)
 
     def is_cut(self, partition: str, now: datetime) -> bool:
-        """Nothing is hired in such a part, and none of its machines deleted, until that has lasted
-        long."""
+        """Nothing is hired in such a partition, and none of its machines deleted, until that has
+        lasted long."""
         row = self._cut.get(partition)
         return row is not None and now - row[0] < self._context.settings.lease * CUT_LEASES
 
--- a/roadbend/intake/users.py
+++ b/roadbend/intake/users.py
@@ -26,7 +26,7 @@
 
 log = Log("intake")
 MAX_ENDS = 20_000
-# How much of a value a job's record may take before any of its tasks is held by a part.
+# How much of a value a job's record may take before any of its tasks is held by a partition.
 LARGEST = 0.7
 SUBMIT_SHARE, POLL_SHARE = 0.7, 1.0
 # Reads of the records come several times a second; so long without one is trouble.
--- a/roadbend/observer.py
+++ b/roadbend/observer.py
@@ -20,7 +20,7 @@
         """A submission was recorded; `trace_parent`: the header that came with it, unchecked."""
 
     def job_assigned(self, job: Job, partitions: list[str]) -> None:
-        """Parts hold tasks of a job from now on."""
+        """Partitions hold tasks of a job from now on."""
 
     def attempt_recorded(self, partition: str, job: Job, index: int, attempt: Attempt) -> None:
         """A start was recorded, and its order may go out."""
@@ -34,12 +34,12 @@
     def recovery_phase(
         self, partition: str, term: int, phase: str, since: datetime, counts: dict[str, int]
     ) -> None:
-        """A phase of a part's recovery has ended, which lasted from `since`."""
+        """A phase of a partition's recovery has ended, which lasted from `since`."""
 
     def recovery_over(
         self, partition: str, term: int, since: datetime, counts: dict[str, int]
     ) -> None:
-        """A part's recovery, which lasted from `since`, is settled."""
+        """A partition's recovery, which lasted from `since`, is settled."""
 
     def recovery_machine(self, partition: str, term: int, machine: str, since: datetime) -> None:
         """A machine was heard for the first time in a term that lasts from `since`."""
--- a/roadbend/partitions/__init__.py
+++ b/roadbend/partitions/__init__.py
@@ -1,1 +1,1 @@
-"""Who owns which part of the machines: leases, terms, takeover, handing over."""
+"""Who leads which partition of the machines: leases, terms, failover and failback."""
--- a/roadbend/partitions/election.py
+++ b/roadbend/partitions/election.py
@@ -1,7 +1,7 @@
-"""Owning parts.
+"""Owning partitions.
 
-A part belongs to the controller that holds its leased key. Taking one over raises the term in the
-same transaction; the term is the workers' token and its record's stamp guards every write of an
+A partition belongs to the controller that holds its leased key. Taking one over raises the term in
+the same transaction; the term is the workers' token and its record's stamp guards every write of an
 owner, so a former owner's late transactions fail whatever it believes."""
 
 import threading
@@ -36,13 +36,13 @@
 # knows from when on nobody can start its tasks any more without knowing of it.
 START_FRESH = timedelta(seconds=2)
 # How long the loop waits for a read at most. In an outage it must not stand there: it renews the
-# lease of all our parts, and hands over what isn't ours to keep.
+# lease of all our partitions, and hands over what isn't ours to keep.
 READ_WITHIN = timedelta(seconds=2)
 
 
 @dataclass(frozen=True)
 class Leadership:
-    """Our ownership of a part under one term."""
+    """Our ownership of a partition under one term."""
 
     partition: str
     term: int
@@ -51,7 +51,7 @@
 
 
 class LeaderElection:
-    """Which parts this controller owns, and for how long it may act on that."""
+    """Which partitions this controller owns, and for how long it may act on that."""
 
     def __init__(
         self,
@@ -73,7 +73,7 @@
         self._absent: dict[str, datetime] = {}
         self._alive_since: dict[str, datetime] = {}
         self._declining_until: dict[str, datetime] = {}
-        # Terms that machines have seen and the records have lost, by part.
+        # Terms that machines have seen and the records have lost, by partition.
         self._lost_terms: dict[str, int] = {}
         self.leaderships: dict[str, Leadership] = {}
         self.changed: list[Callable[[str], None]] = []
@@ -129,7 +129,7 @@
 
     def raise_above(self, partition: str, term: int) -> None:
         """Machines have seen a term that the records have lost: as long as ours is not above it
-        they refuse our answers. The part is taken again under a higher one."""
+        they refuse our answers. The partition is taken again under a higher one."""
         self._lost_terms[partition] = max(term, self._lost_terms.get(partition, 0))
 
     def on_record(self, key: str) -> None:
@@ -328,7 +328,7 @@
             return
         self._view.applied(rows, revision)
         # Whatever was written before our term must be in the view before we act on it. Where it
-        # can't be had, the part is not ours: the key that we wrote is given up as soon as the
+        # can't be had, the partition is not ours: the key that we wrote is given up as soon as the
         # records are back.
         if not await self._read():
             return
@@ -395,7 +395,7 @@
         await self._release(partition)
 
     async def hand_over_deaf(self, partition: str) -> None:
-        """Our part's workers reach others but not us."""
+        """Our partition's workers reach others but not us."""
         now = clock.now()
         self._declining_until[partition] = now + timedelta(seconds=20)
         self._forget(partition, "deaf to its workers")
--- a/roadbend/partitions/policy.py
+++ b/roadbend/partitions/policy.py
@@ -1,4 +1,5 @@
-"""Who should own a part, and how long an owner may go on without the records. Pure functions."""
+"""Who should own a partition, and how long an owner may go on without the records. Pure
+functions."""
 
 import hashlib
 from collections.abc import Iterable
@@ -19,7 +20,7 @@
 
 
 def preferred(partition: str, zones: dict[str, str], live: Iterable[str]) -> str | None:
-    """A live controller of the part's own zone, else any live one."""
+    """A live controller of the partition's own zone, else any live one."""
     live = list(live)
     local = [name for name in live if zones.get(name) == partition]
     return rendezvous(partition, local or live)
--- a/roadbend/peers/heartbeat.py
+++ b/roadbend/peers/heartbeat.py
@@ -23,7 +23,7 @@
     # Requests and changes of the state service, and calls of the cloud, a second.
     request_rates: tuple[float, float, float]
     led_partitions: dict[str, int] = field(default_factory=dict)
-    # Machines heard lately by part, for parts that the sender does not own.
+    # Machines heard lately by partition, for partitions that the sender does not own.
     heard_machines: dict[str, tuple[str, ...]] = field(default_factory=dict)
     # Cancellations that the sender told users of, complete for the last `span`.
     cancellations_span: timedelta = timedelta()
--- a/roadbend/placement/__init__.py
+++ b/roadbend/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Tasks on machines inside a part."""
+"""Tasks on machines inside a partition."""
--- a/roadbend/placement/apart_gangs.py
+++ b/roadbend/placement/apart_gangs.py
@@ -1,11 +1,11 @@
-"""Gangs that are to be apart. No part may run more than half of such a gang, so several parts hold
-a share of it each, and start their shares under one attempt number.
+"""Gangs that are to be apart. No partition may run more than half of such a gang, so several
+partitions hold a share of it each, and start their shares under one attempt number.
 
-The parts begin in the order of their names: the first one when nothing of an earlier attempt is
-recorded anywhere, each other one when all before it have recorded their whole shares. So of two
+The partitions begin in the order of their names: the first one when nothing of an earlier attempt
+is recorded anywhere, each other one when all before it have recorded their whole shares. So of two
 gangs none holds room that the other waits for while waiting for the other's room. Every start is
-conditional on the records of the other shares being as they were read, whoever owns the parts by
-then. On machines the tasks wait for each other, as those of any gang do."""
+conditional on the records of the other shares being as they were read, whoever owns the partitions
+by then. On machines the tasks wait for each other, as those of any gang do."""
 
 from __future__ import annotations
 
@@ -23,31 +23,31 @@
 KEEP_ROOM = timedelta(seconds=45)
 # How long after a gang was seen running the records of all its shares must have been read.
 RECORDS_LAG = timedelta(seconds=2)
-# How long an attempt that some part did not join rests before the next one.
+# How long an attempt that some partition did not join rests before the next one.
 REST = timedelta(seconds=5)
-# The bits of an attempt's sequence number that name the part which began it: numbers of different
-# parts are never equal, though each part counts for itself.
+# The bits of an attempt's sequence number that name the partition which began it: numbers of
+# different partitions are never equal, though each partition counts for itself.
 PARTITION_SHIFT = 24
 
 
 def is_apart(job: Job) -> bool:
-    """Whether several parts hold shares of the gang."""
+    """Whether several partitions hold shares of the gang."""
     return job.spec.gang and job.spec.apart and job.spec.task_count > 1
 
 
 def partitions_of(job: Job) -> list[str]:
-    """The parts that hold shares, in the order in which they begin."""
+    """The partitions that hold shares, in the order in which they begin."""
     return sorted(partition for partition, held in job.allocation.items() if held)
 
 
 def recorded(leader: PartitionLeader, job: Job, partition: str) -> dict[int, Attempt]:
-    """What the records say is started of a part's share."""
+    """What the records say is started of a partition's share."""
     job_slice = leader.context.view.job_slices.get(partition, {}).get(job.id)
     return job_slice.attempts if job_slice is not None else {}
 
 
 def complete_under(leader: PartitionLeader, job: Job, partition: str) -> int | None:
-    """The attempt number under which a part has recorded its whole share; None: it has not."""
+    """The attempt number under which a partition has recorded its whole share; None: it has not."""
     run = recorded(leader, job, partition)
     numbers = {attempt.number for attempt in run.values()}
     if len(numbers) != 1 or ranges.of(run) != job.allocation.get(partition, ()):
@@ -56,7 +56,7 @@
 
 
 def number_to_join(leader: PartitionLeader, job: Job) -> int | None:
-    """The attempt that the parts before this one have begun; None: nothing to join."""
+    """The attempt that the partitions before this one have begun; None: nothing to join."""
     partitions = partitions_of(job)
     before = (
         partitions[: partitions.index(leader.partition)] if leader.partition in partitions else []
@@ -66,7 +66,7 @@
 
 
 def may_start(leader: PartitionLeader, job: Job) -> bool:
-    """Whether it is this part's turn to start its share."""
+    """Whether it is this partition's turn to start its share."""
     partitions = partitions_of(job)
     if job.unassigned or leader.partition not in partitions:
         return False
@@ -77,7 +77,7 @@
 
 
 def sequence_mark(leader: PartitionLeader) -> int:
-    """What is added to the sequence number of an attempt that this part begins."""
+    """What is added to the sequence number of an attempt that this partition begins."""
     partitions = leader.context.election.partitions()
     return (partitions.index(leader.partition) + 1) << PARTITION_SHIFT
 
@@ -90,7 +90,7 @@
 
 
 def share_conditions(leader: PartitionLeader, job: Job, partition: str) -> dict[str, int]:
-    """The revisions of the records of a part's share; 0 for those that don't exist."""
+    """The revisions of the records of a partition's share; 0 for those that don't exist."""
     held = job.allocation.get(partition, ())
     shards = {index // leader.width for index in ranges.numbers(held)}
     record_keys = [keys.slice_key(partition, job.id, shard) for shard in sorted(shards)]
@@ -98,7 +98,7 @@
 
 
 def intact(leader: PartitionLeader, job: Job, now: datetime) -> bool:
-    """Whether the attempt of which this part runs a share may still begin or go on."""
+    """Whether the attempt of which this partition runs a share may still begin or go on."""
     number = leader.filling.get(job.id) or complete_under(leader, job, leader.partition)
     if number is None:
         return False
@@ -145,7 +145,7 @@
 
 def may_release(leader: PartitionLeader, job: Job) -> dict[str, int] | None:
     """The conditions under which all shares are given back to be bid for again; None where it is
-    not this part's turn to do so, or something of the gang is still recorded."""
+    not this partition's turn to do so, or something of the gang is still recorded."""
     partitions = partitions_of(job)
     if not partitions or partitions[0] != leader.partition:
         return None
--- a/roadbend/placement/context.py
+++ b/roadbend/placement/context.py
@@ -1,4 +1,5 @@
-"""What a controller's parts have in common, and what teams' limits and guarantees leave them."""
+"""What a controller's partitions have in common, and what teams' limits and guarantees leave
+them."""
 
 from collections import OrderedDict
 from collections.abc import Iterable
@@ -31,7 +32,7 @@
 
 @dataclass
 class ControllerContext:
-    """What a controller's parts have in common."""
+    """What a controller's partitions have in common."""
 
     settings: PlatformSettings
     operator: OperatorSettings
@@ -138,8 +139,8 @@
 
     def overdue(self, now: datetime) -> dict[str, dict[str, int]]:
         """Team -> jobs that have begun nothing for long, with their priority. Whatever the order of
-        work is, such a job comes next, and other parts leave its team's room to it; but not for
-        ever, for it may be one that no machine can be had for."""
+        work is, such a job comes next, and other partitions leave its team's room to it; but not
+        for ever, for it may be one that no machine can be had for."""
         if now - self.overdue_at >= timedelta(seconds=1):
             self.overdue_at, wall, limit = now, clock.wall(), self.operator.begin_within
             self.overdue_jobs = {}
@@ -158,8 +159,8 @@
         return None if row is None else (row.cpus_max or float("inf"), row.gpus_max or float("inf"))
 
     def most_for(self, team: str, partition: str) -> tuple[float, float] | None:
-        """What a part may use for a team at most: the limit less what other parts have set
-        aside."""
+        """What a partition may use for a team at most: the limit less what other partitions have
+        set aside."""
         most = self.limits(team)
         if most is None:
             return None
@@ -168,7 +169,7 @@
         return most[0] - sum(c for c, _ in others), most[1] - sum(g for _, g in others)
 
     def room_left(self, spec: JobSpec, partition: str) -> int:
-        """How many more of a job's tasks its team's limit lets a part start."""
+        """How many more of a job's tasks its team's limit lets a partition start."""
         most = self.most_for(spec.team, partition)
         if most is None:
             return 0
--- a/roadbend/placement/ends.py
+++ b/roadbend/placement/ends.py
@@ -176,8 +176,8 @@
 def shards_over(
     leader: PartitionLeader, ends: JobTerminations
 ) -> tuple[dict[int, SliceShard], bool]:
-    """The shards that leave the records, and whether the part is through with all that it holds of
-    the job."""
+    """The shards that leave the records, and whether the partition is through with all that it
+    holds of the job."""
     shards = {**ends.job_slice.shards, **ends.touched}
     idle = {n: piece for n, piece in shards.items() if not piece.attempts}
     if ends.job is None:
@@ -237,7 +237,8 @@
 def note_ends(
     leader: PartitionLeader, transaction: TransactionBuilder, ends: JobTerminations, now: datetime
 ) -> None:
-    """What follows once the transaction is carried out, and what its later parts may count on."""
+    """What follows once the transaction is carried out, and what its later partitions may count
+    on."""
     for task_index, end in ends.ended:
         transaction.ended_attempts.add((ends.name, task_index))
         transaction.charge(ends.job_slice.team, ends.job_slice.resources, -1)
--- a/roadbend/placement/gangs.py
+++ b/roadbend/placement/gangs.py
@@ -1,4 +1,4 @@
-"""Gangs: all tasks of a job run at the same time or none does. One part owns a gang whole and
+"""Gangs: all tasks of a job run at the same time or none does. One partition owns a gang whole and
 starts its tasks under one attempt number, recorded in one transaction; what is stopped is stopped
 whole, and the next attempt begins when every task of the last one is proven gone. While its tasks
 still wait for each other, one that was lost is replaced."""
@@ -75,7 +75,8 @@
     if leader.filling.get(job.id) == number(leader, job.id):
         may_join = still_gathers(leader, job, job_slice, set(job_slice.attempts))
     elif apart_gangs.is_apart(job):
-        # What is lost of one share ends the attempt: this part can't tell whether all still wait.
+        # What is lost of one share ends the attempt: this partition can't tell whether all still
+        # wait.
         may_join = False
     else:
         may_join = gathers(leader, job, job_slice)
@@ -113,18 +114,18 @@
 
 
 def unplaced_here(leader: PartitionLeader, job: Job, job_slice: JobSlice) -> Ranges:
-    """The tasks of this part's share that are not recorded."""
+    """The tasks of this partition's share that are not recorded."""
     return ranges.minus(job.allocation.get(leader.partition, ()), ranges.of(job_slice.attempts))
 
 
 def is_scattered(job: Job) -> bool:
-    """Whether several parts hold tasks of a gang that one part should hold whole. A version before
-    gangs moves a gang's tasks like an array's."""
+    """Whether several partitions hold tasks of a gang that one partition should hold whole. A
+    version before gangs moves a gang's tasks like an array's."""
     return job.spec.gang and not apart_gangs.is_apart(job) and len(job.allocation) > 1
 
 
 def share_size(leader: PartitionLeader, job: Job) -> int:
-    """How many tasks this part starts: all, or its share of a gang that is to be apart."""
+    """How many tasks this partition starts: all, or its share of a gang that is to be apart."""
     return ranges.size(job.allocation.get(leader.partition, ()))
 
 
@@ -152,7 +153,7 @@
 
 
 def may_start(leader: PartitionLeader, job: Job) -> bool:
-    """Whether tasks of a job may start now, as far as other parts are concerned."""
+    """Whether tasks of a job may start now, as far as other partitions are concerned."""
     if not apart_gangs.is_apart(job) or job.id in leader.filling:
         return True
     return apart_gangs.may_start(leader, job)
--- a/roadbend/placement/heartbeats.py
+++ b/roadbend/placement/heartbeats.py
@@ -1,4 +1,4 @@
-"""What reports of a part's machines bring, and what they are answered."""
+"""What reports of a partition's machines bring, and what they are answered."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class HeartbeatHandler:
-    """Takes reports in for one part, under its runtime's lock."""
+    """Takes reports in for one partition, under its leader's lock."""
 
     def __init__(self, leader: PartitionLeader):
         self._leader = leader
@@ -151,9 +151,9 @@
             return self.token(machine), orders
 
     def _still_counts(self, machine: Machine, heartbeat: WorkerHeartbeat, incarnation: int) -> bool:
-        """Whether a report that waited may still be read and answered. Meanwhile the part may have
-        been lost, the machine deleted or begun anew, and a newer report of it answered with orders
-        to start: what this one lacks would then prove nothing."""
+        """Whether a report that waited may still be read and answered. Meanwhile the partition may
+        have been lost, the machine deleted or begun anew, and a newer report of it answered with
+        orders to start: what this one lacks would then prove nothing."""
         leader = self._leader
         return (
             leader.context.election.leadership(leader.partition) == leader.leadership
--- a/roadbend/placement/leader.py
+++ b/roadbend/placement/leader.py
@@ -1,4 +1,4 @@
-"""An owner's work on its part, for one term: queue, placement, records, silent machines.
+"""An owner's work on its partition, for one term: queue, placement, records, silent machines.
 
 The truth about attempts is in the slice records as the view shows them. What is kept here besides
 is what can be lost: what machines last showed, the ends not yet recorded, stops that were
@@ -41,8 +41,8 @@
 
 
 class PartitionLeader:
-    """An owner's work on one part for one term. Its lock guards all fields that are not lent to
-    the objects it is made of."""
+    """An owner's work on one partition for one term. Its lock guards all fields that are not lent
+    to the objects it is made of."""
 
     def __init__(self, context: ControllerContext, leadership: Leadership):
         self.lock = threading.RLock()
@@ -98,9 +98,10 @@
         # Machines on which a gang that gathers has lost a task, by job: its attempt goes on
         # elsewhere.
         self.lost_on: dict[str, tuple[int, set[str]]] = {}
-        # Gangs of which a part is recorded and the rest still to be, with their attempt's number.
+        # Gangs of which a partition is recorded and the rest still to be, with their attempt's
+        # number.
         self.filling: dict[str, int] = {}
-        # Gangs that are to be apart: the last attempt of which this part started its share.
+        # Gangs that are to be apart: the last attempt of which this partition started its share.
         self.joined: dict[str, int] = {}
         # Such gangs whose attempt is over: all shares are to be bid for anew.
         self.to_release: set[str] = set()
@@ -380,7 +381,7 @@
         return self.recorded_attempt(key) == Attempt(row.attempt, row.machine)
 
     def recorded_attempt(self, key: TaskKey) -> Attempt | None:
-        """A task's attempt by the part's records."""
+        """A task's attempt by the partition's records."""
         job_slice = self.job_slices().get(key[0])
         return job_slice.attempts.get(key[1]) if job_slice is not None else None
 
--- a/roadbend/placement/pending_queue.py
+++ b/roadbend/placement/pending_queue.py
@@ -1,4 +1,4 @@
-"""What waits in a part, in the order in which it is to start."""
+"""What waits in a partition, in the order in which it is to start."""
 
 from __future__ import annotations
 
@@ -99,7 +99,7 @@
         return self.pending()
 
     def unplaced(self, job: Job) -> Ranges:
-        """Tasks of a job that this part holds, has not placed, and may place."""
+        """Tasks of a job that this partition holds, has not placed, and may place."""
         return self._leader.recovery.placeable(job, self._not_placed(job))
 
     def _not_placed(self, job: Job) -> Ranges:
--- a/roadbend/placement/policy.py
+++ b/roadbend/placement/policy.py
@@ -110,7 +110,7 @@
 
 def lateness(job: Job, now: datetime, times: tuple[float, ...]) -> int:
     """How many of the times of its due time at which a job's aims count are out of reach, by what
-    its owner said and nothing else: every part that holds a slice of it judges alike at one
+    its owner said and nothing else: every partition that holds a slice of it judges alike at one
     moment."""
     if job.spec.due is None:
         return 0
--- a/roadbend/placement/queue_projection.py
+++ b/roadbend/placement/queue_projection.py
@@ -1,4 +1,4 @@
-"""The queue laid on a part's machines: what bids, reoffers and estimates look at."""
+"""The queue laid on a partition's machines: what bids, reoffers and estimates look at."""
 
 from __future__ import annotations
 
--- a/roadbend/placement/quotas.py
+++ b/roadbend/placement/quotas.py
@@ -1,4 +1,4 @@
-"""What a team's limit leaves a part, and what is set aside of it in the team's record."""
+"""What a team's limit leaves a partition, and what is set aside of it in the team's record."""
 
 from __future__ import annotations
 
@@ -19,19 +19,19 @@
 
 log = Log("placement")
 # How long what waits for a machine keeps its team's limit from lesser work, and what is set aside
-# from other parts.
+# from other partitions.
 HOLD = timedelta(seconds=20)
-# For how long a job leaves its team's room to one of another part that has begun nothing.
+# For how long a job leaves its team's room to one of another partition that has begun nothing.
 YIELD = timedelta(seconds=30)
-# How often a part looks whether it has set too much aside for a team.
+# How often a partition looks whether it has set too much aside for a team.
 RESERVE_EVERY = timedelta(seconds=1)
 
 
 def team_left(
     leader: PartitionLeader, transaction: TransactionBuilder, team: str
 ) -> tuple[float, float] | None:
-    """What a team's limit leaves this part, after what the transaction in the making starts and
-    ends."""
+    """What a team's limit leaves this partition, after what the transaction in the making starts
+    and ends."""
     most = leader.context.most_for(team, leader.partition)
     if most is None:
         return None
@@ -52,8 +52,8 @@
 
 
 def yields(leader: PartitionLeader, item: PendingTasks, overdue: dict[str, dict[str, int]]) -> bool:
-    """Whether an item leaves its team's room to a job that another part holds and that has begun
-    nothing for too long: a part's own steady stream must not starve it."""
+    """Whether an item leaves its team's room to a job that another partition holds and that has
+    begun nothing for too long: a partition's own steady stream must not starve it."""
     jobs = overdue.get(item.job.spec.team)
     if not jobs or item.overdue:
         return False
@@ -77,8 +77,9 @@
     tasks: int,
     record_keys: list[str],
 ) -> bool:
-    """Sees to it that the team's record sets enough aside for this part, in the same transaction.
-    Some more than is needed is taken while there is plenty, so that parts seldom meet there."""
+    """Sees to it that the team's record sets enough aside for this partition, in the same
+    transaction. Some more than is needed is taken while there is plenty, so that partitions seldom
+    meet there."""
     limits, team_key = leader.context.limits(team), keys.team_key(team)
     used = transaction.used(team)
     used = (used[0] + tasks * resources.cpus, used[1] + tasks * resources.gpus)
@@ -105,8 +106,8 @@
     waiting: dict[str, tuple[float, float]] = {}
     overdue = leader.context.overdue(now)
     for item in leader.queue.pending():
-        # What has waited here for longer may wait for a machine that can't be had; other parts may
-        # have room.
+        # What has waited here for longer may wait for a machine that can't be had; other partitions
+        # may have room.
         if now - leader.queued.get(item.job.id, now) < HOLD and not yields(leader, item, overdue):
             spec = item.job.spec
             cpus, gpus = waiting.get(spec.team, (0.0, 0.0))
--- a/roadbend/placement/recovery_hooks.py
+++ b/roadbend/placement/recovery_hooks.py
@@ -20,7 +20,7 @@
 
 
 class PartitionRecovery:
-    """Questions about one part, for one term."""
+    """Questions about one partition, for one term."""
 
     def keeps_unrecorded(self, machine: Machine, task: TaskStatus, now: datetime) -> bool:
         """Whether a task that no record names is left alone for now."""
@@ -31,7 +31,7 @@
         return tasks
 
     def knows_machines(self) -> bool:
-        """Whether the part's machines are known well enough to rent more in advance."""
+        """Whether the partition's machines are known well enough to rent more in advance."""
         return True
 
     def spaces_out(self, key: TaskKey, stop: StopOrder, now: datetime) -> bool:
@@ -55,7 +55,7 @@
     """Questions about a whole controller."""
 
     def for_partition(self, leader: PartitionLeader) -> PartitionRecovery:
-        """What answers for a part that this controller has just taken."""
+        """What answers for a partition that this controller has just taken."""
         return PartitionRecovery()
 
     def holds_back(self, job: str) -> bool:
--- a/roadbend/placement/test_placement.py
+++ b/roadbend/placement/test_placement.py
@@ -103,7 +103,7 @@
         "run-000004",
         "run-000003",
     ]
-    # Nothing but the job itself and the time of day is asked: parts can't disagree about it.
+    # Nothing but the job itself and the time of day is asked: partitions can't disagree about it.
     assert policy.lateness(pending(5, age=500, dueS=None).job, wall, times) == 0
 
 
--- a/roadbend/placement/transaction.py
+++ b/roadbend/placement/transaction.py
@@ -76,7 +76,7 @@
         return self.teams.get(name) or self._view.quotas.get(name) or QuotaRecord(name)
 
     def used(self, team: str) -> tuple[float, float]:
-        """What the part uses for a team once this transaction is carried out."""
+        """What the partition uses for a team once this transaction is carried out."""
         cpus, gpus = self._view.usage.get(self._part, {}).get(team, (0.0, 0.0))
         more = self.change.get(team, (0.0, 0.0))
         return cpus + more[0], gpus + more[1]
--- a/roadbend/recovery/adoption.py
+++ b/roadbend/recovery/adoption.py
@@ -110,8 +110,9 @@
         )
 
     def _need_held(self, transaction: TransactionBuilder, job: Job, index: int) -> None:
-        """The part holds the task from here on, on the job's stamp. Where another part held it,
-        that part's slice is a condition too: it may have recorded a start a moment ago."""
+        """The partition holds the task from here on, on the job's stamp. Where another partition
+        held it, that partition's slice is a condition too: it may have recorded a start a moment
+        ago."""
         partition, one = self._leader.partition, ((index, index + 1),)
         if ranges.has(job.allocation.get(partition, ()), index):
             transaction.require_job(job)
--- a/roadbend/recovery/commands.py
+++ b/roadbend/recovery/commands.py
@@ -87,7 +87,8 @@
 
 
 def _status_as_map(row: PartitionStatus) -> dict:
-    """A partition's status as operators' scripts read it: its key for the partition is `part`."""
+    """A partition's status as operators' scripts read it: its key for the partition is
+    `partition`."""
     fields = asdict(row)
     return {"part": fields.pop("partition"), "owner": fields.pop("owner"), **fields}
 
--- a/roadbend/recovery/differences.py
+++ b/roadbend/recovery/differences.py
@@ -77,7 +77,7 @@
 
 @dataclass(frozen=True)
 class DesiredState:
-    """What the records say of one part."""
+    """What the records say of one partition."""
 
     attempts: frozenset[Recorded]
     live_jobs: frozenset[str]
@@ -85,7 +85,7 @@
 
 @dataclass(frozen=True)
 class ObservedState:
-    """What machines report and the cloud lists of one part."""
+    """What machines report and the cloud lists of one partition."""
 
     attempts: frozenset[Reported]
     machines: dict[str, Presence]
@@ -102,7 +102,7 @@
 
 @dataclass(frozen=True)
 class Comparison:
-    """All differences of a part, in a fixed order, and how many attempts matched."""
+    """All differences of a partition, in a fixed order, and how many attempts matched."""
 
     differences: tuple[Difference, ...]
     matching: int
--- a/roadbend/recovery/judgement.py
+++ b/roadbend/recovery/judgement.py
@@ -1,4 +1,4 @@
-"""Decides about unrecorded attempts, from what a part and its controller know."""
+"""Decides about unrecorded attempts, from what a partition and its controller know."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
 
 
 class Judgement:
-    """Gathers the facts about held attempts. `machines_known`: whether no machine of the part can
-    hold anything that was not seen, at that moment."""
+    """Gathers the facts about held attempts. `machines_known`: whether no machine of the partition
+    can hold anything that was not seen, at that moment."""
 
     def __init__(
         self,
@@ -83,7 +83,8 @@
         return not job.spec.apart or here < job.spec.zone_cap
 
     def is_superseded(self, job: Job, index: int) -> bool:
-        """Whether the records name an attempt of a task in any part, or say that it is done."""
+        """Whether the records name an attempt of a task in any partition, or say that it is
+        done."""
         if index >= job.spec.task_count or ranges.has(job.done, index):
             return True
         for job_slices in self._leader.context.view.job_slices.values():
--- a/roadbend/recovery/machines.py
+++ b/roadbend/recovery/machines.py
@@ -1,4 +1,4 @@
-"""A part's machines as its owner and the cloud's list show them, beside its records."""
+"""A partition's machines as its owner and the cloud's list show them, beside its records."""
 
 from __future__ import annotations
 
@@ -28,12 +28,13 @@
     from roadbend.placement.leader import PartitionLeader
 
 ATTEMPT_TERM_BITS = 32
-# How often a part that settles is compared anew: with thousands of machines that takes a while.
+# How often a partition that settles is compared anew: with thousands of machines that takes a
+# while.
 COMPARE_EVERY = timedelta(seconds=1)
 
 
 class PartitionMachines:
-    """Compares a part's records with its machines."""
+    """Compares a partition's records with its machines."""
 
     def __init__(self, leader: PartitionLeader, inventory: CloudInventory) -> None:
         self._leader, self._inventory = leader, inventory
@@ -50,8 +51,8 @@
         return listed or name in self._leader.by_machine()
 
     def evidence(self, lost_writes: bool) -> Evidence:
-        """What is known of the part's machines now. Where writes are lost a machine that is listed
-        as booting may be up and hold something."""
+        """What is known of the partition's machines now. Where writes are lost a machine that is
+        listed as booting may be up and hold something."""
         presence = self._presences()
         heard = frozenset(name for name, p in presence.items() if p is Presence.HEARD)
         known = {Presence.GONE} if lost_writes else {Presence.GONE, Presence.BOOTING}
--- a/roadbend/recovery/partition.py
+++ b/roadbend/recovery/partition.py
@@ -1,4 +1,4 @@
-"""Recovery of one part, from when a controller has taken it until its term ends."""
+"""Recovery of one partition, from when a controller has taken it until its term ends."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 class PartitionRecovery(recovery_hooks.PartitionRecovery):
-    """Compares and settles one part. All methods are called under the runtime's lock or between
+    """Compares and settles one partition. All methods are called under the leader's lock or between
     awaits of the same thread."""
 
     def __init__(
@@ -75,7 +75,7 @@
         return self.leader.leadership.acquired_at + longest + context.operator.state_margin
 
     def _machines_known(self, now: datetime) -> bool:
-        """Whether no machine of the part can hold anything that was not seen. The bound on
+        """Whether no machine of the partition can hold anything that was not seen. The bound on
         gathering says nothing about that."""
         if now >= self._leases_over():
             return True
--- a/roadbend/recovery/phases.py
+++ b/roadbend/recovery/phases.py
@@ -1,4 +1,4 @@
-"""The phases of one part's recovery. Each is a value, and gives the next one."""
+"""The phases of one partition's recovery. Each is a value, and gives the next one."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True)
 class Evidence:
-    """What is known of a part's machines at one moment."""
+    """What is known of a partition's machines at one moment."""
 
     # Named by records or listed by the cloud.
     expected: frozenset[str]
--- a/roadbend/recovery/service.py
+++ b/roadbend/recovery/service.py
@@ -1,4 +1,4 @@
-"""Recovery of a controller: its parts, the gate for work from before, and lost writes."""
+"""Recovery of a controller: its partitions, the gate for work from before, and lost writes."""
 
 from __future__ import annotations
 
@@ -50,12 +50,12 @@
 
 
 class RecoveryService(recovery_hooks.Recovery):
-    """Looks after the recovery of all parts that this controller owns."""
+    """Looks after the recovery of all partitions that this controller owns."""
 
     def __init__(self, controller: Controller, settings: RecoverySettings) -> None:
         self._controller, self._context, self.settings = controller, controller.context, settings
         self._parts: dict[str, PartitionRecovery] = {}
-        # Jobs that were there when this controller took its first part, and when that was.
+        # Jobs that were there when this controller took its first partition, and when that was.
         self._inherited: frozenset[str] = frozenset()
         self._since: datetime | None = None
         self._open = False
@@ -73,7 +73,7 @@
     # What the core asks.
 
     def for_partition(self, leader: PartitionLeader) -> PartitionRecovery:
-        """Begins the recovery of a part that was just taken."""
+        """Begins the recovery of a partition that was just taken."""
         if self._since is None:
             self._since = clock.now()
             self._inherited = frozenset(self._context.view.jobs)
@@ -105,7 +105,7 @@
         from before once the machines that may have it are known."""
         if self._open:
             return True
-        # Before the first part was taken nobody here knows which jobs are from before.
+        # Before the first partition was taken nobody here knows which jobs are from before.
         return self._since is not None and job not in self._inherited
 
     def is_cold(self) -> bool:
@@ -143,7 +143,7 @@
             with partition.leader.lock:
                 partition.advance(now)
                 partition.judge_held(now)
-        # Where a part learns later that writes are lost, the gate is shut again.
+        # Where a partition learns later that writes are lost, the gate is shut again.
         self._open = self._open and not self._lost_anywhere() or self._may_open(now)
         for partition in list(self._parts.values()):
             await self._look_for_lost_terms(partition)
@@ -195,7 +195,7 @@
         return self._context.election.partitions()
 
     def _phase_of(self, partition: str) -> str | None:
-        """How far a part's recovery is under its present term, whoever owns it."""
+        """How far a partition's recovery is under its present term, whoever owns it."""
         mine = self._parts.get(partition)
         if mine is not None:
             return str(mine.phase.name)
@@ -232,7 +232,7 @@
 
     async def _look_for_lost_terms(self, partition: PartitionRecovery) -> None:
         """Machines have seen our term or a higher one. If a read that began since then shows ours
-        as the latest, the records have lost theirs, and we take the part again above it."""
+        as the latest, the records have lost theirs, and we take the partition again above it."""
         if partition.in_use_since is None:
             return
         with trio.move_on_after(WRITE_WITHIN.total_seconds()) as scope:
--- a/roadbend/recovery/surroundings.py
+++ b/roadbend/recovery/surroundings.py
@@ -1,4 +1,4 @@
-"""What the recovery of one part asks of its controller."""
+"""What the recovery of one partition asks of its controller."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True)
 class Surroundings:
-    """A controller, as the recovery of a part sees it."""
+    """A controller, as the recovery of a partition sees it."""
 
     settings: RecoverySettings
     inventory: CloudInventory
--- a/roadbend/recovery/survey.py
+++ b/roadbend/recovery/survey.py
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True)
 class PartitionStatus:
-    """How far the recovery of a part is, by the records."""
+    """How far the recovery of a partition is, by the records."""
 
     partition: str
     owner: str | None
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True)
 class PartitionSurvey:
-    """What differs in one part."""
+    """What differs in one partition."""
 
     partition: str
     comparison: Comparison
@@ -99,7 +99,7 @@
         return view
 
     async def status(self) -> list[PartitionStatus]:
-        """How far each part's recovery is, as its owner recorded it."""
+        """How far each partition's recovery is, as its owner recorded it."""
         view = await self.read_records()
         return [self._status_of(view, partition) for partition in sorted(view.terms)]
 
@@ -128,7 +128,7 @@
         )
 
     async def survey(self) -> list[PartitionSurvey]:
-        """What differs now, part by part."""
+        """What differs now, partition by partition."""
         view = await self.read_records()
         listed = await self._list_machines()
         partitions: dict[str, _PartitionState] = {}
--- a/roadbend/recovery/test_recovery.py
+++ b/roadbend/recovery/test_recovery.py
@@ -200,7 +200,7 @@
         await trio.sleep(6)
         start_all(w)
         # A zone without machines has nobody who saw its lost term. Without the guard a peer takes
-        # the part over after some ten seconds, when leases have ended.
+        # the partition over after some ten seconds, when leases have ended.
         zones = {x.zone for x in w.workers()}
         assert await w.until(lambda: all(w._term(z) > highest[z] for z in zones), 4)
         await trio.sleep(25)
--- a/roadbend/recovery/unrecorded.py
+++ b/roadbend/recovery/unrecorded.py
@@ -38,7 +38,7 @@
     # Other machines that show the task: any, and one with a higher attempt.
     also_elsewhere: bool
     higher_elsewhere: bool
-    # Every machine of the part was heard, or can't hold anything any more.
+    # Every machine of the partition was heard, or can't hold anything any more.
     machines_known: bool
     within_limit: bool
     waited: timedelta
@@ -107,7 +107,7 @@
 
 @dataclass
 class HeldAttempts:
-    """The unrecorded attempts of one part, up to a bound."""
+    """The unrecorded attempts of one partition, up to a bound."""
 
     most: int
     _rows: dict[tuple[str, int, int, str], HeldAttempt] = field(default_factory=dict)
--- a/roadbend/rehearsal/cold_restart.py
+++ b/roadbend/rehearsal/cold_restart.py
@@ -82,7 +82,7 @@
         ]
 
     def one_alone(self) -> None:
-        """One controller returns alone, and leads all parts until the others follow."""
+        """One controller returns alone, and leads all partitions until the others follow."""
         self.first_alone = _seconds(self.rng.uniform(10.0, 16.0))
 
     def lost_writes(self) -> None:
--- a/roadbend/rehearsal/runner.py
+++ b/roadbend/rehearsal/runner.py
@@ -17,7 +17,7 @@
 from roadbend.rehearsal.verdict import judge
 from roadbend.settings import Team
 
-# The fake deployment: teams without limits but for a small one, so that limits take part.
+# The fake deployment: teams without limits but for a small one, so that limits take partition.
 TEAMS = {"red": Team("red", 0, 0, 0, 0), "blue": Team("blue", 0, 0, 4, 12)}
 # How long the end may take in which every job must run or get its final answer.
 END_WITHIN = timedelta(seconds=180)
--- a/roadbend/settings.py
+++ b/roadbend/settings.py
@@ -108,8 +108,8 @@
 
     @property
     def widest_apart_gang(self) -> int:
-        """As `widest_gang`, for one whose shares several parts hold: the record of every shard is a
-        condition of each start, and a transaction takes four conditions a change."""
+        """As `widest_gang`, for one whose shares several partitions hold: the record of every shard
+        is a condition of each start, and a transaction takes four conditions a change."""
         return min(self.widest_gang, 3 * self.txn_ops * self.shard_width)
 
 
--- a/roadbend/store/keys.py
+++ b/roadbend/store/keys.py
@@ -1,20 +1,17 @@
 """The keys of the records in the state service.
 
-r/job/<id>            a live job: spec, which part holds which tasks, which tasks are over
-r/slice/<part>/<id>/<n>   a part's attempts at some of a job's tasks, and what each of them takes;
-                      tasks go into shards by number, so that the widest array fits small values
-r/gang/<id>           says that a live job is a gang: versions before gangs rewrite its own record
-                      without that
-r/team/<team>         what each part may use at most for a team; the sum never passes its limit
-r/term/<part>         the part's term, never removed; its revision guards every write of an owner
-r/own/<part>          who owns the part, on the owner's lease
-r/node/<name>         a live controller, on its lease
-r/catalog             the machine types as last seen, for a controller that starts in a cloud outage
-r/recovery/<part>     how far the recovery of a part is, under one term; older versions ignore it
-r/unrecorded/<id>     a job that machines run and no record names: not accepted anew while this is
-                      there; older versions ignore it
-fin/<id>              the end of a job, kept for ever and outside the part that everyone follows
-"""
+r/job/<id>            a live job: spec, which partition holds which tasks, which tasks are over
+r/slice/<partition>/<id>/<n>   a partition's attempts at some of a job's tasks, and what each of
+them takes; tasks go into shards by number, so that the widest array fits small values r/gang/<id>
+says that a live job is a gang: versions before gangs rewrite its own record without that
+r/team/<team>         what each partition may use at most for a team; the sum never passes its limit
+r/term/<partition>         the partition's term, never removed; its revision guards every write of
+an owner r/own/<partition>          who owns the partition, on the owner's lease r/node/<name>
+a live controller, on its lease r/catalog             the machine types as last seen, for a
+controller that starts in a cloud outage r/recovery/<partition>     how far the recovery of a
+partition is, under one term; older versions ignore it r/unrecorded/<id>     a job that machines run
+and no record names: not accepted anew while this is there; older versions ignore it fin/<id>
+the end of a job, kept for ever and outside the partition that everyone follows"""
 
 from functools import lru_cache
 from urllib.parse import quote
@@ -26,7 +23,7 @@
 
 @lru_cache(maxsize=4096)
 def quoted(name: str) -> str:
-    """A name as part of a key; names of teams, parts and controllers come again and again."""
+    """A name as part of a key; names of teams, partitions and controllers come again and again."""
     return quote(name, safe="")
 
 
@@ -36,14 +33,14 @@
 
 
 def slice_key(partition: str, job: str, shard: int) -> str:
-    """A shard of what a part runs of a job."""
+    """A shard of what a partition runs of a job."""
     key = f"r/slice/{quoted(partition)}/{job}"
     # Records of version 0.1 had no shards; they are read, and emptied where they lie.
     return key if shard < 0 else f"{key}/{shard}"
 
 
 def team_key(team: str) -> str:
-    """What each part may use of a team's limit."""
+    """What each partition may use of a team's limit."""
     return f"r/team/{quoted(team)}"
 
 
@@ -53,12 +50,12 @@
 
 
 def term_key(partition: str) -> str:
-    """A part's term, which never ends."""
+    """A partition's term, which never ends."""
     return f"r/term/{quoted(partition)}"
 
 
 def leader_key(partition: str) -> str:
-    """Who owns a part."""
+    """Who owns a partition."""
     return f"r/own/{quoted(partition)}"
 
 
@@ -68,7 +65,7 @@
 
 
 def recovery_key(partition: str) -> str:
-    """How far the recovery of a part is."""
+    """How far the recovery of a partition is."""
     return f"r/recovery/{quoted(partition)}"
 
 
--- a/roadbend/store/record_view.py
+++ b/roadbend/store/record_view.py
@@ -29,7 +29,7 @@
 
 
 class JobSlice:
-    """A part's work on one job: its shards put together."""
+    """A partition's work on one job: its shards put together."""
 
     __slots__ = (
         "job",
@@ -98,7 +98,8 @@
         return False
 
 
-# What runs on a machine by the records: (job, task) -> its part's work on the job, and the attempt.
+# What runs on a machine by the records: (job, task) -> its partition's work on the job, and the
+# attempt.
 MachineAttempts = dict[tuple[str, int], tuple[JobSlice, Attempt]]
 
 
@@ -113,14 +114,14 @@
         self.jobs: dict[str, Job] = {}
         # Grows when a job comes or goes, not when one changes.
         self.membership = 0
-        # Jobs of which a part holds tasks, by part, in the order in which they came.
+        # Jobs of which a partition holds tasks, by partition, in the order in which they came.
         self.assigned_jobs: dict[str, dict[str, None]] = {}
         self.job_slices: dict[str, dict[str, JobSlice]] = {}
         self.attempts_by_machine: dict[str, dict[str, MachineAttempts]] = {}
         # Tells the changes of what is recorded on a machine.
         self.machine_versions: dict[str, dict[str, int]] = {}
         self._marked = 0
-        # Cores and GPUs of all recorded attempts: part -> team -> amounts.
+        # Cores and GPUs of all recorded attempts: partition -> team -> amounts.
         self.usage: dict[str, dict[str, tuple[float, float]]] = {}
         self.quotas: dict[str, QuotaRecord] = {}
         self.terms: dict[str, TermRecord] = {}
@@ -128,8 +129,8 @@
         self.controllers: dict[str, ControllerRecord] = {}
         # Jobs that are gangs, whatever their own records say.
         self.gangs: set[str] = set()
-        # How far the recovery of each part is, as its owner wrote it, and by which part jobs that
-        # no record names are being stopped.
+        # How far the recovery of each partition is, as its owner wrote it, and by which partition
+        # jobs that no record names are being stopped.
         self.recoveries: dict[str, RecoveryProgress] = {}
         self.unrecorded: dict[str, str] = {}
         self.catalog: Any = None
--- a/roadbend/store/records.py
+++ b/roadbend/store/records.py
@@ -12,7 +12,7 @@
 from roadbend.store import keys, ranges
 from roadbend.store.ranges import Ranges
 
-# The workers' token is the part's term with this many bits below it, which number a machine's
+# The workers' token is the partition's term with this many bits below it, which number a machine's
 # lives.
 INCARNATION_BITS = 16
 PRIORITY = {"production": 3, "high": 2, "normal": 1, "best_effort": 0}
@@ -128,7 +128,7 @@
 
     @cached_property
     def unassigned(self) -> Ranges:
-        """Tasks that are neither over nor held by a part."""
+        """Tasks that are neither over nor held by a partition."""
         held = ranges.normal(
             [*self.done, *(pair for rs in self.allocation.values() for pair in rs)]
         )
@@ -210,8 +210,8 @@
 
 @dataclass(frozen=True)
 class SliceShard:
-    """A shard of a part's work on a job. An attempt stays in `run` from before its order is sent
-    until the task is proven gone; that is what the team's use counts."""
+    """A shard of a partition's work on a job. An attempt stays in `run` from before its order is
+    sent until the task is proven gone; that is what the team's use counts."""
 
     job: str
     partition: str
@@ -271,8 +271,8 @@
 
 @dataclass(frozen=True)
 class QuotaRecord:
-    """What each part may use at most for a team: cpus and gpus set aside for it, never less than
-    those of its attempts that are not proven gone. A part changes its own entry only."""
+    """What each partition may use at most for a team: cpus and gpus set aside for it, never less
+    than those of its attempts that are not proven gone. A partition changes its own entry only."""
 
     team: str
     partitions: dict[str, tuple[float, float]] = field(default_factory=dict)
@@ -298,7 +298,7 @@
 
 @dataclass(frozen=True)
 class TermRecord:
-    """A part's term."""
+    """A partition's term."""
 
     number: int
     controller: str
@@ -307,7 +307,7 @@
 
 @dataclass(frozen=True)
 class LeaderRecord:
-    """Who owns a part."""
+    """Who owns a partition."""
 
     controller: str
     incarnation: str
@@ -326,8 +326,8 @@
 
 @dataclass(frozen=True)
 class RecoveryProgress:
-    """How far the recovery of a part is under one term, as its owner tells the other controllers
-    and operators."""
+    """How far the recovery of a partition is under one term, as its owner tells the other
+    controllers and operators."""
 
     term: int
     phase: str
--- a/roadbend/test_apart_gangs.py
+++ b/roadbend/test_apart_gangs.py
@@ -1,4 +1,4 @@
-"""Gangs that are to be apart: several parts start shares of them under one attempt number. The
+"""Gangs that are to be apart: several partitions start shares of them under one attempt number. The
 judge watches the rules, the share of each zone among them."""
 
 import random
--- a/roadbend/test_gang_phases.py
+++ b/roadbend/test_gang_phases.py
@@ -118,8 +118,8 @@
 
 @pytest.mark.parametrize("late_copy", [False, True])
 async def test_one_done_ends_a_gang_across_a_change_of_owner(late_copy):
-    """It completes while nobody owns its part; one machine is cut off, so that its tasks are seen
-    by nobody. What the others report, or a late copy of it, ends the job, once."""
+    """It completes while nobody owns its partition; one machine is cut off, so that its tasks are
+    seen by nobody. What the others report, or a late copy of it, ends the job, once."""
     async with world(teams=TEAMS) as w:
         machines = await begun(w, gang(1, 24, yard="east"), 12.0)
         assert len(machines) >= 2
--- a/roadbend/test_growth.py
+++ b/roadbend/test_growth.py
@@ -203,8 +203,8 @@
 
 
 async def test_the_widest_array_begins_behind_a_steady_stream_of_small_ones():
-    """A team at its limit: small jobs come all the time, and their parts hold all of the team's
-    room."""
+    """A team at its limit: small jobs come all the time, and their partitions hold all of the
+    team's room."""
     operator = OperatorSettings(
         begin_within=timedelta(seconds=30), reoffer_every=timedelta(seconds=1e4 / 20)
     )
@@ -530,14 +530,14 @@
 def test_what_keeps_a_job_waiting_adds_up_to_less_than_users_permit():
     """Once all troubles are over, no job waits 90 s beside room that fits it: what may follow each
     other is a rest after failures, its team's limit kept for work whose machine boots, and all
-    that it is passed over for: room left to a job of another part, being made, or kept for a
+    that it is passed over for: room left to a job of another partition, being made, or kept for a
     gang."""
     assert ends.BACKOFF_MOST + quotas.HOLD + restrictions.PASSED_OVER < timedelta(seconds=90)
     assert quotas.YIELD < restrictions.PASSED_OVER
     assert preemption.RESERVATION_LIFETIME < restrictions.PASSED_OVER
     assert gang_reservations.KEEP < restrictions.PASSED_OVER
-    # A job that no part can start is offered everywhere well before that, its turn among others
-    # counted.
+    # A job that no partition can start is offered everywhere well before that, its turn among
+    # others counted.
     assert (
         requester.LONG_WAIT + 4 * OperatorSettings().reoffer_every + OperatorSettings().cool_down
         < timedelta(seconds=60)
--- a/roadbend/test_scenarios.py
+++ b/roadbend/test_scenarios.py
@@ -79,7 +79,7 @@
         assert await w.settled()
         assert await w.until(lambda: is_(w, 2, 4, "done"), 90)
         assert w.board.running("run-000005") == ["run-000005/0"]
-        # Nothing was started anew, and every part is under a new term.
+        # Nothing was started anew, and every partition is under a new term.
         assert len(w.board.starts) == 5
         assert all(
             row["n"] > terms[partition] for partition, row in w.state.starting("r/term/").items()
@@ -306,7 +306,7 @@
         assert await w.until(
             lambda: all(len(w.board.running(f"run-{n:06d}")) == 2 for n in (70, 71)), 60
         )
-        # Recorded as held by the full part, as if drawn before the others were up.
+        # Recorded as held by the full partition, as if drawn before the others were up.
         assert await w.submit(0, job(72, legs=2, dueS=60, crew="red"), 10) == 201
         for controller in w.controllers.values():
             controller.requester.submit = lambda name: None
@@ -332,7 +332,7 @@
         assert await w.until(lambda: len(w.board.running("run-000080")) == 8, 60)
         homes = sorted({next(iter(w.board.where[t])) for t in w.board.running("run-000080")})
         assert len(homes) == 4
-        # Beside them others go on reporting, so that it isn't most of the part that is silent.
+        # Beside them others go on reporting, so that it isn't most of the partition that is silent.
         assert await w.submit(0, job(81, legs=8, yard="east", dueS=20, loaners=False), 200) == 201
         assert await w.until(lambda: len(w.board.running("run-000081")) == 8, 60)
         others = sorted({next(iter(w.board.where[t])) for t in w.board.running("run-000081")})
--- a/roadbend/tracing/ids.py
+++ b/roadbend/tracing/ids.py
@@ -47,7 +47,7 @@
 
 
 def recovery_ids(part: str, term: int) -> SpanIds:
-    """The span of a part's recovery under one term."""
+    """The span of a partition's recovery under one term."""
     trace = _derive(TRACE_BYTES, "recovery", part, term)
     return SpanIds(trace, _derive(SPAN_BYTES, "recovery", part, term))
 
