--- a/roadbend/controller.py
+++ b/roadbend/controller.py
@@ -19,7 +19,7 @@
 from roadbend.intake.limit import AdaptiveLimit
 from roadbend.intake.users import JobApi
 from roadbend.log import Log
-from roadbend.partitions.election import START_FRESH, LeaderElection
+from roadbend.partitions.election import START_FRESHNESS, LeaderElection
 from roadbend.peers import frames
 from roadbend.peers.heartbeat import PeerHeartbeat
 from roadbend.peers.links import Link, Peers
@@ -44,6 +44,9 @@
 class Controller:
     """A controller: its slices, wired together."""
 
+    # What the controller understands beyond version 2 of the frames; its incarnation ends with it.
+    DIALECT = frames.GANGS
+
     def __init__(
         self,
         settings: PlatformSettings,
@@ -53,9 +56,7 @@
         incarnation: str | None = None,
     ):
         self.settings, self.operator, self.net = settings, operator, net
-        # The id of this life of the process ends with what it understands beyond version 2 of the
-        # frames.
-        self.incarnation = (incarnation or secrets.token_hex(6)) + frames.GANGS
+        self.incarnation = (incarnation or secrets.token_hex(6)) + self.DIALECT
         self.began = clock.now()
         self.budget = RequestBudget(
             settings.state_rps,
@@ -207,7 +208,7 @@
         """Returns when every controller that owns a partition has heard all that we tell users is
         cancelled, or can start nothing any more without having read it in the records."""
         me, heard, read = self.settings.name, set(), []
-        most = START_FRESH * (1 + 2 * clock.DRIFT)
+        most = START_FRESHNESS * (1 + 2 * clock.DRIFT)
 
         async def tell(link: Link) -> None:
             while not await link.beat(self.heartbeat, self._took):
@@ -294,7 +295,7 @@
                     if now - since > self.settings.heartbeat_interval:
                         silent_since.pop(partition, None)
                         try:
-                            await self.election.hand_over_deaf(partition)
+                            await self.election.fail_over(partition)
                         except Exception:
                             log.crash("failover-failed", partition=partition)
                 else:
--- a/roadbend/fakes/previous_version.py
+++ b/roadbend/fakes/previous_version.py
@@ -20,6 +20,8 @@
 class PreviousVersionController(Controller):
     """A controller that reads, writes and says only what the version in production does."""
 
+    DIALECT = ""
+
     def __init__(
         self,
         settings: PlatformSettings,
@@ -30,7 +32,6 @@
     ):
         old = replace(settings, value_bytes=VALUE_BYTES, txn_ops=TXN_OPS, state_write_rps_next=None)
         super().__init__(old, operator, net, rng, incarnation)
-        self.incarnation = self.election._incarnation = self.incarnation.removesuffix(frames.GANGS)
         for kind in (frames.GANG_REQUEST, frames.GANG_INFORM):
             del self.peers.handlers[kind]
         self.fleet.commands.order_now = None
--- a/roadbend/fakes/search.py
+++ b/roadbend/fakes/search.py
@@ -151,7 +151,7 @@
         node = self.world.controllers.get(f"node-{self.node(rng)}")
         for partition in list(node.leaders) if node is not None else ():
             try:
-                await node.election.hand_over_deaf(partition)
+                await node.election.fail_over(partition)
             except Exception:
                 logging.getLogger("search").info("no hand-over", exc_info=True)
 
--- a/roadbend/fleet/test_process_pauses.py
+++ b/roadbend/fleet/test_process_pauses.py
@@ -6,6 +6,7 @@
 from roadbend.autoscaler.cloud import CloudBusyError
 from roadbend.fakes.submission import job
 from roadbend.fakes.world import world
+from roadbend.partitions.leadership import LossReason
 from roadbend.settings import Team
 
 
@@ -46,7 +47,7 @@
         machine, leader = next(iter(w.board.where["run-000001/0"])), controller.leaders["east"]
         still = controller.autoscaler._still(leader)
         assert still()
-        controller.election._forget("east", "for the test")
+        controller.election.lose("east", LossReason.RECORD_GONE)
         assert not still()
         for call in (
             controller.cloud.delete([machine], still=still),
--- a/roadbend/partitions/__init__.py
+++ b/roadbend/partitions/__init__.py
@@ -1,1 +1,1 @@
-"""Who leads which partition of the machines: leases, terms, failover and failback."""
+"""Agree on each partition's leader: leases, terms, failover and failback."""
--- /dev/null
+++ b/roadbend/partitions/acquisition.py
@@ -0,0 +1,116 @@
+"""Acquire and release partitions by transactions in the state store.
+
+Acquiring a partition raises its term in the same transaction that writes the leader's record. The
+term is the workers' fencing token, and the revision of its record guards every write of the leader.
+"""
+
+from datetime import timedelta
+from typing import NamedTuple
+
+from roadbend.partitions import messages
+from roadbend.partitions.records import ElectionRecords
+from roadbend.store import keys
+from roadbend.store.client import ConflictError, delete, put
+from roadbend.store.records import TermRecord
+
+RELEASE_TIMEOUT = timedelta(seconds=2)
+
+
+class AcquisitionRequest(NamedTuple):
+    """What is to be acquired, and on which condition."""
+
+    partition: str
+    # The leader record's revision that is to be replaced; 0: there must be none.
+    leader_mod_revision: int
+    # A term that machines have seen although the records lack it; the new one is above it.
+    lost_term: int
+    # The lease on which the leader's record depends.
+    lease_id: int | None
+
+
+class Acquisition:
+    """Writes this controller's name into partitions' leader records, and takes it out."""
+
+    def __init__(
+        self, controller: str, incarnation: str, write_timeout: timedelta, records: ElectionRecords
+    ) -> None:
+        self._controller = controller
+        self._incarnation = incarnation
+        self._write_timeout = write_timeout
+        self._records = records
+
+    async def acquire(self, request: AcquisitionRequest) -> TermRecord | None:
+        """Acquire a partition under a new term; return None if somebody else was faster.
+
+        Raises `LeaseEndedError`, `RefusedError`, `NoAnswerError` or `UnavailableError`.
+        """
+        partition = request.partition
+        term = await self._write_new_term(request)
+        # Whatever was written before our term must be in the view before we act on it. Where it
+        # can't be read, the partition is not ours: the record that we wrote is released as soon as
+        # the records can be read again.
+        if term is None or not await self._records.read():
+            return None
+        recorded = self._records.view.terms.get(partition)
+        if (
+            recorded is None
+            or recorded.number != term.number
+            or recorded.controller != self._controller
+        ):
+            return None
+        return recorded
+
+    async def release(self, partition: str) -> None:
+        """Delete the partition's leader record, if it is still as the record view has it."""
+        recorded = self._records.view.partition_leaders.get(partition)
+        if recorded is None:
+            return
+        key = keys.leader_key(partition)
+        try:
+            await self._records.write(
+                {key: recorded.mod_revision}, [delete(key)], within=RELEASE_TIMEOUT
+            )
+        except ConflictError:
+            await self._records.read()
+
+    async def _write_new_term(self, request: AcquisitionRequest) -> TermRecord | None:
+        """Write the next term and our name in one transaction."""
+        partition = request.partition
+        term_key, leader_key = keys.term_key(partition), keys.leader_key(partition)
+        last = self._records.view.terms.get(partition)
+        number = max(last.number if last else 0, request.lost_term) + 1
+        leader = messages.leader_value(self._controller, self._incarnation, number)
+        changes = [
+            put(term_key, messages.term_value(number, self._controller)),
+            put(leader_key, leader, request.lease_id),
+        ]
+        conditions = {
+            term_key: last.mod_revision if last else 0,
+            leader_key: request.leader_mod_revision,
+        }
+        try:
+            await self._records.write(conditions, changes, within=self._write_timeout)
+        except ConflictError:
+            # Somebody was faster, or an unanswered attempt of our own was carried out: the records
+            # tell.
+            written = await self._find_own_term(partition)
+            if written is not None:
+                self._records.view.applied(changes, written.mod_revision)
+            return written
+        return TermRecord(number, self._controller)
+
+    async def _find_own_term(self, partition: str) -> TermRecord | None:
+        """Read the records anew; return the partition's term if this incarnation has written it."""
+        if not await self._records.read():
+            return None
+        leader = self._records.view.partition_leaders.get(partition)
+        term = self._records.view.terms.get(partition)
+        if (
+            leader is not None
+            and term is not None
+            and leader.incarnation == self._incarnation
+            and leader.controller == self._controller
+            and leader.term == term.number
+        ):
+            return term
+        return None
--- a/roadbend/partitions/election.py
+++ b/roadbend/partitions/election.py
@@ -1,57 +1,57 @@
-"""Owning partitions.
+"""Elect the leaders of partitions.
 
-A partition belongs to the controller that holds its leased key. Taking one over raises the term in
-the same transaction; the term is the workers' token and its record's stamp guards every write of an
-owner, so a former owner's late transactions fail whatever it believes."""
+A partition belongs to the controller that holds its leader record, which depends on that
+controller's lease. Every new leadership has a higher term; the term is the workers' fencing token,
+and the revision of its record guards every write of a leader. So a former leader's late
+transactions fail, whatever it believes.
+"""
 
 import threading
 from collections.abc import Callable
-from dataclasses import dataclass
 from datetime import datetime, timedelta
 
-import trio
-
 from roadbend import clock
 from roadbend.http.client import NoAnswerError
 from roadbend.log import Log
-from roadbend.partitions import policy
+from roadbend.partitions import messages, policy
+from roadbend.partitions.acquisition import Acquisition, AcquisitionRequest
+from roadbend.partitions.controller_lease import ControllerLease
+from roadbend.partitions.hold_offs import HoldOffs
+from roadbend.partitions.leadership import Leadership, LossReason
+from roadbend.partitions.live_controllers import LiveControllers
+from roadbend.partitions.policy import Action, Decision, PartitionState
+from roadbend.partitions.records import ElectionRecords
 from roadbend.peers.links import Peers
 from roadbend.settings import OperatorSettings, PlatformSettings
-from roadbend.store import keys
 from roadbend.store.client import (
-    ConflictError,
     LeaseEndedError,
     RefusedError,
     StateStoreClient,
     UnavailableError,
-    commit,
-    delete,
-    put,
 )
 from roadbend.store.record_reader import RecordReader
 from roadbend.store.record_view import RecordView
 
 log = Log("partitions")
-# An owner starts tasks only on records that it read this lately; so whoever records a cancellation
-# knows from when on nobody can start its tasks any more without knowing of it.
-START_FRESH = timedelta(seconds=2)
-# How long the loop waits for a read at most. In an outage it must not stand there: it renews the
-# lease of all our partitions, and hands over what isn't ours to keep.
-READ_WITHIN = timedelta(seconds=2)
-
 
-@dataclass(frozen=True)
-class Leadership:
-    """Our ownership of a partition under one term."""
-
-    partition: str
-    term: int
-    mod_revision: int
-    acquired_at: datetime
+# A leader starts tasks only on records that it read this lately. So whoever records a cancellation
+# knows from when on nobody can start the job's tasks any more without knowing of it.
+START_FRESHNESS = timedelta(seconds=2)
+# Partitions are acquired, released and failed back only on records that were read this lately.
+DECISION_FRESHNESS = timedelta(seconds=2)
+ELECTION_INTERVAL = timedelta(milliseconds=300)
+# A partition whose home controller is alive and yet left it to us stays at least this long.
+FAILBACK_HOLD_OFF_AFTER_ACQUISITION = timedelta(seconds=25)
+# After a failback to a controller, the next one to it comes this much later at the earliest.
+FAILBACK_HOLD_OFF_AFTER_FAILBACK = timedelta(seconds=30)
+# For this long we don't acquire a partition whose workers could not reach us.
+ACQUISITION_HOLD_OFF_UNREACHABLE = timedelta(seconds=20)
+# For how many takeover graces we don't acquire a partition that we failed back.
+ACQUISITION_HOLD_OFF_GRACES = 4
 
 
 class LeaderElection:
-    """Which partitions this controller owns, and for how long it may act on that."""
+    """Which partitions this controller leads, and for how long it may act on that."""
 
     def __init__(
         self,
@@ -62,341 +62,212 @@
         view: RecordView,
         reader: RecordReader,
         peers: Peers,
-    ):
+    ) -> None:
         self.lock = threading.RLock()
-        self._settings, self._operator, self._incarnation = settings, operator, incarnation
-        self._state, self._view, self._reader, self._peers = state, view, reader, peers
-        self._zones = {settings.name: settings.zone, **{p.name: p.zone for p in settings.peers}}
-        self._lease_id: int | None = None
-        self._valid: datetime | None = None
-        self._renewed: datetime | None = None
-        self._absent: dict[str, datetime] = {}
-        self._alive_since: dict[str, datetime] = {}
-        self._declining_until: dict[str, datetime] = {}
-        # Terms that machines have seen and the records have lost, by partition.
-        self._lost_terms: dict[str, int] = {}
         self.leaderships: dict[str, Leadership] = {}
+        # Called with a partition's name whenever our leadership of it begins or ends.
         self.changed: list[Callable[[str], None]] = []
-
-    # What others ask.
+        self._settings, self._operator = settings, operator
+        self._view, self._reader, self._peers = view, reader, peers
+        records = ElectionRecords(state, view, reader)
+        self.lease = ControllerLease(settings.name, incarnation, operator.own_lease, state, records)
+        self._acquisition = Acquisition(settings.name, incarnation, operator.own_lease / 2, records)
+        self._live_controllers = LiveControllers(settings, incarnation, view, peers)
+        self._hold_offs = HoldOffs()
+        # Since when partitions have had no leader.
+        self._leaderless_since: dict[str, datetime] = {}
+        # Terms that machines have seen and the records have lost, by partition.
+        self._lost_terms: dict[str, int] = {}
 
     def partitions(self) -> list[str]:
-        zones = set(self._settings.zones) | set(self._zones.values())
-        catalog = self._view.catalog
-        if isinstance(catalog, list):
-            zones.update(z for machine_type in catalog for z in machine_type.get("yards", ()))
-        return sorted(zones)
+        """List all partitions: the zones of settings, controllers and machine types."""
+        zones = set(self._settings.zones) | set(self._live_controllers.zones.values())
+        return sorted(zones | messages.zones_of_catalog(self._view.catalog))
 
     def leadership(self, partition: str) -> Leadership | None:
+        """Return our leadership of the partition; None if we don't lead it."""
         return self.leaderships.get(partition)
 
+    def leader_of(self, partition: str) -> str | None:
+        """Return the name of the controller that leads the partition, as the records have it."""
+        recorded = self._view.partition_leaders.get(partition)
+        return recorded.controller if recorded else None
+
     def may_start(self, now: datetime) -> bool:
-        """Our lease counts and the records were read lately: cancellations reach us soon."""
-        contact = self._reader.contact
+        """Tell whether we may start tasks in partitions that we lead.
+
+        Our lease counts and the records were read lately, so that cancellations reach us soon.
+        """
+        contact, valid_until = self._reader.contact, self.lease.valid_until
         return (
-            self._valid is not None
-            and now < self._valid
+            valid_until is not None
+            and now < valid_until
             and contact is not None
-            and now - contact < START_FRESH
+            and now - contact < START_FRESHNESS
         )
 
     def may_renew(self, now: datetime) -> bool:
-        s = self._settings
+        """Tell whether we may renew the leases of workers in partitions that we lead."""
         until = policy.renew_until(
             self._reader.contact,
             [link.known for link in self._peers.links.values()],
-            s.cancel_within,
-            s.lease,
+            self._settings.cancel_within,
+            self._settings.lease,
             self._operator.state_margin,
         )
         return until is not None and now < until
 
-    def leader_of(self, partition: str) -> str | None:
-        own = self._view.partition_leaders.get(partition)
-        return own.controller if own else None
-
-    # What happens to us.
-
     def depose(self, partition: str, term: int) -> None:
-        """Somebody holds a higher term; whoever says so, we step down at once."""
+        """Stop leading the partition at once if the term is higher than ours, whoever says so."""
         with self.lock:
-            mine = self.leaderships.get(partition)
-            if mine is None or mine.term >= term:
+            leadership = self.leaderships.get(partition)
+            if leadership is None or leadership.term >= term:
                 return
             del self.leaderships[partition]
-        log.info("leadership-deposed", partition=partition, term=mine.term, higher_term=term)
-        self._tell(partition)
+        log.info("leadership-deposed", partition=partition, term=leadership.term, higher_term=term)
+        self._notify(partition)
+
+    def raise_term_above(self, partition: str, term: int) -> None:
+        """Acquire the partition again under a term above one that the records have lost.
 
-    def raise_above(self, partition: str, term: int) -> None:
-        """Machines have seen a term that the records have lost: as long as ours is not above it
-        they refuse our answers. The partition is taken again under a higher one."""
+        Machines have seen that term: as long as ours is not above it they refuse our answers.
+        """
         self._lost_terms[partition] = max(term, self._lost_terms.get(partition, 0))
 
     def on_record(self, key: str) -> None:
+        """Stop leading partitions of which a record names a higher term."""
         if key.startswith("r/term/"):
             for partition, term in list(self._view.terms.items()):
                 self.depose(partition, term.number)
 
-    def _drop_all(self, why: str) -> None:
+    async def fail_over(self, partition: str) -> None:
+        """Give up a partition whose workers reach other controllers but not this one."""
+        until = clock.now() + ACQUISITION_HOLD_OFF_UNREACHABLE
+        self._hold_offs.hold_acquisition(partition, until)
+        self.lose(partition, LossReason.UNREACHABLE_FOR_WORKERS)
+        await self._acquisition.release(partition)
+
+    def lose(self, partition: str, reason: LossReason) -> None:
+        """Stop leading a partition; its leader record stays."""
+        with self.lock:
+            leadership = self.leaderships.pop(partition, None)
+        if leadership is not None:
+            log.info("leadership-lost", partition=partition, reason=reason)
+            self._notify(partition)
+
+    def _lose_all(self, reason: LossReason) -> None:
         with self.lock:
             partitions = list(self.leaderships)
             self.leaderships.clear()
         for partition in partitions:
-            log.info("leadership-lost", partition=partition, reason=why)
-            self._tell(partition)
+            log.info("leadership-lost", partition=partition, reason=reason)
+            self._notify(partition)
 
-    def _tell(self, partition: str) -> None:
-        for call in self.changed:
-            call(partition)
-
-    # The loop.
+    def _notify(self, partition: str) -> None:
+        for callback in self.changed:
+            callback(partition)
 
     async def run(self) -> None:
+        """Keep our lease alive, and acquire, release and fail back partitions, for ever."""
         while True:
             try:
                 if self._view.loaded:
-                    await self._keep_lease()
-                    if self._lease_id is not None:
-                        await self._consider()
+                    await self._run_once()
             except (RefusedError, NoAnswerError, UnavailableError):
                 pass
             except Exception:
+                # Whatever fails, our lease must be renewed: all our leaderships depend on it.
                 log.crash("election-failed")
-            await clock.pause(timedelta(milliseconds=300))
+            await clock.pause(ELECTION_INTERVAL)
 
-    async def _keep_lease(self) -> None:
-        ttl = self._operator.own_lease
-        now = clock.now()
-        if (
-            self._lease_id is not None
-            and self._renewed is not None
-            and now - self._renewed < ttl / 3
-        ):
-            return
-        try:
-            if self._lease_id is None:
-                lease_id = await self._state.lease(ttl)
-                await self._announce(lease_id)
-                self._lease_id = lease_id
-            else:
-                await self._state.renew(self._lease_id)
-                mine = self._view.controllers.get(self._settings.name)
-                if mine is None or mine.incarnation != self._incarnation:
-                    # A late transaction of a former life, or of a lease that we gave up, took it
-                    # away.
-                    await self._announce(self._lease_id)
-        except ConflictError:
-            # Somebody of this name wrote it meanwhile, or our own unanswered try went through; that
-            # may hang on a lease that nobody renews. It is written anew on what is there now, under
-            # a lease that we renew.
-            await self._read()
+    async def _run_once(self) -> None:
+        if not await self.lease.keep_alive():
+            # Our records are gone with the lease; what we led may already be someone else's.
+            self._lose_all(LossReason.LEASE_ENDED)
+        if self.lease.id is None:
             return
-        except LeaseEndedError:
-            # Our keys are gone with it; what we owned may already be someone else's.
-            self._lease_id = self._valid = self._renewed = None
-            self._drop_all("lease ended")
-            return
-        # Counted from before the renewal was sent, shortened for drift.
-        self._renewed = now
-        self._valid = now + ttl * (1 - 2 * clock.DRIFT) - timedelta(milliseconds=200)
-
-    async def _announce(self, lease_id: int) -> None:
-        """Our name among the live ones. A former life may still have the same transaction on its
-        way: with what was there as the condition, it can't come after ours."""
-        key = keys.controller_key(self._settings.name)
-        rows = [put(key, {"boot": self._incarnation}, lease_id)]
-        conditions = {key: self._view.mod_revision(key)}
-        self._view.applied(
-            rows,
-            await commit(
-                self._state, conditions, rows, within=self._operator.own_lease / 2, urgent=True
-            ),
-        )
-
-    async def _read(self) -> bool:
-        """Waits for a read that begins now; says whether it came in time."""
-        with trio.move_on_after(READ_WITHIN.total_seconds()):
-            await self._reader.read_barrier()
-            return True
-        return False
-
-    def _live(self, now: datetime) -> set[str]:
-        live = set(self._view.controllers) | {self._settings.name}
-        for name in live:
-            self._alive_since.setdefault(name, now)
-        for name in set(self._alive_since) - live:
-            del self._alive_since[name]
-        return live
-
-    async def _consider(self) -> None:
-        now = clock.now()
-        if self._reader.contact is None or now - self._reader.contact > timedelta(seconds=2):
+        now, contact = clock.now(), self._reader.contact
+        if contact is None or now - contact > DECISION_FRESHNESS:
             return
-        me = self._settings.name
-        live = self._live(now)
+        controllers = self._live_controllers.observe(now)
         for partition in self.partitions():
-            own = self._view.partition_leaders.get(partition)
-            mine = self.leaderships.get(partition)
-            if own is None:
-                since = self._absent.setdefault(partition, now)
-                if mine is not None:
-                    self._forget(partition, "key gone")
-                if now < self._declining_until.get(partition, now) and len(live) > 1:
-                    continue
-                first = policy.preferred(
-                    partition, self._zones, live - self._declining(partition, now)
-                )
-                grace = clock.ZERO if first == me else self._operator.takeover_grace * 2
-                local = self._zones.get(me) == partition
-                if not local and not any(self._zones.get(n) == partition for n in live):
-                    # Its own controller is not up: at the start it is likely on its way.
-                    grace += self._operator.takeover_grace
-                if now - since >= grace:
-                    await self._take(partition, 0, now)
-                continue
-            self._absent.pop(partition, None)
-            if own.controller == me and own.incarnation != self._incarnation:
-                # Ours from before a restart: back at once, under a new term.
-                await self._take(partition, own.mod_revision, now)
-            elif own.controller == me and mine is None:
-                await self._release(partition)
-            elif (
-                mine is not None
-                and own.controller == me
-                and self._lost_terms.get(partition, 0) >= mine.term
-            ):
-                log.info(
-                    "term-raised",
-                    partition=partition,
-                    term=mine.term,
-                    seen_term=self._lost_terms[partition],
-                )
-                await self._take(partition, own.mod_revision, now)
-            elif mine is not None and own.controller != me:
-                self._forget(partition, "held by another")
-            elif mine is not None:
-                await self._maybe_hand_over(partition, mine, live, now)
+            state = self._partition_state(partition, now)
+            decision = policy.decide(state, controllers, self._operator, now)
+            await self._carry_out(decision, state, now)
+
+    def _partition_state(self, partition: str, now: datetime) -> PartitionState:
+        recorded = self._view.partition_leaders.get(partition)
+        if recorded is None:
+            leaderless_since = self._leaderless_since.setdefault(partition, now)
+        else:
+            leaderless_since = now
+            self._leaderless_since.pop(partition, None)
+        return PartitionState(
+            name=partition,
+            recorded=recorded,
+            leadership=self.leaderships.get(partition),
+            leaderless_since=leaderless_since,
+            lost_term=self._lost_terms.get(partition, 0),
+            acquisition_held=self._hold_offs.holds_acquisition(partition, now),
+            held_failbacks=self._hold_offs.held_failbacks(partition, now),
+        )
 
-    def _declining(self, partition: str, now: datetime) -> set[str]:
-        me = self._settings.name
-        return {me} if now < self._declining_until.get(partition, now) else set()
+    async def _carry_out(self, decision: Decision, state: PartitionState, now: datetime) -> None:
+        partition = state.name
+        if decision.failback_to is not None:
+            self._begin_failback(partition, decision.failback_to, now)
+        if decision.lost is not None:
+            self.lose(partition, decision.lost)
+        match decision.action:
+            case Action.RAISE_TERM:
+                self._log_raised_term(state)
+                await self._acquire(state, now)
+            case Action.ACQUIRE:
+                await self._acquire(state, now)
+            case Action.RELEASE | Action.FAIL_BACK:
+                await self._acquisition.release(partition)
+            case Action.NOTHING:
+                pass
 
-    def _forget(self, partition: str, why: str) -> None:
-        with self.lock:
-            gone = self.leaderships.pop(partition, None)
-        if gone is not None:
-            log.info("leadership-lost", partition=partition, reason=why)
-            self._tell(partition)
+    def _log_raised_term(self, state: PartitionState) -> None:
+        log.info(
+            "term-raised",
+            partition=state.name,
+            term=state.leadership.term if state.leadership else 0,
+            seen_term=state.lost_term,
+        )
 
-    async def _take(self, partition: str, own_mod_revision: int, now: datetime) -> None:
-        old = self._view.terms.get(partition)
-        number = max(old.number if old else 0, self._lost_terms.get(partition, 0)) + 1
-        me = self._settings.name
-        rows = [
-            put(keys.term_key(partition), {"n": number, "node": me}),
-            put(
-                keys.leader_key(partition),
-                {"node": me, "boot": self._incarnation, "term": number},
-                self._lease_id,
-            ),
-        ]
-        conditions = {
-            keys.term_key(partition): old.mod_revision if old else 0,
-            keys.leader_key(partition): own_mod_revision,
-        }
+    def _begin_failback(self, partition: str, controller: str, now: datetime) -> None:
+        log.info("failback-started", partition=partition, to_controller=controller)
+        graces = self._operator.takeover_grace * ACQUISITION_HOLD_OFF_GRACES
+        self._hold_offs.hold_acquisition(partition, now + graces)
+        until = now + FAILBACK_HOLD_OFF_AFTER_FAILBACK
+        self._hold_offs.hold_failback(partition, controller, until)
+
+    async def _acquire(self, state: PartitionState, now: datetime) -> None:
+        """Acquire a partition; `now` is the instant of the decision."""
+        partition = state.name
+        request = AcquisitionRequest(
+            partition=partition,
+            leader_mod_revision=state.recorded.mod_revision if state.recorded else 0,
+            lost_term=state.lost_term,
+            lease_id=self.lease.id,
+        )
         try:
-            revision = await commit(
-                self._state, conditions, rows, within=self._operator.own_lease / 2, urgent=True
-            )
-        except ConflictError:
-            # Somebody was faster, or an unanswered try of our own went through: the records tell.
-            if not await self._read():
-                return
-            own, term = self._view.partition_leaders.get(partition), self._view.terms.get(partition)
-            if not (
-                own
-                and term
-                and own.incarnation == self._incarnation
-                and own.controller == me
-                and own.term == term.number
-            ):
-                return
-            revision, number = term.mod_revision, term.number
+            term = await self._acquisition.acquire(request)
         except LeaseEndedError:
-            self._lease_id = None
-            self._drop_all("lease ended")
-            return
-        self._view.applied(rows, revision)
-        # Whatever was written before our term must be in the view before we act on it. Where it
-        # can't be had, the partition is not ours: the key that we wrote is given up as soon as the
-        # records are back.
-        if not await self._read():
+            self.lease.discard()
+            self._lose_all(LossReason.LEASE_ENDED)
             return
-        term = self._view.terms.get(partition)
-        if term is None or term.number != number or term.controller != me:
+        if term is None:
             return
-        # If its own controller is alive and still left it to us, it is not handed back at once.
-        for name, zone in self._zones.items():
-            if zone == partition and name != me and name in self._view.controllers:
-                self._declining_until[f"{partition}>{name}"] = now + timedelta(seconds=25)
+        for name, zone in self._live_controllers.zones.items():
+            if zone == partition and name != self._settings.name and name in self._view.controllers:
+                until = now + FAILBACK_HOLD_OFF_AFTER_ACQUISITION
+                self._hold_offs.hold_failback(partition, name, until)
         with self.lock:
             self.leaderships[partition] = Leadership(
-                partition, number, term.mod_revision, clock.now()
+                partition, term.number, term.mod_revision, clock.now()
             )
-        log.info("leadership-acquired", partition=partition, term=number)
-        self._tell(partition)
-
-    async def _release(self, partition: str) -> None:
-        own = self._view.partition_leaders.get(partition)
-        if own is None:
-            return
-        rows = [delete(keys.leader_key(partition))]
-        try:
-            revision = await commit(
-                self._state,
-                {keys.leader_key(partition): own.mod_revision},
-                rows,
-                within=timedelta(seconds=2),
-                urgent=True,
-            )
-            self._view.applied(rows, revision)
-        except ConflictError:
-            await self._read()
-
-    async def _maybe_hand_over(
-        self, partition: str, mine: Leadership, live: set[str], now: datetime
-    ) -> None:
-        me = self._settings.name
-        first = policy.preferred(partition, self._zones, live)
-        if first == me or first is None or now - mine.acquired_at < self._operator.hand_back_after:
-            return
-        if self._zones.get(first) != partition or self._zones.get(me) == partition:
-            return
-        link = self._peers.links.get(first)
-        if (
-            link is None
-            or not link.alive(now)
-            or now - self._alive_since[first] < self._operator.hand_back_after
-        ):
-            return
-        heartbeat = link.known.heartbeat
-        if (
-            heartbeat is None
-            or heartbeat.contact_age is None
-            or heartbeat.contact_age > timedelta(seconds=2)
-        ):
-            return
-        if now < self._declining_until.get(f"{partition}>{first}", now):
-            return
-        log.info("failback-started", partition=partition, to_controller=first)
-        self._declining_until[partition] = now + self._operator.takeover_grace * 4
-        self._declining_until[f"{partition}>{first}"] = now + timedelta(seconds=30)
-        self._forget(partition, "handed back")
-        await self._release(partition)
-
-    async def hand_over_deaf(self, partition: str) -> None:
-        """Our partition's workers reach others but not us."""
-        now = clock.now()
-        self._declining_until[partition] = now + timedelta(seconds=20)
-        self._forget(partition, "deaf to its workers")
-        await self._release(partition)
+        log.info("leadership-acquired", partition=partition, term=term.number)
+        self._notify(partition)
--- /dev/null
+++ b/roadbend/partitions/live_controllers.py
@@ -0,0 +1,38 @@
+"""Know which controllers are alive, since when, and what they last said."""
+
+from datetime import datetime
+
+from roadbend.partitions.policy import ControllersState
+from roadbend.peers.links import Peers
+from roadbend.settings import PlatformSettings
+from roadbend.store.record_view import RecordView
+
+
+class LiveControllers:
+    """The controllers whose leases hold, as the records say, and this one."""
+
+    def __init__(
+        self, settings: PlatformSettings, incarnation: str, view: RecordView, peers: Peers
+    ) -> None:
+        # The zone of each controller, alive or not.
+        self.zones = {settings.name: settings.zone, **{p.name: p.zone for p in settings.peers}}
+        self._name = settings.name
+        self._incarnation = incarnation
+        self._view = view
+        self._peers = peers
+        self._alive_since: dict[str, datetime] = {}
+
+    def observe(self, now: datetime) -> ControllersState:
+        """Read the records, and return what is known of all controllers."""
+        live = set(self._view.controllers) | {self._name}
+        for name in live:
+            self._alive_since.setdefault(name, now)
+        for name in set(self._alive_since) - live:
+            del self._alive_since[name]
+        return ControllersState(
+            name=self._name,
+            incarnation=self._incarnation,
+            zones=self.zones,
+            alive_since=self._alive_since,
+            peers={name: link.known for name, link in self._peers.links.items()},
+        )
--- /dev/null
+++ b/roadbend/partitions/records.py
@@ -0,0 +1,46 @@
+"""Write and read the election's records with bounded waits.
+
+The election's loop renews the lease that all leaderships depend on. So no transaction or read of it
+may wait for long, not even in an outage of the state store.
+"""
+
+from datetime import timedelta
+from typing import Any
+
+import trio
+
+from roadbend.store.client import StateStoreClient, commit
+from roadbend.store.record_reader import RecordReader
+from roadbend.store.record_view import RecordView
+
+READ_TIMEOUT = timedelta(seconds=2)
+
+
+class ElectionRecords:
+    """The state store and the record view, as the election uses them."""
+
+    def __init__(self, state: StateStoreClient, view: RecordView, reader: RecordReader) -> None:
+        self.view = view
+        self._state = state
+        self._reader = reader
+
+    async def write(
+        self,
+        conditions: dict[str, int],
+        changes: list[dict[str, Any]],
+        *,
+        within: timedelta,
+    ) -> None:
+        """Carry out a transaction, and take it into the record view.
+
+        Raises what `commit` raises: `ConflictError`, `LeaseEndedError`, `UnavailableError`.
+        """
+        revision = await commit(self._state, conditions, changes, within=within, urgent=True)
+        self.view.applied(changes, revision)
+
+    async def read(self) -> bool:
+        """Wait for a read that begins now; return whether it was answered in time."""
+        with trio.move_on_after(READ_TIMEOUT.total_seconds()):
+            await self._reader.read_barrier()
+            return True
+        return False
--- a/roadbend/partitions/test_election.py
+++ b/roadbend/partitions/test_election.py
@@ -1,4 +1,4 @@
-"""Owning: how long an owner may renew, who is preferred, and that terms fence former owners."""
+"""How long a leader may renew, who is preferred, and that terms fence former leaders."""
 
 from datetime import timedelta
 
@@ -20,7 +20,7 @@
     return policy.renew_until(contact, peers, 38 * S, 18 * S, 2 * S)
 
 
-def test_a_refused_node_renews_only_as_long_as_a_cancellation_leaves_time():
+def test_a_refused_controller_renews_only_as_long_as_a_cancellation_leaves_time():
     end = until(T, T, T)
     # The last answer plus a full worker's lease stays within cancel_s of any unknown cancellation.
     assert T + 17 * S < end < T + 18 * S
@@ -32,7 +32,7 @@
     assert until(T, T + 60 * S, None) == until(T, T, T)
 
 
-def test_a_node_without_contact_since_its_start_renews_nothing():
+def test_a_controller_without_contact_since_its_start_renews_nothing():
     assert until(None, T, T) is None
 
 
@@ -44,7 +44,7 @@
     assert policy.preferred("west", zones, []) is None
 
 
-async def test_a_former_owners_late_transaction_fails():
+async def test_a_former_leaders_late_transaction_fails():
     async with world() as w:
         controller = w.controllers["node-0"]
         mod_revision = controller.election.leadership("east").mod_revision
@@ -57,19 +57,19 @@
         assert w.state.compare_and_swap(late).status == 409
 
 
-async def test_two_who_race_for_a_part_never_both_get_it():
+async def test_two_who_race_for_a_partition_never_both_get_it():
     async with world() as w:
         w.crash(0)
         seen = set()
         for _ in range(200):
             await trio.sleep(0.1)
-            owners = [
+            leaders = [
                 name
                 for name, controller in w.controllers.items()
                 if controller.election.leadership("east")
             ]
-            assert len(owners) <= 1
-            seen.update(owners)
+            assert len(leaders) <= 1
+            seen.update(leaders)
         assert len(seen) == 1
 
 
@@ -83,7 +83,7 @@
         assert controller.election.leadership("east") is None and "east" not in controller.leaders
 
 
-async def test_an_owner_that_its_workers_cannot_reach_hands_the_part_over():
+async def test_a_leader_that_its_workers_cannot_reach_gives_the_partition_up():
     async with world() as w:
         assert await w.submit(1, job(1, shape="daemon", yard="east", dueS=None), None) == 201
         assert await w.until(lambda: w.board.running("run-000001"), 60)
@@ -94,7 +94,7 @@
         assert w.board.running("run-000001") and len(w.board.starts) == 1
 
 
-async def test_a_non_owner_names_the_owner_and_a_report_for_nobody_is_refused():
+async def test_others_name_the_leader_and_a_heartbeat_for_no_partition_is_refused():
     async with world() as w:
         body = {
             "hitch": "m-9",
--- a/roadbend/peers/heartbeat.py
+++ b/roadbend/peers/heartbeat.py
@@ -6,6 +6,7 @@
 from roadbend.clock import DRIFT
 from roadbend.peers.frames import Scanner, Writer
 
+ALIVE_FOR = timedelta(seconds=3.5)
 _NEVER = 0xFFFFFFFF
 # Times in a pulse are whole milliseconds; one more keeps out what was told at the very edge of the
 # list.
@@ -100,6 +101,10 @@
             self.vouched_until = max(base, asked)
         self.heartbeat, self.asked, self.heard_at = heartbeat, asked, now
 
+    def alive(self, now: datetime) -> bool:
+        """Tell whether the peer was heard lately."""
+        return self.heard_at is not None and now - self.heard_at < ALIVE_FOR
+
     def speaks(self, dialect: str) -> bool:
         """Whether the peer understands what came after version 2 of the frames; one that we have
         not heard may not."""
--- a/roadbend/peers/links.py
+++ b/roadbend/peers/links.py
@@ -21,7 +21,6 @@
 log = Log("peers")
 HEARTBEAT_INTERVAL = timedelta(seconds=1)
 HEARTBEAT_TIMEOUT = timedelta(seconds=1.5)
-ALIVE_FOR = timedelta(seconds=3.5)
 MAX_INCOMING = 32
 MAX_WAITING = 256
 
@@ -48,7 +47,7 @@
         self._waiting: dict[int, trio.MemorySendChannel] = {}
 
     def alive(self, now: datetime) -> bool:
-        return self.known.heard_at is not None and now - self.known.heard_at < ALIVE_FOR
+        return self.known.alive(now)
 
     async def call(self, kind: int, payload: bytes, within: timedelta) -> bytes:
         if self._stream is None or len(self._waiting) >= MAX_WAITING:
--- a/roadbend/placement/leader.py
+++ b/roadbend/placement/leader.py
@@ -15,7 +15,7 @@
 from roadbend.fleet.machines import Machine, StopOrder
 from roadbend.fleet.terminations import TaskKey, Termination, Terminations
 from roadbend.log import Log
-from roadbend.partitions.election import Leadership
+from roadbend.partitions.leadership import Leadership
 from roadbend.placement import ends, gangs, policy, quotas, starts
 from roadbend.placement.context import ControllerContext
 from roadbend.placement.heartbeats import HeartbeatHandler
--- a/roadbend/placement/transaction.py
+++ b/roadbend/placement/transaction.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 from roadbend.fleet.terminations import TaskKey
-from roadbend.partitions.election import Leadership
+from roadbend.partitions.leadership import Leadership
 from roadbend.settings import PlatformSettings
 from roadbend.store import keys, records
 from roadbend.store.client import delete, put
--- a/roadbend/recovery/service.py
+++ b/roadbend/recovery/service.py
@@ -249,7 +249,7 @@
         )
         partition.terms_in_use, partition.in_use_since = {}, None
         self._note_lost_writes(leader.partition)
-        self._context.election.raise_above(leader.partition, seen)
+        self._context.election.raise_term_above(leader.partition, seen)
 
     async def _read_ends(self, partition: PartitionRecovery) -> None:
         """Whether jobs that no record names as live have ended."""
--- a/roadbend/test_growth.py
+++ b/roadbend/test_growth.py
@@ -388,7 +388,7 @@
             terms.append(leadership.term if leadership else None)
             mod_revision, lease_id = (
                 controller.view.mod_revision(keys.controller_key("node-0")),
-                controller.election._lease_id,
+                controller.election.lease.id,
             )
             w.crash(0)
             await trio.sleep(0.1)
--- a/roadbend/test_ran_twice.py
+++ b/roadbend/test_ran_twice.py
@@ -13,7 +13,7 @@
 from roadbend.fakes.world import World, settings_for, world
 from roadbend.fleet.messages import parse_heartbeat
 from roadbend.fleet.terminations import TaskKey, Termination
-from roadbend.partitions.election import Leadership
+from roadbend.partitions.leadership import Leadership
 from roadbend.placement import ends
 from roadbend.placement.transaction import TransactionBuilder
 from roadbend.settings import Team
--- a/roadbend/test_upgrade.py
+++ b/roadbend/test_upgrade.py
@@ -16,7 +16,7 @@
 from roadbend.fakes import previous_version
 from roadbend.fakes.submission import gang, job
 from roadbend.fakes.world import World, settings_for, world
-from roadbend.partitions.election import Leadership
+from roadbend.partitions.leadership import Leadership
 from roadbend.peers import frames
 from roadbend.peers.heartbeat import PeerHeartbeat
 from roadbend.placement import ends
