--- a/roadbend/bidding/casa.py
+++ b/roadbend/bidding/casa.py
@@ -1,71 +1,136 @@
-"""The community-aware scheduling algorithm as pure functions.
+"""The community-aware scheduling algorithm (CASA) as pure functions.
 
-Names and numbers are those of Huang et al., sections 3 and 4; docs/design.md says what was kept and
-what was changed. Times here are durations of work; `cores` are those of a partition's machines."""
+Definitions and algorithms are numbered as in Huang et al., "Exploring decentralized dynamic
+scheduling for grids and clouds using the community-aware scheduling algorithm", sections 3 and 4.
+The paper's node is a partition here; docs/design.md says what was kept and what was changed.
+
+Units: times are durations of work, loads are core-seconds, `cores` are those of a partition's
+machines.
+"""
 
 import random
 from collections.abc import Sequence
 from dataclasses import dataclass
 from datetime import datetime, timedelta
+from typing import NamedTuple
 
 from roadbend.clock import ZERO
 from roadbend.store import ranges
-from roadbend.store.records import Job
-
-LEAST = timedelta(milliseconds=50)
-
-
-@dataclass(frozen=True)
+from roadbend.store.ranges import Ranges
+from roadbend.store.records import Job, JobSpec
+
+# The duration that counts for a task whose owner stated none.
+UNKNOWN_DURATION = timedelta(seconds=60)
+# Response times below this weigh alike in the draw.
+MIN_RESPONSE_TIME = timedelta(milliseconds=50)
+# The longest time that a load is thought to take, and the least rate at which it is worked off.
+MAX_LOAD_SECONDS = 1e7
+MIN_RATE = 1e-9
+# The most tasks of a job that one draw allocates.
+MAX_SLICE_TASKS = 64
+# The most promises that one partition remembers.
+MAX_PROMISES = 4096
+
+# Partition -> the tasks that it gets.
+Shares = dict[str, Ranges]
+
+
+@dataclass(frozen=True, kw_only=True)
 class Bid:
-    """An accept message: what a partition promises for a job (section 4.2)."""
+    """What a partition promises for a job: the paper's accept message (section 4.2).
+
+    The three times are those of algorithm 2, lines 3 to 5: of the job itself, of the partition's
+    pending queue, and of its shadow load.
+    """
 
     partition: str
     controller: str
     job_time: timedelta
     queue_time: timedelta
     shadow_time: timedelta
-    # Tasks of this job that it can start now, and that it could take in all.
+    # How many tasks of the job the partition can start now, and how many it can take in all.
     startable_now: int
     capacity: int
 
 
+def expected_duration(spec: JobSpec) -> timedelta:
+    """Return how long one task of a job is thought to run, the paper's `length`."""
+    if spec.expected_duration <= ZERO:
+        return UNKNOWN_DURATION
+    return spec.expected_duration
+
+
+def job_load(spec: JobSpec, tasks: int) -> float:
+    """Return the load of some tasks of a job in core-seconds (section 3), with speed one."""
+    return spec.resources.cpus * expected_duration(spec).total_seconds() * tasks
+
+
 def load_time(load: float, cores: float, speed: float = 1.0) -> timedelta:
-    """Definitions 1 and 2 divided as in algorithm 2: load over cores times speed."""
-    return timedelta(seconds=min(1e7, load / max(1e-9, cores * speed)))
+    """Return how long a load takes: algorithm 2, lines 4 and 5.
+
+    `load` is that of definition 1 or 2, in core-seconds.
+    """
+    return timedelta(seconds=min(MAX_LOAD_SECONDS, load / max(MIN_RATE, cores * speed)))
 
 
-def response(bid: Bid, omega: float) -> timedelta:
+def response_time(bid: Bid, omega: float) -> timedelta:
+    """Return a bid's response time, in which `omega` weighs the shadow load (definition 3)."""
     return bid.job_time + bid.queue_time + bid.shadow_time * omega
 
 
 def draw(bids: Sequence[Bid], omega: float, rng: random.Random) -> Bid | None:
-    """Definition 3: the chance is in inverse proportion to the response time."""
+    """Draw one bid with a chance in inverse proportion to its response time (definition 3).
+
+    Returns None when there are no bids; `rng` is not used then.
+    """
     if not bids:
         return None
-    weights = [1.0 / max(LEAST, response(bid, omega)).total_seconds() for bid in bids]
+    weights = [
+        1.0 / max(MIN_RESPONSE_TIME, response_time(bid, omega)).total_seconds() for bid in bids
+    ]
     return rng.choices(bids, weights)[0]
 
 
+class Promise(NamedTuple):
+    """The load that one bid promised to take, in core-seconds, and when it ceases to count."""
+
+    load: float
+    expires_at: datetime
+
+
 class Promises:
-    """The shadow queue: each promise counts one over the requests sent. Revocations get lost, so a
-    promise also ends by itself."""
+    """The ledger of a partition's shadow load (section 4.2, definition 2).
+
+    A promise is made with each bid, and revoked when the job has been allocated. Revocations get
+    lost, so a promise also expires by itself.
+    """
 
-    def __init__(self, incarnation: timedelta, most: int = 4096):
-        self._life, self._most = incarnation, most
-        self._rows: dict[str, tuple[float, datetime]] = {}
+    def __init__(self, lifetime: timedelta, max_promises: int = MAX_PROMISES) -> None:
+        self._lifetime, self._max_promises = lifetime, max_promises
+        # By job, the oldest first.
+        self._promises: dict[str, Promise] = {}
 
     def add(self, job: str, load: float, requests: int, now: datetime) -> None:
-        self._rows.pop(job, None)
-        while len(self._rows) >= self._most:
-            self._rows.pop(next(iter(self._rows)))
-        self._rows[job] = (load / max(1, requests), now + self._life)
+        """Count a promise to take `load` core-seconds, in place of the job's last one.
+
+        The job was offered to `requests` controllers, so it comes here with a chance of one over
+        these. The oldest promises are dropped when there are too many.
+        """
+        self._promises.pop(job, None)
+        while len(self._promises) >= self._max_promises:
+            self._promises.pop(next(iter(self._promises)))
+        self._promises[job] = Promise(load / max(1, requests), now + self._lifetime)
 
     def revoke(self, job: str) -> None:
-        self._rows.pop(job, None)
+        """Cease to count the promise for a job, if there is one (algorithm 3, line 16)."""
+        self._promises.pop(job, None)
 
     def load(self, now: datetime) -> float:
-        self._rows = {job: row for job, row in self._rows.items() if row[1] > now}
-        return sum(row[0] for row in self._rows.values())
+        """Return the shadow load in core-seconds, and forget what has expired."""
+        self._promises = {
+            job: promise for job, promise in self._promises.items() if promise.expires_at > now
+        }
+        return sum(promise.load for promise in self._promises.values())
 
 
 def allocate(
@@ -73,116 +138,174 @@
     bids: Sequence[Bid],
     omega: float,
     rng: random.Random,
-    slice_most: int = 64,
-    left: timedelta | None = None,
-) -> dict[str, ranges.Ranges]:
-    """Which partition gets which of the job's free tasks, by slices. Among the partitions that can
-    start some now, one of those wins; only when there is none is one of all drawn. Zone caps hold
-    throughout.
-
-    `left`: what is left until the job is due. Where some bids promise to be in time, those that
-    don't are not drawn: an inverse weight hardly tells a partition just in time from one just too
-    late."""
+    time_left: timedelta | None = None,
+) -> Shares:
+    """Draw which partitions get which of a job's unassigned tasks (algorithm 3).
+
+    The paper draws one node for a whole job. Here a job goes out in slices, except for jobs that
+    one partition must hold whole and gangs with anti-affinity. Partitions that can start tasks now
+    come first, and a job's zone cap holds throughout.
+
+    `time_left` is what is left until the job is due; None without a deadline. No more than one bid
+    of each partition may be given.
+    """
     spec = job.spec
-    free = job.unassigned
-    if not free:
+    if not job.unassigned:
         return {}
     if spec.gang and spec.apart and spec.task_count > 1:
-        return _apart(job, bids, omega, rng)
+        return _allocate_gang_shares(job, bids, omega, rng)
     if spec.together or spec.gang:
-        return _whole(job, bids, omega, rng)
-    capacity = {}
-    for bid in bids:
-        cap = spec.zone_cap - ranges.size(job.allocation.get(bid.partition, ()))
-        # Tasks that are over no longer count against a zone, but keeping to the cap needs no proof.
-        capacity[bid.partition] = max(0, min(bid.capacity, cap))
-    now = {bid.partition: min(bid.startable_now, capacity[bid.partition]) for bid in bids}
-    out: dict[str, ranges.Ranges] = {}
-    while free:
-        ready = [bid for bid in bids if now[bid.partition] > 0 and capacity[bid.partition] > 0]
-        able = ready or [bid for bid in bids if capacity[bid.partition] > 0]
-        chosen = draw(
-            [bid for bid in able if left is None or response(bid, omega) <= left] or able,
-            omega,
-            rng,
-        )
+        return _allocate_whole(job, bids, omega, rng)
+    return _allocate_slices(job, bids, omega, rng, time_left)
+
+
+def _allocate_slices(
+    job: Job,
+    bids: Sequence[Bid],
+    omega: float,
+    rng: random.Random,
+    time_left: timedelta | None,
+) -> Shares:
+    """Draw a partition for one slice after the other, until nobody can take more."""
+    remaining = _RemainingCapacity(job, bids)
+    unassigned = job.unassigned
+    shares: Shares = {}
+    while unassigned:
+        startable = remaining.startable_bids()
+        candidates = startable or remaining.bids_with_capacity()
+        chosen = draw(_bids_in_time(candidates, omega, time_left), omega, rng)
         if chosen is None:
             break
         partition = chosen.partition
-        count = min(
-            now[partition] if ready else capacity[partition], capacity[partition], slice_most
-        )
-        piece = ranges.first(free, count)
-        out[partition] = ranges.union(out.get(partition, ()), piece)
-        free = ranges.minus(free, piece)
-        got = ranges.size(piece)
-        now[partition] -= min(now[partition], got)
-        capacity[partition] -= got
-        if not ready:
-            # The load just drawn is not in the bid: the next slice is drawn among the others first.
-            capacity[partition] = (
-                0
-                if any(r > 0 for p, r in capacity.items() if p != partition)
-                else capacity[partition]
-            )
-    return out
-
-
-def _whole(
-    job: Job, bids: Sequence[Bid], omega: float, rng: random.Random
-) -> dict[str, ranges.Ranges]:
-    held = [partition for partition, rs in job.allocation.items() if rs]
-    if held:
-        return {held[0]: job.unassigned} if any(bid.partition == held[0] for bid in bids) else {}
+        tasks = ranges.first(unassigned, remaining.slice_size(partition, bool(startable)))
+        shares[partition] = ranges.union(shares.get(partition, ()), tasks)
+        unassigned = ranges.minus(unassigned, tasks)
+        remaining.take(partition, ranges.size(tasks), bool(startable))
+    return shares
+
+
+def _bids_in_time(bids: list[Bid], omega: float, time_left: timedelta | None) -> list[Bid]:
+    """Return the bids that promise to meet the deadline, or all when none does.
+
+    An inverse weight hardly tells a partition that is just in time from one that is just too late.
+    """
+    in_time = [bid for bid in bids if time_left is None or response_time(bid, omega) <= time_left]
+    return in_time or bids
+
+
+class _RemainingCapacity:
+    """What the bidders can still take while a job's slices are drawn, in tasks."""
+
+    def __init__(self, job: Job, bids: Sequence[Bid]) -> None:
+        self._bids = bids
+        self._capacity: dict[str, int] = {}
+        for bid in bids:
+            # Tasks that are over no longer count against a zone, but to keep to the cap with them
+            # needs no evidence of that.
+            zone_left = job.spec.zone_cap - ranges.size(job.allocation.get(bid.partition, ()))
+            self._capacity[bid.partition] = max(0, min(bid.capacity, zone_left))
+        self._startable_now = {
+            bid.partition: min(bid.startable_now, self._capacity[bid.partition]) for bid in bids
+        }
+
+    def startable_bids(self) -> list[Bid]:
+        """Return the bids of the partitions that can start more tasks now."""
+        startable, capacity = self._startable_now, self._capacity
+        return [
+            bid
+            for bid in self._bids
+            if startable[bid.partition] > 0 and capacity[bid.partition] > 0
+        ]
+
+    def bids_with_capacity(self) -> list[Bid]:
+        """Return the bids of the partitions that can take more tasks, now or later."""
+        return [bid for bid in self._bids if self._capacity[bid.partition] > 0]
+
+    def slice_size(self, partition: str, starts_now: bool) -> int:
+        """Return how many tasks the next slice of a partition may have."""
+        capacity = self._capacity[partition]
+        wanted = self._startable_now[partition] if starts_now else capacity
+        return min(wanted, capacity, MAX_SLICE_TASKS)
+
+    def take(self, partition: str, tasks: int, starts_now: bool) -> None:
+        """Note that a slice of so many tasks goes to a partition."""
+        capacity = self._capacity
+        self._startable_now[partition] -= min(self._startable_now[partition], tasks)
+        capacity[partition] -= tasks
+        if starts_now:
+            return
+        # The bid does not count the load that was just drawn: the next slice is drawn among the
+        # others as long as there are any.
+        if any(left > 0 for other, left in capacity.items() if other != partition):
+            capacity[partition] = 0
+
+
+def _allocate_whole(job: Job, bids: Sequence[Bid], omega: float, rng: random.Random) -> Shares:
+    """Draw one partition for all tasks of a job that no two may share."""
+    holders = [partition for partition, tasks in job.allocation.items() if tasks]
+    if holders:
+        holder = holders[0]
+        return {holder: job.unassigned} if any(bid.partition == holder for bid in bids) else {}
     if job.done:
         # Its zone is known only to the partition that held it; partitions never give back started
         # slices.
         return {}
     count = ranges.size(job.unassigned)
     able = [bid for bid in bids if bid.capacity >= count]
-    ready = [bid for bid in able if bid.startable_now >= count]
-    chosen = draw(ready or able, omega, rng)
+    startable = [bid for bid in able if bid.startable_now >= count]
+    chosen = draw(startable or able, omega, rng)
     return {} if chosen is None else {chosen.partition: job.unassigned}
 
 
-def _apart(
+def _allocate_gang_shares(
     job: Job, bids: Sequence[Bid], omega: float, rng: random.Random
-) -> dict[str, ranges.Ranges]:
-    """Shares of a gang that is to be apart: all of it is given out at once, or nothing. As ever,
-    partitions that can start their shares now come first, and the draw is by inverse time."""
+) -> Shares:
+    """Draw partitions for the shares of a gang with anti-affinity: for all of it, or for nothing.
+
+    No partition gets more than the zone cap. What can start now counts where it is enough for the
+    whole gang, else what partitions can take in all.
+    """
     if job.allocation or job.done:
         return {}
-    now = {bid.partition: min(bid.startable_now, job.spec.zone_cap) for bid in bids}
-    capacity = {bid.partition: min(bid.capacity, job.spec.zone_cap) for bid in bids}
-    amounts = now if sum(now.values()) >= job.spec.task_count else capacity
-    if sum(amounts.values()) < job.spec.task_count:
+    spec = job.spec
+    startable = {bid.partition: min(bid.startable_now, spec.zone_cap) for bid in bids}
+    capacity = {bid.partition: min(bid.capacity, spec.zone_cap) for bid in bids}
+    limits = startable if sum(startable.values()) >= spec.task_count else capacity
+    if sum(limits.values()) < spec.task_count:
         return {}
-    free, open_to, out = job.unassigned, [bid for bid in bids if amounts[bid.partition] > 0], {}
-    while free:
-        chosen = draw(open_to, omega, rng)
-        open_to.remove(chosen)
-        out[chosen.partition] = ranges.first(free, amounts[chosen.partition])
-        free = ranges.minus(free, out[chosen.partition])
-    return out
+    unassigned, shares = job.unassigned, Shares()
+    candidates = [bid for bid in bids if limits[bid.partition] > 0]
+    while unassigned and (chosen := draw(candidates, omega, rng)) is not None:
+        candidates.remove(chosen)
+        shares[chosen.partition] = ranges.first(unassigned, limits[chosen.partition])
+        unassigned = ranges.minus(unassigned, shares[chosen.partition])
+    return shares
 
 
 def average_queuing(waiting: Sequence[timedelta], executed: Sequence[timedelta]) -> timedelta:
-    """Definition 4: of those that wait, else of those that were executed, else zero."""
-    rows = waiting or executed
-    return sum(rows, ZERO) / len(rows) if rows else ZERO
+    """Return a partition's average queuing time (definition 4).
+
+    It is that of the jobs that wait, else of those that were executed, else zero.
+    """
+    times = waiting or executed
+    return sum(times, ZERO) / len(times) if times else ZERO
 
 
 def relative_delay(wait: timedelta, average: timedelta) -> float:
-    """Definition 5."""
+    """Return a job's relative queuing delay (definition 5); zero where the average is."""
     return wait / average if average > ZERO else 0.0
 
 
-def accepts_reoffer(
-    estimate: timedelta,
-    theirs: timedelta,
+def accepts_reschedule(
+    response: timedelta,
+    requester_response: timedelta,
     average: timedelta,
-    their_average: timedelta,
+    requester_average: timedelta,
     varpi: float,
 ) -> bool:
-    """Both tests of algorithm 5."""
-    return estimate < theirs and average * varpi < their_average
+    """Tell whether a partition bids for a job that waits elsewhere: both tests of algorithm 5.
+
+    The job's response time must be shorter here than with the requester, and so must the average
+    queuing time, weighed by `varpi`.
+    """
+    return response < requester_response and average * varpi < requester_average
--- a/roadbend/bidding/messages.py
+++ b/roadbend/bidding/messages.py
@@ -1,132 +1,209 @@
-"""Frames of the bidding: request, accept, assign, revoke, inform. docs/peers.md describes them."""
+"""Payloads of the frames of the bidding: requests for bids, bids, assignments, revocations.
 
+docs/peers.md describes them byte by byte. What cannot be read raises `FrameError`.
+"""
+
+from collections.abc import Sequence
 from dataclasses import dataclass, replace
 from datetime import timedelta
 
 from roadbend.bidding.casa import Bid
+from roadbend.clock import ZERO
 from roadbend.peers.frames import Scanner, Writer
 from roadbend.peers.links import finite
 from roadbend.store.records import JobSpec, Resources
 
+# What stands for an absent duration, and for an absent list of machine types.
+ABSENT_SECONDS = -1.0
+ABSENT_LIST = -1
+# The longest duration that is read.
+MAX_SECONDS = 1e8
+# The largest number of tasks that a bid states.
+MAX_TASKS = 1 << 31
 
-@dataclass(frozen=True)
+
+@dataclass(frozen=True, kw_only=True)
 class BidRequest:
-    """A request, or, with `theirs` set, an inform: what a partition must know to bid."""
+    """What a partition must know to bid for a job: the paper's request message (algorithm 1).
+
+    With `requester_response` set it is the paper's inform message (algorithm 4): the job waits in
+    `from_partition`, and is to be rescheduled.
+    """
 
     job: str
+    # To how many controllers the request goes, the paper's x.
     requests: int
-    free: int
+    # For how many of the job's tasks bids are asked.
+    tasks: int
     spec: JobSpec
-    partition: str = ""
-    theirs: timedelta | None = None
-    their_average: timedelta = timedelta()
+    from_partition: str = ""
+    # The job's response time in `from_partition`, and the average queuing time there.
+    requester_response: timedelta | None = None
+    requester_average: timedelta = ZERO
     # How long the job has waited since its submission.
-    waited: timedelta = timedelta()
+    waited: timedelta = ZERO
 
     def pack(self) -> bytes:
-        s = self.spec
-        out = Writer().text(self.job).put("HI", self.requests, self.free)
-        out.text(s.team).text(s.job_class).put("?BI", s.service, s.priority, s.task_count)
-        out.put("ddd", s.resources.cpus, s.resources.gpus, s.resources.memory)
-        out.put("h", -1 if s.machine_types is None else len(s.machine_types))
-        for machine_type in s.machine_types or ():
-            out.text(machine_type)
-        out.maybe(s.zone).put("???", s.together, s.apart, s.spot).text(s.image).put("d", s.image_gb)
-        out.put("ddd", *(x.total_seconds() for x in (s.expected_duration, s.checkpoint, s.save)))
-        out.put("d", -1.0 if s.due is None else s.due.total_seconds())
-        out.text(self.partition).put(
-            "ddd",
-            -1.0 if self.theirs is None else self.theirs.total_seconds(),
-            self.their_average.total_seconds(),
-            max(0.0, self.waited.total_seconds()),
-        )
+        """Return the payload. Whether the job is a gang is told by the frame's kind."""
+        out = Writer().text(self.job).put("HI", self.requests, self.tasks)
+        _pack_spec(out, self.spec)
+        out.text(self.from_partition)
+        out.put("d", _seconds(self.requester_response))
+        out.put("d", _seconds(self.requester_average))
+        out.put("d", max(0.0, _seconds(self.waited)))
         return out.bytes()
 
     def as_gang(self) -> "BidRequest":
+        """Return the same request for a gang."""
         return replace(self, spec=replace(self.spec, gang=True))
 
     @staticmethod
     def unpack(data: bytes) -> "BidRequest":
+        """Read a payload."""
         scan = Scanner(data)
-        job, (requests, free) = scan.text(), scan.get("HI")
-        team, job_class, (service, priority, task_count) = scan.text(), scan.text(), scan.get("?BI")
-        resources = Resources(*(finite(x) for x in scan.get("ddd")))
-        count = scan.one("h")
-        machine_types = None if count < 0 else tuple(scan.text() for _ in range(count))
-        zone, (together, apart, spot) = scan.maybe(), scan.get("???")
-        image, image_gb = scan.text(), finite(scan.one("d"))
-        expected, checkpoint, save = (_span(x) for x in scan.get("ddd"))
-        due = scan.one("d")
-        partition, (theirs, average, waited) = scan.text(), scan.get("ddd")
+        job, (requests, tasks) = scan.text(), scan.get("HI")
+        spec = _unpack_spec(scan)
+        from_partition, (response, average, waited) = scan.text(), scan.get("ddd")
         scan.end()
-        spec = JobSpec(
-            team,
-            job_class,
-            service,
-            priority,
-            task_count,
-            resources,
-            machine_types,
-            zone,
-            together,
-            apart,
-            spot,
-            image,
-            image_gb,
-            expected,
-            checkpoint,
-            save,
-            None if due < 0 else _span(due),
-        )
-        theirs = None if theirs < 0 else _span(theirs)
         return BidRequest(
-            job, requests, free, spec, partition, theirs, _span(average), _span(waited)
+            job=job,
+            requests=requests,
+            tasks=tasks,
+            spec=spec,
+            from_partition=from_partition,
+            requester_response=_optional_duration(response),
+            requester_average=_duration(average),
+            waited=_duration(waited),
         )
 
 
-def _span(value: float) -> timedelta:
-    return timedelta(seconds=min(1e8, finite(value)))
-
-
-def pack_bids(bids: list[Bid]) -> bytes:
+def _pack_spec(out: Writer, spec: JobSpec) -> None:
+    out.text(spec.team).text(spec.job_class)
+    out.put("?BI", spec.service, spec.priority, spec.task_count)
+    out.put("ddd", spec.resources.cpus, spec.resources.gpus, spec.resources.memory)
+    out.put("h", ABSENT_LIST if spec.machine_types is None else len(spec.machine_types))
+    for machine_type in spec.machine_types or ():
+        out.text(machine_type)
+    out.maybe(spec.zone).put("???", spec.together, spec.apart, spec.spot)
+    out.text(spec.image).put("d", spec.image_gb)
+    for duration in (spec.expected_duration, spec.checkpoint, spec.save, spec.due):
+        out.put("d", _seconds(duration))
+
+
+def _unpack_spec(scan: Scanner) -> JobSpec:
+    team, job_class, (service, priority, task_count) = scan.text(), scan.text(), scan.get("?BI")
+    cpus, gpus, memory = (finite(value) for value in scan.get("ddd"))
+    count = scan.one("h")
+    machine_types = None if count < 0 else tuple(scan.text() for _ in range(count))
+    zone, (together, apart, spot) = scan.maybe(), scan.get("???")
+    image, image_gb = scan.text(), finite(scan.one("d"))
+    expected_duration, checkpoint, save = (_duration(value) for value in scan.get("ddd"))
+    due = _optional_duration(scan.one("d"))
+    return JobSpec(
+        team=team,
+        job_class=job_class,
+        service=service,
+        priority=priority,
+        task_count=task_count,
+        resources=Resources(cpus, gpus, memory),
+        machine_types=machine_types,
+        zone=zone,
+        together=together,
+        apart=apart,
+        spot=spot,
+        image=image,
+        image_gb=image_gb,
+        expected_duration=expected_duration,
+        checkpoint=checkpoint,
+        save=save,
+        due=due,
+    )
+
+
+def _seconds(duration: timedelta | None) -> float:
+    return ABSENT_SECONDS if duration is None else duration.total_seconds()
+
+
+def _duration(seconds: float) -> timedelta:
+    return timedelta(seconds=min(MAX_SECONDS, finite(seconds)))
+
+
+def _optional_duration(seconds: float) -> timedelta | None:
+    return None if seconds < 0 else _duration(seconds)
+
+
+def pack_bids(bids: Sequence[Bid]) -> bytes:
+    """Return the payload of the answer to a request: the bids of a controller's partitions."""
     out = Writer().put("H", len(bids))
     for bid in bids:
         out.text(bid.partition).text(bid.controller)
-        out.put(
-            "ddd", *(x.total_seconds() for x in (bid.job_time, bid.queue_time, bid.shadow_time))
-        )
-        out.put("II", min(bid.startable_now, 1 << 31), min(bid.capacity, 1 << 31))
+        for duration in (bid.job_time, bid.queue_time, bid.shadow_time):
+            out.put("d", duration.total_seconds())
+        out.put("II", min(bid.startable_now, MAX_TASKS), min(bid.capacity, MAX_TASKS))
     return out.bytes()
 
 
 def unpack_bids(data: bytes) -> list[Bid]:
+    """Read the payload of the answer to a request."""
     scan = Scanner(data)
-    bids = []
-    for _ in range(scan.one("H")):
-        partition, controller = scan.text(), scan.text()
-        times = [_span(x) for x in scan.get("ddd")]
-        now, capacity = scan.get("II")
-        bids.append(Bid(partition, controller, *times, now, capacity))
+    bids = [_unpack_bid(scan) for _ in range(scan.one("H"))]
     scan.end()
     return bids
 
 
-def pack_assign(job: str, value: bytes, mod_revision: int) -> bytes:
-    return Writer().text(job).put("QI", mod_revision, len(value)).bytes() + value
+def _unpack_bid(scan: Scanner) -> Bid:
+    partition, controller = scan.text(), scan.text()
+    job_time, queue_time, shadow_time = (_duration(value) for value in scan.get("ddd"))
+    startable_now, capacity = scan.get("II")
+    return Bid(
+        partition=partition,
+        controller=controller,
+        job_time=job_time,
+        queue_time=queue_time,
+        shadow_time=shadow_time,
+        startable_now=startable_now,
+        capacity=capacity,
+    )
 
 
-def unpack_assign(data: bytes) -> tuple[str, bytes, int]:
-    scan = Scanner(data)
-    job, (mod_revision, length) = scan.text(), scan.get("QI")
-    return job, data[len(data) - length :] if length else b"", mod_revision
+@dataclass(frozen=True)
+class Assignment:
+    """Tells a bidder that its partition gets tasks of a job: the paper's assign message.
 
+    `value` is the job's new record as CBOR, and may be empty; `mod_revision` is its revision.
+    """
 
-def pack_revoke(job: str) -> bytes:
-    return Writer().text(job).bytes()
+    job: str
+    value: bytes
+    mod_revision: int
 
+    def pack(self) -> bytes:
+        """Return the payload."""
+        head = Writer().text(self.job).put("QI", self.mod_revision, len(self.value))
+        return head.bytes() + self.value
 
-def unpack_revoke(data: bytes) -> str:
-    scan = Scanner(data)
-    job = scan.text()
-    scan.end()
-    return job
+    @staticmethod
+    def unpack(data: bytes) -> "Assignment":
+        """Read a payload."""
+        scan = Scanner(data)
+        job, (mod_revision, length) = scan.text(), scan.get("QI")
+        return Assignment(job, data[len(data) - length :] if length else b"", mod_revision)
+
+
+@dataclass(frozen=True)
+class Revocation:
+    """Tells a bidder that a job went elsewhere, so that its promise no longer counts."""
+
+    job: str
+
+    def pack(self) -> bytes:
+        """Return the payload."""
+        return Writer().text(self.job).bytes()
+
+    @staticmethod
+    def unpack(data: bytes) -> "Revocation":
+        """Read a payload."""
+        scan = Scanner(data)
+        job = scan.text()
+        scan.end()
+        return Revocation(job)
--- a/roadbend/bidding/requester.py
+++ b/roadbend/bidding/requester.py
@@ -88,7 +88,7 @@
                 partition
             ) != leader.leadership or not self._context.election.may_start(now):
                 continue
-            if partition == ask.partition:
+            if partition == ask.from_partition:
                 continue
             bid = self._bidder(partition).bid(ask, now)
             if bid is not None:
@@ -112,13 +112,13 @@
         operator, now, out = self._context.operator, clock.now(), []
         for bid in self.bids(ask):
             average = self._bidder(bid.partition).average_queuing(now)
-            estimate = casa.response(bid, operator.omega)
+            estimate = casa.response_time(bid, operator.omega)
             # A partition that can start it now takes what has waited for long, whatever waits here
             # for other machines: by the averages alone a job can wait for ever beside room that
             # fits it.
-            if ask.theirs is not None and (
-                casa.accepts_reoffer(
-                    estimate, ask.theirs, average, ask.their_average, operator.varpi
+            if ask.requester_response is not None and (
+                casa.accepts_reschedule(
+                    estimate, ask.requester_response, average, ask.requester_average, operator.varpi
                 )
                 or bid.startable_now > 0
                 and ask.waited >= LONG_WAIT
@@ -130,7 +130,8 @@
 
     def _on_assign(self, sender: str, payload: bytes) -> bytes:
         """The record decides; the message brings it sooner."""
-        job, value, mod_revision = messages.unpack_assign(payload)
+        assignment = messages.Assignment.unpack(payload)
+        job, value, mod_revision = assignment.job, assignment.value, assignment.mod_revision
         for shadow in self._shadows.values():
             shadow.revoke(job)
         view = self._context.view
@@ -144,7 +145,7 @@
         return b""
 
     def _on_revoke(self, sender: str, payload: bytes) -> None:
-        job = messages.unpack_revoke(payload)
+        job = messages.Revocation.unpack(payload).job
         for shadow in self._shadows.values():
             shadow.revoke(job)
 
@@ -206,7 +207,7 @@
             log.error("bid-malformed", peer=link.peer.name, error=str(error))
 
     async def gather(self, ask: BidRequest) -> list[Bid]:
-        again = ask.theirs is not None
+        again = ask.requester_response is not None
         bids = self.better(ask) if again else self.bids(ask)
         kind, payload = frames.INFORM if again else frames.REQUEST, ask.pack()
         if ask.spec.gang:
@@ -232,10 +233,10 @@
                 return
             waited = max(clock.ZERO, clock.wall() - job.submitted_at)
             ask = BidRequest(
-                name,
-                len(self._peers.links) + 1,
-                ranges.size(job.unassigned),
-                job.spec,
+                job=name,
+                requests=len(self._peers.links) + 1,
+                tasks=ranges.size(job.unassigned),
+                spec=job.spec,
                 waited=waited,
             )
             bids = await self.gather(ask)
@@ -243,7 +244,7 @@
             if job is None:
                 return
             shares = casa.allocate(
-                job, bids, self._context.operator.omega, self._rng, left=self._left(job)
+                job, bids, self._context.operator.omega, self._rng, time_left=self._left(job)
             )
             if not shares:
                 log.debug("no-bids-received", job=name, bids=len(bids))
@@ -353,14 +354,14 @@
         waited = max(clock.ZERO, clock.wall() - job.submitted_at)
         theirs = bidder.estimate(job, now)
         ask = BidRequest(
-            job.id,
-            len(self._peers.links) + 1,
-            ranges.size(unplaced),
-            job.spec,
-            partition,
-            theirs,
-            average,
-            waited,
+            job=job.id,
+            requests=len(self._peers.links) + 1,
+            tasks=ranges.size(unplaced),
+            spec=job.spec,
+            from_partition=partition,
+            requester_response=theirs,
+            requester_average=average,
+            waited=waited,
         )
         bids = await self.gather(ask)
         if not bids:
@@ -375,7 +376,8 @@
         unplaced = leader.queue.unplaced(job)
         # Those that would begin here sooner than the best bidder could have them stay.
         soonest = (
-            min(casa.response(bid, operator.omega) for bid in bids) - job.spec.expected_duration
+            min(casa.response_time(bid, operator.omega) for bid in bids)
+            - job.spec.expected_duration
         )
         stay = sum(1 for start in bidder.starts(job) if start <= soonest.total_seconds())
         if job.spec.gang:
@@ -405,7 +407,7 @@
         without = job.with_partition(
             partition, ranges.minus(job.allocation.get(partition, ()), unplaced)
         )
-        shares = casa.allocate(without, bids, operator.omega, self._rng, left=self._left(job))
+        shares = casa.allocate(without, bids, operator.omega, self._rng, time_left=self._left(job))
         shares.pop(partition, None)
         if not shares:
             return True
@@ -452,8 +454,8 @@
             bids=" ".join(self._describe(bid) for bid in bids),
         )
         tell = {bid.controller for bid in bids if bid.partition in chosen}
-        body = messages.pack_assign(job.id, cbor2.dumps(value), revision)
-        revoke = messages.pack_revoke(job.id)
+        body = messages.Assignment(job.id, cbor2.dumps(value), revision).pack()
+        revoke = messages.Revocation(job.id).pack()
         for shadow in self._shadows.values():
             shadow.revoke(job.id)
         async with trio.open_nursery() as nursery:
@@ -468,7 +470,7 @@
 
     def _describe(self, bid: Bid) -> str:
         """A bid as the log shows it: partition, response time, tasks to start now, tasks in all."""
-        seconds = casa.response(bid, self._context.operator.omega).total_seconds()
+        seconds = casa.response_time(bid, self._context.operator.omega).total_seconds()
         return f"{bid.partition}:{seconds:.1f}/{bid.startable_now}/{bid.capacity}"
 
     async def _say(self, link: Link, kind: int, payload: bytes) -> None:
--- a/roadbend/bidding/responder.py
+++ b/roadbend/bidding/responder.py
@@ -17,17 +17,6 @@
 from roadbend.store import ranges
 from roadbend.store.records import Job, JobSpec
 
-# The load of a task whose run time nobody gave.
-UNKNOWN = timedelta(seconds=60)
-
-
-def length(spec: JobSpec) -> timedelta:
-    return UNKNOWN if spec.expected_duration <= clock.ZERO else spec.expected_duration
-
-
-def job_load(spec: JobSpec, tasks: int) -> float:
-    return spec.resources.cpus * length(spec).total_seconds() * tasks
-
 
 def fetch_time(spec: JobSpec, machine_type: MachineType | None) -> timedelta:
     return (
@@ -97,18 +86,18 @@
                 if self._cached(job, ready)
                 else fetch_time(spec, self._fastest(job, ready))
             )
-        load = sum(job_load(item.job.spec, item.count) for item in queue)
+        load = sum(casa.job_load(item.job.spec, item.count) for item in queue)
         bid = Bid(
-            leader.partition,
-            self._controller,
-            spec.expected_duration + fetch + timedelta(seconds=wait),
-            casa.load_time(load, cores),
-            casa.load_time(self._shadow.load(now), cores),
-            now_count,
-            capacity,
+            partition=leader.partition,
+            controller=self._controller,
+            job_time=spec.expected_duration + fetch + timedelta(seconds=wait),
+            queue_time=casa.load_time(load, cores),
+            shadow_time=casa.load_time(self._shadow.load(now), cores),
+            startable_now=now_count,
+            capacity=capacity,
         )
         self._shadow.add(
-            ask.job, job_load(spec, min(ask.free, max(1, capacity))), ask.requests, now
+            ask.job, casa.job_load(spec, min(ask.tasks, max(1, capacity))), ask.requests, now
         )
         return bid
 
@@ -206,11 +195,11 @@
             if o.machine_type.name not in dear
         ]
         item = placing.PendingTasks(job, ((0, 1),), False)
-        option = renting.cheapest(item, choices, leader.partition, ask.free)
+        option = renting.cheapest(item, choices, leader.partition, ask.tasks)
         if option is None:
             return None
-        price = renting.cost(item, option, leader.partition, ask.free)
-        least = renting.least_cost(item, machine_types, ask.free)
+        price = renting.cost(item, option, leader.partition, ask.tasks)
+        least = renting.least_cost(item, machine_types, ask.tasks)
         if price > least * operator.dear and ask.waited < operator.dear_wait:
             return None
         places = renting.empty_room("", option, leader.partition).count(job.spec.resources)
--- a/roadbend/bidding/test_casa.py
+++ b/roadbend/bidding/test_casa.py
@@ -16,7 +16,15 @@
 
 
 def bid(partition, seconds, now=0, capacity=10, queue=0.0, shadow=0.0):
-    return Bid(partition, f"node-{partition}", seconds * S, queue * S, shadow * S, now, capacity)
+    return Bid(
+        partition=partition,
+        controller=f"node-{partition}",
+        job_time=seconds * S,
+        queue_time=queue * S,
+        shadow_time=shadow * S,
+        startable_now=now,
+        capacity=capacity,
+    )
 
 
 def made(**changes) -> Job:
@@ -29,11 +37,11 @@
     count = Counter(casa.draw(bids, 1.0, rng).partition for _ in range(6000))
     # Weights 1/10, 1/30, 1/60.
     assert abs(count["a"] / 6000 - 6 / 9) < 0.02 and abs(count["b"] / 6000 - 2 / 9) < 0.02
-    assert casa.response(bids[2], 0.0) == 50 * S and casa.response(bids[2], 0.5) == 55 * S
+    assert casa.response_time(bids[2], 0.0) == 50 * S and casa.response_time(bids[2], 0.5) == 55 * S
     assert casa.draw([], 1.0, rng) is None
 
 
-def test_a_part_that_can_start_now_wins_over_a_faster_promise():
+def test_a_partition_that_can_start_now_wins_over_a_faster_promise():
     for seed in range(50):
         shares = casa.allocate(
             made(legs=1), [bid("a", 1), bid("b", 500, now=1)], 1.0, random.Random(seed)
@@ -75,7 +83,7 @@
 
 
 def test_promises_count_by_requests_sent_and_expire_by_themselves():
-    shadow, now = Promises(timedelta(seconds=2), most=3), clock.ORIGIN
+    shadow, now = Promises(timedelta(seconds=2), max_promises=3), clock.ORIGIN
     shadow.add("x", 90.0, 3, now)
     shadow.add("y", 60.0, 3, now)
     assert shadow.load(now) == 50.0
@@ -87,11 +95,11 @@
     assert shadow.load(now) == 3.0
 
 
-def test_both_tests_of_reoffering():
-    assert casa.accepts_reoffer(5 * S, 6 * S, 1 * S, 2 * S, 1.0)
-    assert not casa.accepts_reoffer(6 * S, 6 * S, 1 * S, 2 * S, 1.0)
-    assert not casa.accepts_reoffer(5 * S, 6 * S, 2 * S, 2 * S, 1.0)
-    assert not casa.accepts_reoffer(5 * S, 6 * S, 1 * S, 2 * S, 2.0)
+def test_both_tests_of_rescheduling():
+    assert casa.accepts_reschedule(5 * S, 6 * S, 1 * S, 2 * S, 1.0)
+    assert not casa.accepts_reschedule(6 * S, 6 * S, 1 * S, 2 * S, 1.0)
+    assert not casa.accepts_reschedule(5 * S, 6 * S, 2 * S, 2 * S, 1.0)
+    assert not casa.accepts_reschedule(5 * S, 6 * S, 1 * S, 2 * S, 2.0)
 
 
 def test_average_queuing_takes_waiters_first_then_the_executed():
@@ -104,10 +112,22 @@
 def test_frames_of_the_bidding_come_back_as_they_went():
     _, spec = read_submission(job(1, rigs=["g2", "ümlaut"], yard="east", due=None))
     for ask in (
-        messages.BidRequest("run-1", 3, 7, spec),
-        messages.BidRequest("run-1", 3, 7, spec, "east", 5 * S, 2 * S, 9 * S),
+        messages.BidRequest(job="run-1", requests=3, tasks=7, spec=spec),
+        messages.BidRequest(
+            job="run-1",
+            requests=3,
+            tasks=7,
+            spec=spec,
+            from_partition="east",
+            requester_response=5 * S,
+            requester_average=2 * S,
+            waited=9 * S,
+        ),
     ):
         assert messages.BidRequest.unpack(ask.pack()) == ask
     bids = [bid("a", 1.5, now=2), bid("b", 0)]
     assert messages.unpack_bids(messages.pack_bids(bids)) == bids
-    assert messages.unpack_assign(messages.pack_assign("run-1", b"xyz", 9)) == ("run-1", b"xyz", 9)
+    assignment = messages.Assignment("run-1", b"xyz", 9)
+    assert messages.Assignment.unpack(assignment.pack()) == assignment
+    revocation = messages.Revocation("run-1")
+    assert messages.Revocation.unpack(revocation.pack()) == revocation
--- a/roadbend/test_upgrade.py
+++ b/roadbend/test_upgrade.py
@@ -138,9 +138,28 @@
     60 * S,
     ("run-1", "run-2"),
 )
-ASK = BidRequest("run-1", 3, 9, SPEC, waited=2 * S)
-AGAIN = BidRequest("run-1", 3, 9, SPEC, "east", 7 * S, 3 * S, 40 * S)
-BIDS = [Bid("east", "node-0", 20 * S, 3 * S, 1 * S, 4, 12)]
+ASK = BidRequest(job="run-1", requests=3, tasks=9, spec=SPEC, waited=2 * S)
+AGAIN = BidRequest(
+    job="run-1",
+    requests=3,
+    tasks=9,
+    spec=SPEC,
+    from_partition="east",
+    requester_response=7 * S,
+    requester_average=3 * S,
+    waited=40 * S,
+)
+BIDS = [
+    Bid(
+        partition="east",
+        controller="node-0",
+        job_time=20 * S,
+        queue_time=3 * S,
+        shadow_time=1 * S,
+        startable_now=4,
+        capacity=12,
+    )
+]
 
 
 def test_frames_are_written_as_production_writes_them_and_its_frames_are_read():
@@ -154,12 +173,12 @@
         ),
         "request": frames.pack(frames.REQUEST, 4, ASK.pack()),
         "request-service": frames.pack(
-            frames.REQUEST, 4, BidRequest("run-2", 3, 4, SERVICE).pack()
+            frames.REQUEST, 4, BidRequest(job="run-2", requests=3, tasks=4, spec=SERVICE).pack()
         ),
         "inform": frames.pack(frames.INFORM, 5, AGAIN.pack()),
         "bids": frames.pack(frames.REQUEST | frames.REPLY, 4, messages.pack_bids(BIDS)),
-        "assign": frames.pack(frames.ASSIGN, 6, messages.pack_assign("run-1", b"\xa0", 77)),
-        "revoke": frames.pack(frames.REVOKE, 0, messages.pack_revoke("run-1")),
+        "assign": frames.pack(frames.ASSIGN, 6, messages.Assignment("run-1", b"\xa0", 77).pack()),
+        "revoke": frames.pack(frames.REVOKE, 0, messages.Revocation("run-1").pack()),
     }
     assert {name: data.hex() for name, data in made.items()} == FRAMES
     read = {
@@ -171,13 +190,8 @@
         BidRequest.unpack(read["inform"]) == AGAIN
         and BidRequest.unpack(read["request-service"]).spec == SERVICE
     )
-    assert messages.unpack_bids(read["bids"]) == BIDS and messages.unpack_assign(
-        read["assign"]
-    ) == (
-        "run-1",
-        b"\xa0",
-        77,
-    )
+    assert messages.unpack_bids(read["bids"]) == BIDS
+    assert messages.Assignment.unpack(read["assign"]) == messages.Assignment("run-1", b"\xa0", 77)
     assert not read["ping"].endswith(b"+gangs")
 
 
