--- a/roadbend/intake/test_intake.py
+++ b/roadbend/intake/test_intake.py
@@ -6,6 +6,7 @@
 import trio
 
 from roadbend.autoscaler.cloud import read_machine_types
+from roadbend.fakes import user
 from roadbend.fakes.submission import job
 from roadbend.fakes.world import MACHINE_TYPE, settings_for, world
 from roadbend.http.server import MalformedError
@@ -117,6 +118,20 @@
         can_run(read_submission(job(1, **change))[1], settings.teams, machine_types)
 
 
+@pytest.mark.parametrize("options", [["--tasks", "4", "--seconds", "10"], ["--service"]], ids=str)
+async def test_what_the_readmes_submit_command_sends_is_accepted(options):
+    """The command left out `together` and `apart` once, and got 400."""
+    arguments = user.parser().parse_args(["127.0.0.1:18080", "submit", "run-000001", *options])
+    body = user.submission(arguments)
+    name, spec = read_submission(body)
+    assert name == "run-000001" and spec.service == arguments.service
+    assert spec.task_count == arguments.tasks and not spec.together and not spec.apart
+    async with world() as w:
+        answer = await w.call(0, "POST", "/v1/jobs", body)
+        assert answer == (201, {"id": "run-000001", "status": "pending"})
+        assert await w.until(lambda: w.board.running("run-000001"), 60)
+
+
 async def test_the_interface_answers_what_it_cannot_take():
     async with world() as w:
         assert (await w.call(0, "POST", "/v1/jobs", {"id": "run-1"}))[0] == 400
