--- a/roadbend/recovery/partition.py
+++ b/roadbend/recovery/partition.py
@@ -221,11 +221,11 @@
     def _log_phase(self, now: datetime) -> None:
         evidence = self.machines.evidence(self.lost_writes)
         log.info(
-            "recovery-phase-ended",
+            "recovery-phase-entered",
             partition=self.leader.partition,
             term=self.leader.leadership.term,
             phase=self.phase.name,
-            lasted_s=f"{(now - self.phase.since).total_seconds():.1f}",
+            elapsed_s=f"{(now - self.phase.since).total_seconds():.1f}",
             heard=len(evidence.heard),
             expected=len(evidence.expected),
             lost_writes=self.lost_writes,
--- a/roadbend/test_house.py
+++ b/roadbend/test_house.py
@@ -18,13 +18,13 @@
 
 def awaits_under_a_lock(tree: ast.AST) -> list[int]:
     found = []
-    for controller in ast.walk(tree):
-        if isinstance(controller, ast.With) and any(
-            "lock" in ast.unparse(item.context_expr) for item in controller.items
+    for node in ast.walk(tree):
+        if isinstance(node, ast.With) and any(
+            "lock" in ast.unparse(item.context_expr) for item in node.items
         ):
             found += [
                 n.lineno
-                for n in ast.walk(controller)
+                for n in ast.walk(node)
                 if isinstance(n, ast.Await | ast.AsyncWith | ast.AsyncFor)
             ]
     return found
