--- a/roadbend/autoscaler/policy.py
+++ b/roadbend/autoscaler/policy.py
@@ -7,7 +7,8 @@
 
 from roadbend.autoscaler.cloud import MachineType
 from roadbend.placement.forecast import MachineTimeline, ScheduleProjection, StartCandidates
-from roadbend.placement.policy import FreeCapacity, PendingTasks, allowed, least_of
+from roadbend.placement.free_capacity import FreeCapacity, allowed, min_resources
+from roadbend.placement.queue_order import PendingTasks
 from roadbend.store.records import Job
 
 # Rounds of an array's tasks over which a machine's boot and first fetch are written off.
@@ -211,7 +212,7 @@
     share it."""
     out: dict[tuple[str, bool], int] = {}
     schedule = ScheduleProjection(
-        timelines, least_of(timing.item.job.spec.resources for timing in queue)
+        timelines, min_resources(timing.item.job.spec.resources for timing in queue)
     )
     alike: dict[object, int] = {}
     for timing in queue:
--- a/roadbend/autoscaler/scale_in.py
+++ b/roadbend/autoscaler/scale_in.py
@@ -7,7 +7,7 @@
 from roadbend.autoscaler.cloud import MAX_NAMES, Cloud, Still
 from roadbend.fleet.machines import Machine
 from roadbend.log import Log
-from roadbend.placement import policy as placing
+from roadbend.placement import free_capacity
 from roadbend.placement.context import ControllerContext
 from roadbend.placement.leader import PartitionLeader
 from roadbend.store.records import Job
@@ -96,7 +96,7 @@
 
     def _warm_places(self, leader: PartitionLeader, machine: Machine, model: Job | None) -> int:
         """How many places of warm room an empty machine is."""
-        if model is None or not placing.allowed(
+        if model is None or not free_capacity.allowed(
             model, machine.machine_type, machine.zone, machine.spot
         ):
             return 0
@@ -120,8 +120,11 @@
                 if places <= 0:
                     break
                 machine = leader.machines[name]
-                if machine.machine_type not in self._context.machine_types or not placing.allowed(
-                    item.job, machine.machine_type, machine.zone, machine.spot
+                if (
+                    machine.machine_type not in self._context.machine_types
+                    or not free_capacity.allowed(
+                        item.job, machine.machine_type, machine.zone, machine.spot
+                    )
                 ):
                     continue
                 places -= self._places(leader, machine, item.job)
--- a/roadbend/autoscaler/service.py
+++ b/roadbend/autoscaler/service.py
@@ -23,9 +23,11 @@
 from roadbend.http.server import MalformedError
 from roadbend.log import Log
 from roadbend.placement import forecast
-from roadbend.placement import policy as placing
 from roadbend.placement.context import ControllerContext
+from roadbend.placement.free_capacity import FreeCapacity
 from roadbend.placement.leader import PartitionLeader
+from roadbend.placement.queue_order import PendingTasks
+from roadbend.placement.quota_allowance import QuotaAllowance, QuotaAmount
 from roadbend.placement.quotas import within
 from roadbend.retry import Backoff, drawn
 from roadbend.store import keys
@@ -200,9 +202,7 @@
             if p == partition and row.until > now
         }
 
-    def booting_capacities(
-        self, leader: PartitionLeader, now: datetime
-    ) -> list[placing.FreeCapacity]:
+    def booting_capacities(self, leader: PartitionLeader, now: datetime) -> list[FreeCapacity]:
         out = []
         for boot in self._boots.get(leader.partition, {}).values():
             machine_type = self._context.machine_types.get(boot.machine_type)
@@ -252,9 +252,7 @@
                 model, self._context.machine_types.values(), operator.dear, partition
             )
             fit = [o for o in choices if o.machine_type.name not in dear]
-            option = policy.cheapest(
-                placing.PendingTasks(model, ((0, 1),), True), fit, partition, keep
-            )
+            option = policy.cheapest(PendingTasks(model, ((0, 1),), True), fit, partition, keep)
             if option is not None and not any(
                 machine_type == option.machine_type.name and not spot for machine_type, spot in want
             ):
@@ -307,9 +305,7 @@
                 boots.pop(name, None)
                 leader.gone(name, "deleted")
 
-    def _timed(
-        self, leader: PartitionLeader, queue: list[placing.PendingTasks]
-    ) -> list[policy.Timing]:
+    def _timed(self, leader: PartitionLeader, queue: list[PendingTasks]) -> list[policy.Timing]:
         out, wall, operator = [], clock.wall(), self._context.operator
         boot = max(
             (machine_type.startup for machine_type in self._context.machine_types.values()),
@@ -337,18 +333,18 @@
         return out
 
     def _within_limits(
-        self, leader: PartitionLeader, left: list[placing.PendingTasks]
-    ) -> list[placing.PendingTasks]:
+        self, leader: PartitionLeader, left: list[PendingTasks]
+    ) -> list[PendingTasks]:
         """Nothing is hired for tasks that their team's limit keeps waiting anyway."""
 
-        def capacity(team: str) -> tuple[float, float] | None:
+        def capacity(team: str) -> QuotaAmount | None:
             most = self._context.most_for(team, leader.partition)
             if most is None:
                 return None
             used = self._context.view.usage.get(leader.partition, {}).get(team, (0.0, 0.0))
-            return most[0] - used[0], most[1] - used[1]
+            return QuotaAmount(most[0] - used[0], most[1] - used[1])
 
-        return within(placing.QuotaAllowance(capacity), left)
+        return within(QuotaAllowance(capacity), left)
 
     async def _rent_all(
         self, leader: PartitionLeader, machine_type: str, spot: bool, count: int
--- a/roadbend/autoscaler/test_autoscaler.py
+++ b/roadbend/autoscaler/test_autoscaler.py
@@ -12,7 +12,7 @@
 from roadbend.fakes.world import MACHINE_TYPE
 from roadbend.http.server import MalformedError
 from roadbend.placement.forecast import MachineTimeline
-from roadbend.placement.policy import FreeCapacity
+from roadbend.placement.free_capacity import FreeCapacity
 from roadbend.placement.test_placement import pending
 from roadbend.store.records import Resources
 
--- a/roadbend/autoscaler/warm_pool.py
+++ b/roadbend/autoscaler/warm_pool.py
@@ -4,8 +4,9 @@
 
 from roadbend import clock
 from roadbend.autoscaler import policy
-from roadbend.placement import policy as placing
+from roadbend.placement import free_capacity
 from roadbend.placement.context import ControllerContext
+from roadbend.placement.free_capacity import FreeCapacity
 from roadbend.placement.leader import PartitionLeader
 from roadbend.store.records import Job
 
@@ -61,9 +62,7 @@
             operator.spare_most,
         )
 
-    def available(
-        self, leader: PartitionLeader, model: Job, fresh: list[placing.FreeCapacity]
-    ) -> int:
+    def available(self, leader: PartitionLeader, model: Job, fresh: list[FreeCapacity]) -> int:
         """Places that are free, or that work which may be stopped for it holds."""
         index, have = leader.by_machine(), 0
         dear = policy.expensive_machine_types(
@@ -74,7 +73,9 @@
         )
         for capacity in leader.capacities() + [replace(capacity) for capacity in fresh]:
             if (
-                not placing.allowed(model, capacity.machine_type, capacity.zone, capacity.spot)
+                not free_capacity.allowed(
+                    model, capacity.machine_type, capacity.zone, capacity.spot
+                )
                 or capacity.machine_type in dear
             ):
                 continue
--- a/roadbend/bidding/responder.py
+++ b/roadbend/bidding/responder.py
@@ -9,10 +9,10 @@
 from roadbend.bidding import casa
 from roadbend.bidding.casa import Bid, Promises
 from roadbend.bidding.messages import BidRequest
-from roadbend.placement import forecast
-from roadbend.placement import policy as placing
+from roadbend.placement import forecast, free_capacity
+from roadbend.placement.free_capacity import FreeCapacity
 from roadbend.placement.leader import PartitionLeader
-from roadbend.placement.policy import FreeCapacity
+from roadbend.placement.queue_order import PendingTasks
 from roadbend.placement.queue_projection import QueueProjection
 from roadbend.store import ranges
 from roadbend.store.records import Job, JobSpec
@@ -128,7 +128,7 @@
             leader.context.machine_types.values(), leader.partition, self._closed()
         )
         option = renting.cheapest(
-            placing.PendingTasks(job, ((0, 1),), False),
+            PendingTasks(job, ((0, 1),), False),
             choices,
             leader.partition,
             job.spec.task_count,
@@ -180,7 +180,7 @@
         return sum(
             capacity.count(job.spec.resources)
             for capacity in capacities
-            if placing.allowed(job, capacity.machine_type, capacity.zone, capacity.spot)
+            if free_capacity.allowed(job, capacity.machine_type, capacity.zone, capacity.spot)
             and capacity.id not in self._leader.avoid.get(job.id, ())
         )
 
@@ -205,7 +205,7 @@
             for o in renting.options(machine_types, leader.partition, self._closed())
             if o.machine_type.name not in dear
         ]
-        item = placing.PendingTasks(job, ((0, 1),), False)
+        item = PendingTasks(job, ((0, 1),), False)
         option = renting.cheapest(item, choices, leader.partition, ask.free)
         if option is None:
             return None
--- a/roadbend/placement/context.py
+++ b/roadbend/placement/context.py
@@ -10,7 +10,7 @@
 from roadbend.autoscaler.cloud import MachineType
 from roadbend.observer import Observer
 from roadbend.partitions.election import LeaderElection
-from roadbend.placement import policy
+from roadbend.placement import quota_allowance
 from roadbend.placement.recovery_hooks import Recovery
 from roadbend.settings import OperatorSettings, PlatformSettings
 from roadbend.store.client import StateStoreClient
@@ -174,7 +174,9 @@
         if most is None:
             return 0
         used = self.view.usage.get(partition, {}).get(spec.team, (0.0, 0.0))
-        return policy.fits_in((most[0] - used[0], most[1] - used[1]), spec.resources)
+        return quota_allowance.tasks_within(
+            quota_allowance.QuotaAmount(most[0] - used[0], most[1] - used[1]), spec.resources
+        )
 
 
 def within_guarantee(jobs: Iterable[Job], settings: PlatformSettings) -> set[str]:
--- a/roadbend/placement/forecast.py
+++ b/roadbend/placement/forecast.py
@@ -7,7 +7,13 @@
 from dataclasses import dataclass, field
 from datetime import timedelta
 
-from roadbend.placement.policy import EPS, FreeCapacity, PendingTasks, allowed, least_of
+from roadbend.placement.free_capacity import (
+    RESOURCE_TOLERANCE,
+    FreeCapacity,
+    allowed,
+    min_resources,
+)
+from roadbend.placement.queue_order import PendingTasks
 from roadbend.store.records import Job, Resources
 
 NEVER = float("inf")
@@ -29,9 +35,9 @@
     def earliest(self, resources: Resources) -> float:
         capacity, want_cpus, want_gpus, want_memory = (
             self.capacity,
-            resources.cpus - EPS,
-            resources.gpus - EPS,
-            resources.memory - EPS,
+            resources.cpus - RESOURCE_TOLERANCE,
+            resources.gpus - RESOURCE_TOLERANCE,
+            resources.memory - RESOURCE_TOLERANCE,
         )
         cpus, gpus, memory = capacity.cpus, capacity.gpus, capacity.memory
         if want_cpus <= cpus and want_gpus <= gpus and want_memory <= memory:
@@ -183,7 +189,9 @@
     """Lays the queue on the machines, at most so many tasks of it; when each job's tasks would
     begin."""
     starts: dict[str, list[float]] = {}
-    schedule = ScheduleProjection(timelines, least_of(item.job.spec.resources for item in queue))
+    schedule = ScheduleProjection(
+        timelines, min_resources(item.job.spec.resources for item in queue)
+    )
     for item in queue:
         if most <= 0:
             break
--- a/roadbend/placement/gang_reservations.py
+++ b/roadbend/placement/gang_reservations.py
@@ -8,8 +8,9 @@
 from typing import TYPE_CHECKING
 
 from roadbend.log import Log
-from roadbend.placement import policy
-from roadbend.placement.policy import FreeCapacity, PendingTasks
+from roadbend.placement import free_capacity
+from roadbend.placement.free_capacity import FreeCapacity
+from roadbend.placement.queue_order import PendingTasks
 
 if TYPE_CHECKING:
     from roadbend.placement.leader import PartitionLeader
@@ -78,7 +79,7 @@
 def places_on(leader: PartitionLeader, item: PendingTasks, capacity: FreeCapacity) -> int:
     """How many tasks of a gang fit on a machine once all that ends by itself has ended."""
     job = item.job
-    if not policy.allowed(job, capacity.machine_type, capacity.zone, capacity.spot):
+    if not free_capacity.allowed(job, capacity.machine_type, capacity.zone, capacity.spot):
         return 0
     trial = FreeCapacity(
         capacity.id,
--- a/roadbend/placement/gangs.py
+++ b/roadbend/placement/gangs.py
@@ -12,7 +12,8 @@
 from roadbend.fleet.machines import ObservedTask
 from roadbend.log import Log
 from roadbend.placement import apart_gangs
-from roadbend.placement.policy import PendingTasks, Placed
+from roadbend.placement.bin_packing import Placement
+from roadbend.placement.queue_order import PendingTasks
 from roadbend.store import ranges
 from roadbend.store.ranges import Ranges
 from roadbend.store.record_view import JobSlice
@@ -84,8 +85,8 @@
 
 
 def first_share(
-    leader: PartitionLeader, transaction: TransactionBuilder, rows: list[Placed]
-) -> list[Placed]:
+    leader: PartitionLeader, transaction: TransactionBuilder, rows: list[Placement]
+) -> list[Placement]:
     """The tasks of a gang that go into the transaction in the making: all of them where one can
     hold them, else as many as there is room for now. The next transactions record the rest under
     the same attempt number, and the tasks wait for each other on their machines."""
--- a/roadbend/placement/leader.py
+++ b/roadbend/placement/leader.py
@@ -16,11 +16,12 @@
 from roadbend.fleet.terminations import TaskKey, Termination, Terminations
 from roadbend.log import Log
 from roadbend.partitions.election import Leadership
-from roadbend.placement import ends, gangs, policy, quotas, starts
+from roadbend.placement import ends, gangs, quotas, starts
 from roadbend.placement.context import ControllerContext
+from roadbend.placement.free_capacity import RESOURCE_TOLERANCE, FreeCapacity
 from roadbend.placement.heartbeats import HeartbeatHandler
 from roadbend.placement.pending_queue import PendingQueue
-from roadbend.placement.policy import FreeCapacity, PendingTasks
+from roadbend.placement.queue_order import PendingTasks
 from roadbend.placement.queue_projection import QueueProjections
 from roadbend.placement.recovery_hooks import PartitionRecovery
 from roadbend.placement.transaction import TransactionBuilder
@@ -156,9 +157,9 @@
                     memory + resources.memory,
                 )
             if least is not None and (
-                least.gpus > gpus + policy.EPS
-                or least.cpus > cpus + policy.EPS
-                or least.memory > memory + policy.EPS
+                least.gpus > gpus + RESOURCE_TOLERANCE
+                or least.cpus > cpus + RESOURCE_TOLERANCE
+                or least.memory > memory + RESOURCE_TOLERANCE
             ):
                 continue
             out.append(
--- a/roadbend/placement/pending_queue.py
+++ b/roadbend/placement/pending_queue.py
@@ -7,8 +7,8 @@
 from typing import TYPE_CHECKING
 
 from roadbend import clock
-from roadbend.placement import gangs, policy
-from roadbend.placement.policy import PendingTasks
+from roadbend.placement import gangs, queue_order
+from roadbend.placement.queue_order import PendingTasks
 from roadbend.store import ranges
 from roadbend.store.ranges import Ranges
 from roadbend.store.record_view import JobSlice
@@ -83,8 +83,8 @@
                 out.append(PendingTasks(job, tasks, name in sure))
         wall, deadlines = clock.wall(), leader.context.deadlines
         out.sort(
-            key=lambda item: policy.rank(
-                item, policy.lateness(item.job, wall, deadlines(item.job.spec))
+            key=lambda item: queue_order.rank(
+                item, queue_order.lateness(item.job, wall, deadlines(item.job.spec))
             )
         )
         self._queue, self._took = (mark, now, out), clock.now() - now
--- a/roadbend/placement/preemption.py
+++ b/roadbend/placement/preemption.py
@@ -11,8 +11,10 @@
 from roadbend import clock
 from roadbend.fleet.terminations import TaskKey
 from roadbend.log import Log
-from roadbend.placement import gangs, policy
-from roadbend.placement.policy import Clearing, FreeCapacity, PendingTasks, Victim
+from roadbend.placement import free_capacity, gangs, preemption_policy
+from roadbend.placement.free_capacity import RESOURCE_TOLERANCE, FreeCapacity
+from roadbend.placement.preemption_policy import Clearing, RunningTask, Victim
+from roadbend.placement.queue_order import PendingTasks
 from roadbend.placement.transaction import TransactionBuilder
 from roadbend.store.records import Attempt, Job
 
@@ -78,7 +80,8 @@
         # The lowest priority on each machine, and the teams that are beyond their guarantees there.
         self._lowest = {name: min(row.priority for row in rows) for name, rows in running.items()}
         self._beyond = {
-            name: {row.team for row in rows if row.beyond} for name, rows in running.items()
+            name: {victim.team for victim in victims if victim.beyond_guarantee}
+            for name, victims in running.items()
         }
         # Machines that are taken already.
         self.taken: set[str] = set()
@@ -101,12 +104,12 @@
                 and capacity.machine_type not in kept_from
                 and capacity.id not in without_image
             ]
-            found = self._known[kind] = policy.clearings(item, open_to, self._running)
+            found = self._known[kind] = preemption_policy.clearings(item, open_to, self._running)
         return (row for row in found if row[0].id not in self.taken)
 
     def _may_clear(self, item: PendingTasks, machine: str) -> bool:
-        """Whether anything on a machine may be stopped for an item: `policy.may_stop` for all that
-        runs there at once."""
+        """Whether anything on a machine may be stopped for an item: `preemption_policy.may_preempt`
+        for all that runs there at once."""
         spec = item.job.spec
         if self._lowest[machine] < spec.priority:
             return True
@@ -149,7 +152,7 @@
                 beyond,
                 job_slice.team,
                 loss,
-                (key, attempt, job),
+                RunningTask(key, attempt, job),
             )
             running.setdefault(machine, []).append(row)
     return running
@@ -163,7 +166,7 @@
     now: datetime,
 ) -> None:
     for victim in chosen:
-        key, attempt, job = victim.handle
+        key, attempt, job = victim.task
         log.info(
             "task-preempted",
             partition=leader.partition,
@@ -191,7 +194,9 @@
     resources = item.job.spec.resources
     capacities = [capacity for capacity in capacities if capacity.id not in schedule.taken]
     free = {r.id: r.count(resources) for r in capacities if r.id not in leader.reservations}
-    allowed = {r.id for r in capacities if policy.allowed(item.job, r.machine_type, r.zone, r.spot)}
+    allowed = {
+        r.id for r in capacities if free_capacity.allowed(item.job, r.machine_type, r.zone, r.spot)
+    }
     have = sum(count for name, count in free.items() if name in allowed)
     plan: list[Clearing] = []
     for capacity, chosen in islice(schedule.of(item), MAX_PREEMPTED):
@@ -201,7 +206,7 @@
         for victim in chosen:
             trial.give(victim.resources)
         have += max(1, trial.count(resources)) - free.get(capacity.id, 0)
-        plan.append((capacity, chosen))
+        plan.append(Clearing(capacity, chosen))
     if have < item.count:
         return set()
     for capacity, chosen in plan:
@@ -222,8 +227,8 @@
     out = {}
     for team in leader.context.settings.teams.values():
         cpus, gpus = leader.context.view.used_by(team.name)
-        out[team.name] = (team.gpus > 0 and gpus > team.gpus + policy.EPS) or (
-            team.cpus > 0 and cpus > team.cpus + policy.EPS
+        out[team.name] = (team.gpus > 0 and gpus > team.gpus + RESOURCE_TOLERANCE) or (
+            team.cpus > 0 and cpus > team.cpus + RESOURCE_TOLERANCE
         )
     return out
 
--- a/roadbend/placement/queue_projection.py
+++ b/roadbend/placement/queue_projection.py
@@ -9,9 +9,9 @@
 from typing import TYPE_CHECKING
 
 from roadbend import clock
-from roadbend.placement import forecast, policy
+from roadbend.placement import forecast, free_capacity
 from roadbend.placement.forecast import MachineTimeline
-from roadbend.placement.policy import FreeCapacity
+from roadbend.placement.free_capacity import FreeCapacity
 from roadbend.store.records import Job, Resources
 
 if TYPE_CHECKING:
@@ -57,7 +57,7 @@
             counts = [0, 0]
             for timeline in self.timelines:
                 capacity = timeline.capacity
-                if capacity.fits(spec.resources) and policy.allowed(
+                if capacity.fits(spec.resources) and free_capacity.allowed(
                     job, capacity.machine_type, capacity.zone, capacity.spot
                 ):
                     counts[capacity.ready_in > 0] += capacity.count(spec.resources)
--- a/roadbend/placement/quotas.py
+++ b/roadbend/placement/quotas.py
@@ -8,8 +8,9 @@
 
 from roadbend import clock
 from roadbend.log import Log
-from roadbend.placement import policy
-from roadbend.placement.policy import PendingTasks, QuotaAllowance
+from roadbend.placement.free_capacity import RESOURCE_TOLERANCE
+from roadbend.placement.queue_order import PendingTasks
+from roadbend.placement.quota_allowance import QuotaAllowance, QuotaAmount
 from roadbend.placement.transaction import TransactionBuilder
 from roadbend.store import keys
 from roadbend.store.records import Resources
@@ -29,14 +30,14 @@
 
 def team_left(
     leader: PartitionLeader, transaction: TransactionBuilder, team: str
-) -> tuple[float, float] | None:
+) -> QuotaAmount | None:
     """What a team's limit leaves this partition, after what the transaction in the making starts
     and ends."""
     most = leader.context.most_for(team, leader.partition)
     if most is None:
         return None
     used = transaction.used(team)
-    return most[0] - used[0], most[1] - used[1]
+    return QuotaAmount(most[0] - used[0], most[1] - used[1])
 
 
 def within(limits: QuotaAllowance, items: Iterable[PendingTasks]) -> list[PendingTasks]:
@@ -86,7 +87,7 @@
     use = transaction.team(team)
     have = use.partitions.get(leader.partition, (0.0, 0.0))
     bound = [most < float("inf") for most in limits]
-    short = any(b and u > h + policy.EPS for b, u, h in zip(bound, used, have, strict=True))
+    short = any(b and u > h + RESOURCE_TOLERANCE for b, u, h in zip(bound, used, have, strict=True))
     if not transaction.room_for(*record_keys, *([team_key] if short else [])):
         return False
     if short:
@@ -127,11 +128,11 @@
             most < float("inf") and total > 0.75 * most
             for total, most in zip((use.cpus, use.gpus), limits, strict=True)
         )
-        if not pressed and (any(u > policy.EPS for u in used) or name in waiting):
+        if not pressed and (any(u > RESOURCE_TOLERANCE for u in used) or name in waiting):
             continue
         fresh = [min(h, u + w) for h, u, w in zip(have, used, wants, strict=True)]
         if all(
-            h - f <= policy.EPS for h, f in zip(have, fresh, strict=True)
+            h - f <= RESOURCE_TOLERANCE for h, f in zip(have, fresh, strict=True)
         ) or not transaction.room_for(key):
             continue
         leader.reserved_at[name] = now
--- a/roadbend/placement/restrictions.py
+++ b/roadbend/placement/restrictions.py
@@ -3,15 +3,16 @@
 
 from __future__ import annotations
 
-from collections.abc import Container
 from datetime import datetime, timedelta
 from typing import TYPE_CHECKING
 
 from roadbend import clock
 from roadbend.autoscaler import policy as renting
 from roadbend.log import Log
-from roadbend.placement import gang_reservations, policy
-from roadbend.placement.policy import FreeCapacity, PendingTasks
+from roadbend.placement import free_capacity, gang_reservations
+from roadbend.placement.bin_packing import Exclusions
+from roadbend.placement.free_capacity import FreeCapacity
+from roadbend.placement.queue_order import PendingTasks
 from roadbend.store.records import JobSpec
 
 if TYPE_CHECKING:
@@ -40,7 +41,9 @@
         if kind not in known:
             known[kind] = any(
                 capacity.fits(spec.resources)
-                and policy.allowed(item.job, capacity.machine_type, capacity.zone, capacity.spot)
+                and free_capacity.allowed(
+                    item.job, capacity.machine_type, capacity.zone, capacity.spot
+                )
                 for capacity in kept
             )
         if known[kind]:
@@ -122,7 +125,7 @@
     )
 
 
-def bars(leader: PartitionLeader, item: PendingTasks) -> tuple[Container[str], Container[str]]:
+def bars(leader: PartitionLeader, item: PendingTasks) -> Exclusions:
     """Machines and types that an item keeps off: those where its job just failed, and room that is
     being made for other work, which is not filled while its victims go."""
     name = item.job.id
@@ -133,6 +136,7 @@
     if name in leader.lost_on:
         # A machine ignores an order for an attempt that it still holds, ended ones too.
         reserved |= leader.lost_on[name][1]
-    return reserved | leader.avoid.get(name, {}).keys() | leader.without_image.get(
-        name, set()
-    ), leader.withheld_types.get(name, ())
+    return Exclusions(
+        reserved | leader.avoid.get(name, {}).keys() | leader.without_image.get(name, set()),
+        leader.withheld_types.get(name, ()),
+    )
--- a/roadbend/placement/starts.py
+++ b/roadbend/placement/starts.py
@@ -11,14 +11,16 @@
 from roadbend.log import Log
 from roadbend.placement import (
     apart_gangs,
+    bin_packing,
+    free_capacity,
     gang_reservations,
     gangs,
-    policy,
     preemption,
     quotas,
     restrictions,
 )
-from roadbend.placement.policy import Placed, QuotaAllowance
+from roadbend.placement.bin_packing import Placement
+from roadbend.placement.quota_allowance import QuotaAllowance
 from roadbend.placement.transaction import TransactionBuilder
 from roadbend.store.records import Attempt, Job, SliceShard
 
@@ -38,7 +40,7 @@
     # Most machines are full. Only services that must start soon look at those, for what could be
     # cleared there.
     soon = any(leader.context.start_within(item.job.spec) is not None for item in queue)
-    least = None if soon else policy.least_of(item.job.spec.resources for item in queue)
+    least = None if soon else free_capacity.min_resources(item.job.spec.resources for item in queue)
     capacities = leader.capacities(transaction.ended_attempts, least)
     restrictions.hold_back(leader, queue)
     restrictions.image_first(leader, queue, capacities)
@@ -52,7 +54,7 @@
         (ready if gangs.may_start(leader, item.job) else early).append(item)
     yielding = {item.job.id for item in ready if quotas.yields(leader, item, overdue)}
     restrictions.note_passed_over(leader, ready, yielding, capacities, now)
-    placed, left, more = policy.place(
+    placed, left, more = bin_packing.place(
         gangs.filling_first(
             leader,
             [
@@ -85,10 +87,10 @@
     return more
 
 
-def grouped(leader: PartitionLeader, placed: list[Placed]) -> list[list[Placed]]:
+def grouped(leader: PartitionLeader, placed: list[Placement]) -> list[list[Placement]]:
     """What was placed, by job and shard. The tasks of a gang stay together, whatever shards they
     are in."""
-    groups: dict[tuple[str, int], list[Placed]] = {}
+    groups: dict[tuple[str, int], list[Placement]] = {}
     for item, task_index, capacity in placed:
         name, shard = item.job.id, -1
         if not item.job.spec.gang:
@@ -98,12 +100,12 @@
                 if job_slice is None
                 else job_slice.shard_of(task_index, leader.width)
             )
-        groups.setdefault((name, shard), []).append((item, task_index, capacity))
+        groups.setdefault((name, shard), []).append(Placement(item, task_index, capacity))
     return list(groups.values())
 
 
 def record_start(
-    leader: PartitionLeader, transaction: TransactionBuilder, rows: list[Placed], now: datetime
+    leader: PartitionLeader, transaction: TransactionBuilder, rows: list[Placement], now: datetime
 ) -> bool:
     """Puts the starts of one group into the transaction; False where it has no room for all."""
     job = rows[0][0].job
@@ -161,7 +163,7 @@
 
 
 def fill(
-    leader: PartitionLeader, transaction: TransactionBuilder, job: Job, rows: list[Placed]
+    leader: PartitionLeader, transaction: TransactionBuilder, job: Job, rows: list[Placement]
 ) -> list[SliceShard]:
     """The slices with the new attempts; a gang's tasks have one attempt number."""
     job_slice, pieces = leader.job_slices().get(job.id), {}
--- a/roadbend/placement/test_placement.py
+++ b/roadbend/placement/test_placement.py
@@ -7,12 +7,15 @@
 from roadbend import clock
 from roadbend.fakes.submission import job
 from roadbend.fakes.world import settings_for
+from roadbend.fleet.terminations import TaskKey
 from roadbend.intake.messages import read_submission
-from roadbend.placement import forecast, policy
+from roadbend.placement import bin_packing, forecast, free_capacity, preemption_policy, queue_order
 from roadbend.placement.context import within_guarantee
 from roadbend.placement.forecast import MachineTimeline
-from roadbend.placement.policy import FreeCapacity, PendingTasks, Victim
-from roadbend.store.records import Job, Resources
+from roadbend.placement.free_capacity import FreeCapacity
+from roadbend.placement.preemption_policy import RunningTask, Victim
+from roadbend.placement.queue_order import PendingTasks
+from roadbend.store.records import Attempt, Job, Resources
 
 TOTAL = Resources(24, 2, 144)
 
@@ -28,12 +31,21 @@
     name, cpus=24.0, gpus=2.0, memory=144.0, spot=False, images=(), **more
 ) -> FreeCapacity:
     return FreeCapacity(
-        name, "g2", "east", spot, cpus, gpus, memory, frozenset(images), TOTAL, **more
+        id=name,
+        machine_type="g2",
+        zone="east",
+        spot=spot,
+        cpus=cpus,
+        gpus=gpus,
+        memory=memory,
+        images=frozenset(images),
+        total=TOTAL,
+        **more,
     )
 
 
 def best(job, capacities):
-    return next((capacity.id for capacity in policy.suitable(job, capacities)), None)
+    return next((capacity.id for capacity in bin_packing.suitable(job, capacities)), None)
 
 
 def test_the_image_leads_then_the_least_scrap():
@@ -67,16 +79,26 @@
         pending(4, rank="production", dueS=None),
         pending(5, rank="best_effort", dueS=1.0),
     ]
-    assert [p.job.id[-1] for p in sorted(rows, key=policy.rank)] == ["4", "3", "2", "1", "5"]
+    assert [p.job.id[-1] for p in sorted(rows, key=queue_order.rank)] == ["4", "3", "2", "1", "5"]
 
 
 def victim(name, priority, loss, beyond=False) -> Victim:
-    return Victim(Resources(8, 1, 40), priority, beyond, "blue", loss, name)
+    task = RunningTask(TaskKey(name, 0), Attempt(1, "a"), pending().job)
+    return Victim(
+        resources=Resources(8, 1, 40),
+        priority=priority,
+        beyond_guarantee=beyond,
+        team="blue",
+        loss=loss,
+        task=task,
+    )
 
 
 def stopped(item, capacities, running):
-    found = policy.clearings(item, capacities, running)
-    return (found[0][0].id, [row.handle for row in found[0][1]]) if found else None
+    found = preemption_policy.clearings(item, capacities, running)
+    if not found:
+        return None
+    return found[0].capacity.id, [victim.task.key.job for victim in found[0].victims]
 
 
 def test_work_that_cannot_be_in_time_goes_behind_work_that_can_and_every_part_judges_alike():
@@ -87,14 +109,18 @@
         return [
             item.job.id
             for item in sorted(
-                items, key=lambda i: policy.rank(i, policy.lateness(i.job, wall, times))
+                items, key=lambda i: queue_order.rank(i, queue_order.lateness(i.job, wall, times))
             )
         ]
 
     lost = pending(1, age=200, expectedS=20.0, dueS=100.0)
     second = pending(2, age=90, expectedS=20.0, dueS=100.0)
     first = pending(3, age=10, expectedS=20.0, dueS=100.0)
-    assert [policy.lateness(item.job, wall, times) for item in (lost, second, first)] == [2, 1, 0]
+    assert [queue_order.lateness(item.job, wall, times) for item in (lost, second, first)] == [
+        2,
+        1,
+        0,
+    ]
     assert order(lost, second, first) == ["run-000003", "run-000002", "run-000001"]
     # What has begun nothing for long, and what is within its team's guarantee, still goes first.
     overdue = PendingTasks(lost.job, lost.tasks, False, True)
@@ -104,7 +130,7 @@
         "run-000003",
     ]
     # Nothing but the job itself and the time of day is asked: partitions can't disagree about it.
-    assert policy.lateness(pending(5, age=500, dueS=None).job, wall, times) == 0
+    assert queue_order.lateness(pending(5, age=500, dueS=None).job, wall, times) == 0
 
 
 def test_only_lesser_work_or_work_beyond_anothers_guarantee_is_stopped():
@@ -174,7 +200,7 @@
             rows = []
             for n, timeline in enumerate(timelines):
                 start = timeline.earliest(spec.resources)
-                if start < forecast.NEVER and policy.allowed(
+                if start < forecast.NEVER and free_capacity.allowed(
                     item.job,
                     timeline.capacity.machine_type,
                     timeline.capacity.zone,
--- a/roadbend/recovery/adoption.py
+++ b/roadbend/recovery/adoption.py
@@ -8,8 +8,8 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
-from roadbend.placement import policy as placing
 from roadbend.placement import quotas
+from roadbend.placement.free_capacity import RESOURCE_TOLERANCE
 from roadbend.placement.transaction import TransactionBuilder
 from roadbend.recovery.judgement import Judgement
 from roadbend.recovery.pace import AdaptiveBound
@@ -101,8 +101,8 @@
         resources = job.spec.resources
         if (
             left is None
-            or resources.cpus > left[0] + placing.EPS
-            or resources.gpus > left[1] + placing.EPS
+            or resources.cpus > left[0] + RESOURCE_TOLERANCE
+            or resources.gpus > left[1] + RESOURCE_TOLERANCE
         ):
             return False
         return quotas.reserve_quota(
--- a/roadbend/recovery/judgement.py
+++ b/roadbend/recovery/judgement.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from roadbend.fleet.machines import Machine
-from roadbend.placement import policy as placing
+from roadbend.placement import free_capacity
 from roadbend.recovery.surroundings import Surroundings
 from roadbend.recovery.unrecorded import (
     Bounds,
@@ -75,7 +75,7 @@
 
     def _allows(self, job: Job, machine: Machine) -> bool:
         """The job may run there, given its other tasks."""
-        if not placing.allowed(job, machine.machine_type, machine.zone, machine.spot):
+        if not free_capacity.allowed(job, machine.machine_type, machine.zone, machine.spot):
             return False
         if job.spec.together:
             return set(job.allocation) <= {self._leader.partition}
--- a/roadbend/test_growth.py
+++ b/roadbend/test_growth.py
@@ -18,16 +18,17 @@
 from roadbend.fakes.world import world
 from roadbend.http.client import NoAnswerError
 from roadbend.placement import (
+    bin_packing,
     ends,
     forecast,
     gang_reservations,
-    policy,
     preemption,
     quotas,
     restrictions,
     starts,
 )
 from roadbend.placement.forecast import MachineTimeline
+from roadbend.placement.quota_allowance import QuotaAllowance, QuotaAmount
 from roadbend.placement.test_placement import capacity, pending
 from roadbend.settings import OperatorSettings, Team
 from roadbend.store import keys, ranges, records
@@ -141,7 +142,7 @@
     full = [capacity(f"m-{n}", gpus=0.0) for n in range(200)]
     queue = [pending(n, 50, legs=50) for n in range(100)]
     # What found no room is not looked for again by others alike.
-    assert calls(lambda: policy.place(queue, full)) < 200 * 10 + 100 * 20
+    assert calls(lambda: bin_packing.place(queue, full)) < 200 * 10 + 100 * 20
     late = [Timing(item, 20.0, 0.0) for item in queue]
     assert calls(lambda: wanted(late[:2], [], choices(), "east", 1.0)) < 100 * 150
 
@@ -548,8 +549,8 @@
     """A wide array that only fits a machine type that is full stood first, and took all that its
     team had left."""
     wide, small = pending(1, 10, legs=50, rigs=["big"]), pending(2, 20, legs=2)
-    limits = policy.QuotaAllowance(lambda team: (1000.0, 4.0))
-    placed, left, _ = policy.place([wide, small], [capacity("m-1", gpus=2.0)], limits=limits)
+    limits = QuotaAllowance(lambda team: QuotaAmount(1000.0, 4.0))
+    placed, left, _ = bin_packing.place([wide, small], [capacity("m-1", gpus=2.0)], quota=limits)
     assert [(item.job.id, task_index) for item, task_index, _ in placed] == [
         ("run-000002", 0),
         ("run-000002", 1),
@@ -557,6 +558,6 @@
     assert left[0].job.id == "run-000001" and left[0].count == 4
     # What waits for a machine that was hired for it keeps the limit from lesser work, for a while.
     high = pending(3, 10, legs=4, rigs=["big"], rank="production")
-    limits = policy.QuotaAllowance(lambda team: (1000.0, 4.0), lambda job: True)
-    placed, _, _ = policy.place([high, small], [capacity("m-1", gpus=2.0)], limits=limits)
+    limits = QuotaAllowance(lambda team: QuotaAmount(1000.0, 4.0), lambda job: True)
+    placed, _, _ = bin_packing.place([high, small], [capacity("m-1", gpus=2.0)], quota=limits)
     assert placed == []
