--- /dev/null
+++ b/tests/__init__.py
@@ -0,0 +1,1 @@
+"""Tests that stand beside the package."""
--- /dev/null
+++ b/tests/compatibility/test_adapter.py
@@ -0,0 +1,25 @@
+"""The rule of this folder: one module imports the package."""
+
+import ast
+from pathlib import Path
+
+from tests.compatibility import adapter
+
+FOLDER = Path(__file__).resolve().parent
+
+
+def imported_by(path: Path) -> set[str]:
+    """The top-level names of what a module imports."""
+    found: set[str] = set()
+    for node in ast.walk(ast.parse(path.read_text())):
+        if isinstance(node, ast.Import):
+            found |= {alias.name.partition(".")[0] for alias in node.names}
+        elif isinstance(node, ast.ImportFrom) and node.module is not None:
+            found.add(node.module.partition(".")[0])
+    return found
+
+
+def test_only_the_adapter_imports_the_package():
+    """So a name that changes in the package changes in one place here."""
+    importers = [path.name for path in FOLDER.glob("*.py") if adapter.PACKAGE in imported_by(path)]
+    assert importers == ["adapter.py"]
