--- a/roadbend/fakes/troubles.py
+++ b/roadbend/fakes/troubles.py
@@ -15,13 +15,13 @@
     from roadbend.fakes.network import Network
     from roadbend.fakes.state import FakeStateService
     from roadbend.fakes.worker import FakeWorker
-    from roadbend.settings import Settings
+    from roadbend.settings import PlatformSettings
 
 # How late a direct command or a copy of a report may come at the least, in seconds.
 LATE_AT_LEAST = 2.0
 # The longest time that a direct command is held up.
 LATEST_COMMAND = 16.0
-# Copies kept for the next owner of a part, and how often it is looked whether there is one.
+# Copies kept for the next owner of a partition, and how often it is looked whether there is one.
 MAX_COPIES = 400
 OWNER_POLL = 0.05
 
@@ -37,7 +37,7 @@
     call: Callable[..., Awaitable[tuple]]
     workers: Callable[[], list[FakeWorker]]
     zones: tuple[str, ...]
-    _sample: Settings
+    _sample: PlatformSettings
     # Asked about every direct command, see `FakeWorker.command_delay`.
     _command_delay: Callable[[], float | None] | None = None
 
--- a/roadbend/intake/test_intake.py
+++ b/roadbend/intake/test_intake.py
@@ -5,12 +5,13 @@
 import pytest
 import trio
 
+from roadbend.autoscaler.cloud import read_machine_types
+from roadbend.fakes import user
 from roadbend.fakes.submission import job
 from roadbend.fakes.world import MACHINE_TYPE, settings_for, world
 from roadbend.http.server import MalformedError
-from roadbend.intake.limit import Limit
+from roadbend.intake.limit import AdaptiveLimit
 from roadbend.intake.messages import NeverRunsError, can_run, read_submission
-from roadbend.rental.cloud import read_machine_types
 
 NAN, INF = float("nan"), float("inf")
 
@@ -77,7 +78,7 @@
     for key in ("rigs", "yard", "dueS"):
         body.pop(key)
     assert read_submission({**body, "colour": "ignored"}) == (name, spec)
-    assert spec.need.gpus == 0 and spec.due is None
+    assert spec.resources.gpus == 0 and spec.due is None
 
 
 @pytest.mark.parametrize("field", sorted(job(1).keys() - {"rigs", "yard", "dueS"}))
@@ -117,6 +118,20 @@
         can_run(read_submission(job(1, **change))[1], settings.teams, machine_types)
 
 
+@pytest.mark.parametrize("options", [["--tasks", "4", "--seconds", "10"], ["--service"]], ids=str)
+async def test_what_the_readmes_submit_command_sends_is_accepted(options):
+    """The command left out `together` and `apart` once, and got 400."""
+    arguments = user.parser().parse_args(["127.0.0.1:18080", "submit", "run-000001", *options])
+    body = user.submission(arguments)
+    name, spec = read_submission(body)
+    assert name == "run-000001" and spec.service == arguments.service
+    assert spec.task_count == arguments.tasks and not spec.together and not spec.apart
+    async with world() as w:
+        answer = await w.call(0, "POST", "/v1/jobs", body)
+        assert answer == (201, {"id": "run-000001", "status": "pending"})
+        assert await w.until(lambda: w.board.running("run-000001"), 60)
+
+
 async def test_the_interface_answers_what_it_cannot_take():
     async with world() as w:
         assert (await w.call(0, "POST", "/v1/jobs", {"id": "run-1"}))[0] == 400
@@ -201,7 +216,7 @@
 
 
 def test_the_limit_shrinks_as_times_grow_and_recovers():
-    limit = Limit(floor=4, ceiling=64)
+    limit = AdaptiveLimit(floor=4, ceiling=64)
     for _ in range(200):
         assert limit.enter(1.0)
         limit.leave(timedelta(milliseconds=10))
--- a/roadbend/parts/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""Who owns which part of the machines: leases, terms, takeover, handing over."""
--- a/roadbend/recovery/surroundings.py
+++ b/roadbend/recovery/surroundings.py
@@ -1,4 +1,4 @@
-"""What the recovery of one part asks of its controller."""
+"""What the recovery of one partition asks of its controller."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 from dataclasses import dataclass
 from datetime import datetime
 
-from roadbend.fleet.listing import MachineList
+from roadbend.fleet.cloud_inventory import CloudInventory
 from roadbend.recovery.settings import RecoverySettings
 
 
 @dataclass(frozen=True)
 class Surroundings:
-    """A controller, as the recovery of a part sees it."""
+    """A controller, as the recovery of a partition sees it."""
 
     settings: RecoverySettings
-    listing: MachineList
+    inventory: CloudInventory
     # When the records were last read, and since when every live peer was heard.
     records_read: Callable[[], datetime | None]
     peers_heard: Callable[[], datetime | None]
--- a/roadbend/rehearsal/runner.py
+++ b/roadbend/rehearsal/runner.py
@@ -7,9 +7,9 @@
 import trio
 import trio.testing
 
+from roadbend.controller import Controller
 from roadbend.fakes.search import use_simulated_time_of_day
 from roadbend.fakes.world import World, world
-from roadbend.node import Node
 from roadbend.rehearsal.measurement import Measured
 from roadbend.rehearsal.report import Report
 from roadbend.rehearsal.scenario import Scenario
@@ -17,7 +17,7 @@
 from roadbend.rehearsal.verdict import judge
 from roadbend.settings import Team
 
-# The fake deployment: teams without limits but for a small one, so that limits take part.
+# The fake deployment: teams without limits but for a small one, so that limits take partition.
 TEAMS = {"red": Team("red", 0, 0, 0, 0), "blue": Team("blue", 0, 0, 4, 12)}
 # How long the end may take in which every job must run or get its final answer.
 END_WITHIN = timedelta(seconds=180)
@@ -27,7 +27,7 @@
 SPARE_SHARE, SPARE_LEAST = 10, 4
 BOOT_SECONDS = 5.0
 
-Equip = Callable[[Node], None]
+Equip = Callable[[Controller], None]
 
 
 def play(scenario: Scenario, equip: Equip | None = None) -> Report:
--- a/roadbend/store/reader.py
+++ b/roadbend/store/record_reader.py
@@ -8,18 +8,18 @@
 from roadbend.http.client import NoAnswerError
 from roadbend.log import Log
 from roadbend.retry import Backoff
-from roadbend.settings import Operator
+from roadbend.settings import OperatorSettings
 from roadbend.store import keys
-from roadbend.store.client import RefusedError, StateClient
-from roadbend.store.view import View
+from roadbend.store.client import RefusedError, StateStoreClient
+from roadbend.store.record_view import RecordView
 
 log = Log("store")
 
 
-class Reader:
+class RecordReader:
     """Keeps the view fresh. One read serves everyone who waits when it begins."""
 
-    def __init__(self, view: View, state: StateClient, operator: Operator):
+    def __init__(self, view: RecordView, state: StateStoreClient, operator: OperatorSettings):
         self.view = view
         self._state = state
         self._operator = operator
@@ -32,7 +32,7 @@
         self.contact: datetime | None = None
         self.refusals = 0
 
-    async def sync(self) -> None:
+    async def read_barrier(self) -> None:
         """Returns when a read has ended that began after this call; the caller sets the time
         limit."""
         want = self._begun + 1
@@ -60,11 +60,13 @@
             except (RefusedError, NoAnswerError) as error:
                 self.refusals += 1
                 if self.refusals in (1, 10) or self.refusals % 100 == 0:
-                    log.error("no-state", error=str(error)[:80], times=self.refusals)
+                    log.error(
+                        "state-store-unavailable", error=str(error)[:80], failures=self.refusals
+                    )
                 pause = waits.next()
                 continue
             if self.refusals > 1:
-                log.info("state-back", after=self.refusals)
+                log.info("state-store-recovered", after_failures=self.refusals)
             waits.reset()
             pause, self.refusals, self.contact = clock.ZERO, 0, sent
             async with self._turn:
@@ -77,7 +79,7 @@
             if news is not None:
                 self.view.events(*news)
                 return
-            log.info("log-too-old", revision=self.view.revision)
+            log.info("change-log-compacted", revision=self.view.revision)
         rows, revision = await self._state.read_all(keys.LIVE)
         self.view.load(rows, revision)
-        log.info("records-read", count=len(rows), revision=revision)
+        log.info("records-loaded", count=len(rows), revision=revision)
--- a/roadbend/test_house.py
+++ b/roadbend/test_house.py
@@ -8,7 +8,7 @@
 
 from roadbend.recovery.settings import RecoverySettings
 from roadbend.recovery.settings import load as load_recovery
-from roadbend.settings import Operator, read_operator
+from roadbend.settings import OperatorSettings, read_operator
 from roadbend.tracing.settings import TracingSettings
 from roadbend.tracing.settings import load as load_tracing
 
@@ -54,6 +54,8 @@
 
 def test_every_operators_setting_is_in_the_reference_and_the_file_we_ship_is_good():
     page = (ROOT / "docs" / "settings.md").read_text()
-    missing = [f.name for f in fields(Operator) if f"| `{f.name.replace('_', '-')}` |" not in page]
+    missing = [
+        f.name for f in fields(OperatorSettings) if f"| `{f.name.replace('_', '-')}` |" not in page
+    ]
     assert missing == []
-    assert read_operator((ROOT / "deploy" / "roadbend.sexp").read_text()) == Operator()
+    assert read_operator((ROOT / "deploy" / "roadbend.sexp").read_text()) == OperatorSettings()
