--- a/tests/compatibility/adapter.py
+++ b/tests/compatibility/adapter.py
@@ -22,9 +22,10 @@
 
 import roadbend
 from roadbend import cli, clock, log
+from roadbend.autoscaler.cloud import read_machine_types
 from roadbend.bidding import messages as bidding_messages
 from roadbend.bidding.casa import Bid
-from roadbend.bidding.messages import Ask
+from roadbend.bidding.messages import BidRequest
 from roadbend.errors import RoadbendError
 from roadbend.fakes.network import Network
 from roadbend.fakes.submission import gang, job
@@ -33,16 +34,23 @@
 from roadbend.http.client import Client
 from roadbend.intake import messages as user_messages
 from roadbend.peers import frames
-from roadbend.peers.heartbeat import Heartbeat, PeerState
+from roadbend.peers.heartbeat import PeerHeartbeat, PeerState
 from roadbend.recovery import service as recovery_service
 from roadbend.recovery import settings as recovery_settings
 from roadbend.recovery.differences import Kind
 from roadbend.recovery.phases import PhaseName
-from roadbend.rental.cloud import read_machine_types
-from roadbend.settings import Operator, SettingsError, read_operator, read_platform
+from roadbend.settings import OperatorSettings, SettingsError, read_operator, read_platform
 from roadbend.store import keys, ranges, records
-from roadbend.store.records import Attempt, Job, Need, RecoveryProgress, Slice, Spec, Use
-from roadbend.store.view import View
+from roadbend.store.record_view import RecordView
+from roadbend.store.records import (
+    Attempt,
+    Job,
+    JobSpec,
+    QuotaRecord,
+    RecoveryProgress,
+    Resources,
+    SliceShard,
+)
 from roadbend.tracing import settings as tracing_settings
 
 Fields = dict[str, Any]
@@ -82,14 +90,14 @@
 # A job as its user submitted it.
 
 
-def _spec(fields: Fields) -> Spec:
-    return Spec(
+def _spec(fields: Fields) -> JobSpec:
+    return JobSpec(
         team=fields["team"],
         job_class=fields["job_class"],
         service=fields["service"],
         priority=fields["priority"],
         task_count=fields["task_count"],
-        need=Need(*fields["need"]),
+        resources=Resources(*fields["need"]),
         machine_types=None if fields["machine_types"] is None else tuple(fields["machine_types"]),
         zone=fields["zone"],
         together=fields["together"],
@@ -97,7 +105,7 @@
         spot=fields["spot"],
         image=fields["image"],
         image_gb=fields["image_gb"],
-        expected=timedelta(seconds=fields["expected_s"]),
+        expected_duration=timedelta(seconds=fields["expected_s"]),
         checkpoint=timedelta(seconds=fields["checkpoint_s"]),
         save=timedelta(seconds=fields["save_s"]),
         due=_length(fields["due_s"]),
@@ -105,14 +113,14 @@
     )
 
 
-def _spec_fields(spec: Spec) -> Fields:
+def _spec_fields(spec: JobSpec) -> Fields:
     return {
         "team": spec.team,
         "job_class": spec.job_class,
         "service": spec.service,
         "priority": spec.priority,
         "task_count": spec.task_count,
-        "need": [spec.need.cpus, spec.need.gpus, spec.need.memory],
+        "need": [spec.resources.cpus, spec.resources.gpus, spec.resources.memory],
         "machine_types": None if spec.machine_types is None else list(spec.machine_types),
         "zone": spec.zone,
         "together": spec.together,
@@ -120,7 +128,7 @@
         "spot": spec.spot,
         "image": spec.image,
         "image_gb": spec.image_gb,
-        "expected_s": _seconds(spec.expected),
+        "expected_s": _seconds(spec.expected_duration),
         "checkpoint_s": _seconds(spec.checkpoint),
         "save_s": _seconds(spec.save),
         "due_s": _seconds(spec.due),
@@ -159,7 +167,7 @@
 def encode_heartbeat(fields: Fields) -> bytes:
     """A heartbeat's payload."""
     with _refusals():
-        return Heartbeat(
+        return PeerHeartbeat(
             fields["boot"],
             timedelta(seconds=fields["uptime_s"]),
             _length(fields["contact_age_s"]),
@@ -174,29 +182,29 @@
 def decode_heartbeat(payload: bytes) -> Fields:
     """What a heartbeat's payload says."""
     with _refusals():
-        heartbeat = Heartbeat.unpack(payload)
+        heartbeat = PeerHeartbeat.unpack(payload)
     return {
-        "boot": heartbeat.boot,
+        "boot": heartbeat.incarnation,
         "uptime_s": _seconds(heartbeat.uptime),
         "contact_age_s": _seconds(heartbeat.contact_age),
-        "used_per_s": list(heartbeat.used),
-        "owned_terms": heartbeat.owned,
-        "machines_heard": {part: list(names) for part, names in heartbeat.heard.items()},
-        "cancellations_span_s": _seconds(heartbeat.span),
-        "cancelled_jobs": list(heartbeat.told),
+        "used_per_s": list(heartbeat.request_rates),
+        "owned_terms": heartbeat.led_partitions,
+        "machines_heard": {part: list(names) for part, names in heartbeat.heard_machines.items()},
+        "cancellations_span_s": _seconds(heartbeat.cancellations_span),
+        "cancelled_jobs": list(heartbeat.cancellations),
     }
 
 
 def understands_gangs(boot: str) -> bool:
     """Whether a controller is sent frames about gangs, by the boot id in its heartbeats."""
-    heartbeat = Heartbeat(boot, timedelta(), None, (0.0, 0.0, 0.0))
+    heartbeat = PeerHeartbeat(boot, timedelta(), None, (0.0, 0.0, 0.0))
     return PeerState(heartbeat).speaks(frames.GANGS)
 
 
 def encode_bid_request(fields: Fields) -> bytes:
     """The payload of a request for bids, and of an offer of a job that waits elsewhere."""
     with _refusals():
-        return Ask(
+        return BidRequest(
             fields["job"],
             fields["requests"],
             fields["free_tasks"],
@@ -211,13 +219,13 @@
 def decode_bid_request(payload: bytes) -> Fields:
     """What such a payload says."""
     with _refusals():
-        ask = Ask.unpack(payload)
+        ask = BidRequest.unpack(payload)
     return {
         "job": ask.job,
         "requests": ask.requests,
         "free_tasks": ask.free,
         "spec": _spec_fields(ask.spec),
-        "waits_at_part": ask.part,
+        "waits_at_part": ask.partition,
         "response_time_s": _seconds(ask.theirs),
         "average_wait_s": _seconds(ask.their_average),
         "waited_s": _seconds(ask.waited),
@@ -249,13 +257,13 @@
         bids = bidding_messages.unpack_bids(payload)
     return [
         {
-            "part": bid.part,
-            "controller": bid.node,
+            "part": bid.partition,
+            "controller": bid.controller,
             "job_time_s": _seconds(bid.job_time),
             "queue_time_s": _seconds(bid.queue_time),
             "shadow_time_s": _seconds(bid.shadow_time),
-            "starts_now": bid.now,
-            "room": bid.room,
+            "starts_now": bid.startable_now,
+            "room": bid.capacity,
         }
         for bid in bids
     ]
@@ -312,11 +320,11 @@
     "gang": keys.gang_key,
     "team": keys.team_key,
     "term": keys.term_key,
-    "owner": keys.own_key,
-    "controller": keys.node_key,
+    "owner": keys.leader_key,
+    "controller": keys.controller_key,
     "recovery": keys.recovery_key,
     "unrecorded": keys.unrecorded_key,
-    "end": keys.fin_key,
+    "end": keys.job_end_key,
 }
 # Words that are stored, and what users are told.
 WORDS: dict[str, Any] = {
@@ -358,11 +366,11 @@
 
 def write_slice(fields: Fields) -> tuple[str, Any]:
     """Key and value of a shard of what a part runs of a job."""
-    made = Slice(
+    made = SliceShard(
         fields["job"],
         fields["part"],
         fields["team"],
-        Need(*fields["need"]),
+        Resources(*fields["need"]),
         _ranges(fields["over"]),
         {int(task): Attempt(*attempt) for task, attempt in fields["attempts"].items()},
         0,
@@ -373,9 +381,9 @@
 
 def write_team(fields: Fields) -> tuple[str, Any]:
     """Key and value of what parts may use for a team, set part by part."""
-    use = Use(fields["team"])
+    use = QuotaRecord(fields["team"])
     for part, cpus, gpus in fields["set_aside"]:
-        use = use.with_part(part, cpus, gpus)
+        use = use.with_partition(part, cpus, gpus)
     return keys.team_key(fields["team"]), use.to_value()
 
 
@@ -395,8 +403,8 @@
 
 def write_end(fields: Fields) -> tuple[str, Any]:
     """Key and value of a job's end."""
-    value = records.fin_value(fields["status"], fields["tasks_done"])
-    return keys.fin_key(fields["job"]), value
+    value = records.job_end_value(fields["status"], fields["tasks_done"])
+    return keys.job_end_key(fields["job"]), value
 
 
 def write_catalog(rows: list[Fields]) -> tuple[str, Any]:
@@ -420,7 +428,7 @@
 def read_records(rows: list[tuple[str, Any]]) -> Fields:
     """What a controller knows after it has read these records, in this order. A record that can't
     be read is left out."""
-    view = View()
+    view = RecordView()
     for revision, (key, value) in enumerate(rows, 1):
         view.put(key, value, revision)
     known: Fields = {
@@ -428,19 +436,19 @@
         "gangs": sorted(view.gangs),
         "slices": {
             part: {name: _work_fields(work) for name, work in works.items()}
-            for part, works in view.slices.items()
+            for part, works in view.job_slices.items()
             if works
         },
         "teams": {
-            name: {part: list(amounts) for part, amounts in use.parts.items()}
-            for name, use in view.teams.items()
+            name: {part: list(amounts) for part, amounts in use.partitions.items()}
+            for name, use in view.quotas.items()
         },
-        "terms": {part: [term.number, term.node] for part, term in view.terms.items()},
+        "terms": {part: [term.number, term.controller] for part, term in view.terms.items()},
         "owners": {
-            part: {"controller": own.node, "boot": own.boot, "term": own.term}
-            for part, own in view.owns.items()
+            part: {"controller": own.controller, "boot": own.incarnation, "term": own.term}
+            for part, own in view.partition_leaders.items()
         },
-        "controllers": {name: live.boot for name, live in view.nodes.items()},
+        "controllers": {name: live.incarnation for name, live in view.controllers.items()},
         "recoveries": {part: _progress_fields(row) for part, row in view.recoveries.items()},
         "unrecorded": view.unrecorded,
         "catalog": view.catalog,
@@ -451,19 +459,19 @@
 def _job_fields(row: Job) -> Fields:
     return {
         "spec": _spec_fields(row.spec),
-        "accepted_s": (row.at - EPOCH).total_seconds(),
-        "held_by_parts": {part: _pairs(held) for part, held in row.alloc.items()},
+        "accepted_s": (row.submitted_at - EPOCH).total_seconds(),
+        "held_by_parts": {part: _pairs(held) for part, held in row.allocation.items()},
         "over": _pairs(row.done),
-        "free": _pairs(row.free),
+        "free": _pairs(row.unassigned),
     }
 
 
 def _work_fields(work) -> Fields:
     return {
         "team": work.team,
-        "need": [work.need.cpus, work.need.gpus, work.need.memory],
+        "need": [work.resources.cpus, work.resources.gpus, work.resources.memory],
         "over": _pairs(work.done),
-        "attempts": {str(task): list(attempt) for task, attempt in work.run.items()},
+        "attempts": {str(task): list(attempt) for task, attempt in work.attempts.items()},
         "shards": sorted(work.shards),
     }
 
@@ -487,9 +495,9 @@
     return [
         {
             "name": row.name,
-            "room": [row.room.cpus, row.room.gpus, row.room.memory],
+            "room": [row.capacity.cpus, row.capacity.gpus, row.capacity.memory],
             "cache_gb": row.cache_gb,
-            "pull_gb_per_s": row.pull,
+            "pull_gb_per_s": row.fetch_gb_per_s,
             "price": row.price,
             "spot_price": row.spot_price,
             "startup_s": _seconds(row.startup),
@@ -522,15 +530,15 @@
 def read_report(body: Any) -> Fields:
     """What a worker's report says."""
     with _refusals():
-        report = worker_messages.read_report(body)
+        report = worker_messages.parse_heartbeat(body)
     return {
         "machine": report.machine,
         "address": report.address,
         "machine_type": report.machine_type,
         "zone": report.zone,
         "spot": report.spot,
-        "session": report.session,
-        "number": report.seq,
+        "session": report.epoch,
+        "number": report.sequence,
         "token": report.token,
         "notice_s": report.notice,
         "tasks": [list(task) for task in report.tasks],
@@ -562,7 +570,7 @@
 # Settings.
 
 _OPERATOR_FORMS: dict[str, type] = {
-    "roadbend": Operator,
+    "roadbend": OperatorSettings,
     "recovery": recovery_settings.RecoverySettings,
     "tracing": tracing_settings.TracingSettings,
 }
@@ -620,7 +628,7 @@
             for name, team in settings.teams.items()
         },
         "clock_off_s": _seconds(settings.clock_off),
-        "report_s": _seconds(settings.report_every),
+        "report_s": _seconds(settings.heartbeat_interval),
         "lease_s": _seconds(settings.lease),
         "cancel_s": _seconds(settings.cancel_within),
         "state_requests_per_s": settings.state_rps,
