--- a/tests/compatibility/adapter.py
+++ b/tests/compatibility/adapter.py
@@ -205,14 +205,14 @@
     """The payload of a request for bids, and of an offer of a job that waits elsewhere."""
     with _refusals():
         return BidRequest(
-            fields["job"],
-            fields["requests"],
-            fields["free_tasks"],
-            _spec(fields["spec"]),
-            fields["waits_at_part"],
-            _length(fields["response_time_s"]),
-            timedelta(seconds=fields["average_wait_s"]),
-            timedelta(seconds=fields["waited_s"]),
+            job=fields["job"],
+            requests=fields["requests"],
+            tasks=fields["free_tasks"],
+            spec=_spec(fields["spec"]),
+            from_partition=fields["waits_at_part"],
+            requester_response=_length(fields["response_time_s"]),
+            requester_average=timedelta(seconds=fields["average_wait_s"]),
+            waited=timedelta(seconds=fields["waited_s"]),
         ).pack()
 
 
@@ -223,11 +223,11 @@
     return {
         "job": ask.job,
         "requests": ask.requests,
-        "free_tasks": ask.free,
+        "free_tasks": ask.tasks,
         "spec": _spec_fields(ask.spec),
-        "waits_at_part": ask.partition,
-        "response_time_s": _seconds(ask.theirs),
-        "average_wait_s": _seconds(ask.their_average),
+        "waits_at_part": ask.from_partition,
+        "response_time_s": _seconds(ask.requester_response),
+        "average_wait_s": _seconds(ask.requester_average),
         "waited_s": _seconds(ask.waited),
     }
 
@@ -238,13 +238,13 @@
         return bidding_messages.pack_bids(
             [
                 Bid(
-                    row["part"],
-                    row["controller"],
-                    timedelta(seconds=row["job_time_s"]),
-                    timedelta(seconds=row["queue_time_s"]),
-                    timedelta(seconds=row["shadow_time_s"]),
-                    row["starts_now"],
-                    row["room"],
+                    partition=row["part"],
+                    controller=row["controller"],
+                    job_time=timedelta(seconds=row["job_time_s"]),
+                    queue_time=timedelta(seconds=row["queue_time_s"]),
+                    shadow_time=timedelta(seconds=row["shadow_time_s"]),
+                    startable_now=row["starts_now"],
+                    capacity=row["room"],
                 )
                 for row in rows
             ]
@@ -272,28 +272,32 @@
 def encode_assignment(fields: Fields) -> bytes:
     """The payload that tells a controller of a job that its part now holds."""
     with _refusals():
-        return bidding_messages.pack_assign(
+        return bidding_messages.Assignment(
             fields["job"], bytes.fromhex(fields["record_hex"]), fields["revision"]
-        )
+        ).pack()
 
 
 def decode_assignment(payload: bytes) -> Fields:
     """What such a payload says."""
     with _refusals():
-        name, record, revision = bidding_messages.unpack_assign(payload)
-    return {"job": name, "record_hex": record.hex(), "revision": revision}
+        assignment = bidding_messages.Assignment.unpack(payload)
+    return {
+        "job": assignment.job,
+        "record_hex": assignment.value.hex(),
+        "revision": assignment.mod_revision,
+    }
 
 
 def encode_revocation(fields: Fields) -> bytes:
     """The payload that tells a controller that a job went elsewhere."""
     with _refusals():
-        return bidding_messages.pack_revoke(fields["job"])
+        return bidding_messages.Revocation(fields["job"]).pack()
 
 
 def decode_revocation(payload: bytes) -> Fields:
     """What such a payload says."""
     with _refusals():
-        return {"job": bidding_messages.unpack_revoke(payload)}
+        return {"job": bidding_messages.Revocation.unpack(payload).job}
 
 
 ENCODERS: dict[str, Callable[[Any], bytes]] = {
