--- /dev/null
+++ b/roadbend/controller/controller.py
@@ -0,0 +1,238 @@
+"""A controller: its parts, wired together."""
+
+import random
+import secrets
+from collections.abc import Awaitable, Callable
+from datetime import datetime, timedelta
+
+import trio
+
+from roadbend.autoscaler.cloud import Cloud
+from roadbend.autoscaler.service import Autoscaler
+from roadbend.bidding.requester import Requester
+from roadbend.controller.availability import Availability
+from roadbend.controller.cancellations import CancellationPropagation, ConfirmedCancellations
+from roadbend.controller.heartbeats import PeerExchange
+from roadbend.controller.leaders import PartitionLeaders
+from roadbend.controller.rate_sharing import share_rates
+from roadbend.controller.reachability import WorkerReachability
+from roadbend.controller.routes import Router, is_from_worker
+from roadbend.fleet.service import Fleet
+from roadbend.http.client import Client
+from roadbend.http.net import BACKLOG, Net
+from roadbend.http.server import Request, Response, Server
+from roadbend.intake.limit import AdaptiveLimit
+from roadbend.intake.users import JobApi
+from roadbend.log import Log
+from roadbend.partitions.election import LeaderElection
+from roadbend.peers import frames
+from roadbend.peers.links import Peers
+from roadbend.placement.context import ControllerContext
+from roadbend.placement.leader import PartitionLeader
+from roadbend.settings import OperatorSettings, PlatformSettings
+from roadbend.store.client import StateStoreClient
+from roadbend.store.record_reader import RecordReader
+from roadbend.store.record_view import RecordView
+from roadbend.store.request_budget import RequestBudget
+
+log = Log("controller")
+
+# Sockets kept for what we open ourselves (the state store 16, the cloud 6, machines asked and told
+# 144, peers), for peers' connections to us, and for connections that are just being closed.
+OWN_SOCKETS = 240
+MIN_SERVED_SOCKETS = 64
+# The share of all other sockets that is kept free for clients to come, see `Server`.
+SPARE_SOCKETS = 0.1
+# Workers' connections are kept from storms of users, until a living worker would have sent two
+# heartbeats.
+STALE_INTERVALS = 2.5
+STALE_MARGIN = timedelta(seconds=4)
+# How many requesters ask for bids at the same time.
+REQUESTERS = 4
+
+
+class Controller:
+    """A controller: its parts, wired together."""
+
+    # What the controller understands beyond version 2 of the frames; its incarnation ends with it.
+    DIALECT = frames.GANGS
+
+    def __init__(
+        self,
+        settings: PlatformSettings,
+        operator: OperatorSettings,
+        net: Net,
+        rng: random.Random,
+        incarnation: str | None = None,
+    ) -> None:
+        self.incarnation = (incarnation or secrets.token_hex(6)) + self.DIALECT
+        self._net = net
+        self._budget = RequestBudget(
+            settings.state_rps,
+            settings.state_write_rps,
+            settings.controller_count,
+            settings.state_write_rps_next,
+        )
+        self.cloud = Cloud(
+            Client(net, settings.cloud, most=6, keep=2),
+            settings.cloud_rps,
+            settings.controller_count,
+        )
+        self.peers = Peers(net, settings.name, settings.peers, rng)
+        self.context = self._make_context(settings, operator, rng)
+        leaders: dict[str, PartitionLeader] = {}
+        self.fleet = Fleet(self.context, net, self.cloud, self.peers, leaders)
+        self.autoscaler = Autoscaler(self.context, self.cloud, self.fleet, leaders, rng)
+        self.requester = Requester(self.context, self.peers, leaders, self.autoscaler.closed, rng)
+        self._partition_leaders = PartitionLeaders(
+            self.context, self.fleet, self.autoscaler, leaders
+        )
+        cancellations = ConfirmedCancellations(settings.cancel_within)
+        self._exchange = self._make_exchange(cancellations)
+        self._availability = Availability(self.context, self.peers)
+        self._router = self._make_router(cancellations)
+        self._server = self._make_server(settings)
+        self.peers.handlers[frames.PING] = self._exchange.on_call
+        self.view.watchers.append(self._partition_leaders.on_record)
+        self.election.changed.append(self._partition_leaders.on_leadership)
+        # What else runs as long as the controller does, such as recovery where it is switched on.
+        self.background: list[Callable[[], Awaitable[None]]] = []
+
+    def _make_context(
+        self, settings: PlatformSettings, operator: OperatorSettings, rng: random.Random
+    ) -> ControllerContext:
+        client = Client(self._net, settings.state, most=16, keep=8)
+        state = StateStoreClient(client, self._budget, rng=rng)
+        view = RecordView()
+        reader = RecordReader(view, state, operator)
+        election = LeaderElection(
+            settings=settings,
+            operator=operator,
+            incarnation=self.incarnation,
+            state=state,
+            view=view,
+            reader=reader,
+            peers=self.peers,
+        )
+        return ControllerContext(
+            settings=settings,
+            operator=operator,
+            state=state,
+            view=view,
+            reader=reader,
+            election=election,
+        )
+
+    def _make_exchange(self, cancellations: ConfirmedCancellations) -> PeerExchange:
+        return PeerExchange(
+            self.incarnation,
+            self.context,
+            self.leaders,
+            self.fleet,
+            cancellations,
+            budget=self._budget,
+            cloud=self.cloud,
+        )
+
+    def _make_router(self, cancellations: ConfirmedCancellations) -> Router:
+        propagation = CancellationPropagation(
+            self.settings.name, self.peers, self._exchange, self.view, self.reader
+        )
+        users = JobApi(
+            self.context,
+            self.requester.submit,
+            cancellations.add,
+            propagation.propagate,
+            self._availability.state_refuses_only_us,
+            AdaptiveLimit(ceiling=self.operator.users_at_once),
+        )
+        return Router(self.fleet, users, self._availability.up)
+
+    def _make_server(self, settings: PlatformSettings) -> Server:
+        stale = STALE_INTERVALS * settings.heartbeat_interval + STALE_MARGIN
+        served = max(MIN_SERVED_SOCKETS, settings.sockets - OWN_SOCKETS - BACKLOG)
+        return Server(
+            self.handle,
+            served,
+            is_from_worker,
+            stale.total_seconds(),
+            round(served * SPARE_SOCKETS),
+        )
+
+    @property
+    def settings(self) -> PlatformSettings:
+        """The platform's settings."""
+        return self.context.settings
+
+    @property
+    def operator(self) -> OperatorSettings:
+        """The operators' settings."""
+        return self.context.operator
+
+    @property
+    def view(self) -> RecordView:
+        """This controller's copy of the live records."""
+        return self.context.view
+
+    @property
+    def reader(self) -> RecordReader:
+        """What keeps the record view up to date."""
+        return self.context.reader
+
+    @property
+    def election(self) -> LeaderElection:
+        """Which partitions this controller leads."""
+        return self.context.election
+
+    @property
+    def leaders(self) -> dict[str, PartitionLeader]:
+        """The partitions that this controller leads, each with what does the work."""
+        return self._partition_leaders.leaders
+
+    @property
+    def began(self) -> datetime:
+        """When this incarnation began."""
+        return self._exchange.began_at
+
+    def handle(self, request: Request) -> Awaitable[Response]:
+        """Answer an HTTP request."""
+        return self._router.handle(request)
+
+    def up(self, now: datetime) -> bool:
+        """Tell whether users are to be sent here."""
+        return self._availability.up(now)
+
+    async def run(self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
+        """Serve and work until cancelled."""
+        log.info(
+            "controller-started",
+            controller=self.settings.name,
+            zone=self.settings.zone,
+            incarnation=self.incarnation,
+        )
+        async with trio.open_nursery() as nursery:
+            self._partition_leaders.start_in(nursery)
+            await nursery.start(self._net.listen, self.settings.listen, self._server.serve)
+            await nursery.start(self._net.listen, self.settings.back, self.peers.serve)
+            for link in self.peers.links.values():
+                nursery.start_soon(link.run, self._exchange)
+            self._start_work(nursery)
+            for run in self.background:
+                nursery.start_soon(run)
+            task_status.started()
+
+    def _start_work(self, nursery: trio.Nursery) -> None:
+        reachability = WorkerReachability(self.context, self.peers, self.leaders)
+        nursery.start_soon(self._server.sweep)
+        nursery.start_soon(self.reader.run)
+        nursery.start_soon(self.election.run)
+        nursery.start_soon(self.autoscaler.catalog_loop)
+        nursery.start_soon(self.autoscaler.list_loop)
+        nursery.start_soon(self.fleet.commands.send_stops, nursery)
+        nursery.start_soon(self.fleet.failure_detector.watch, nursery)
+        nursery.start_soon(reachability.watch)
+        nursery.start_soon(share_rates, self.peers, self._budget, self.cloud)
+        nursery.start_soon(self.requester.run_rebid)
+        nursery.start_soon(self.requester.run_reoffer)
+        for _ in range(REQUESTERS):
+            nursery.start_soon(self.requester.run_worker)
--- /dev/null
+++ b/roadbend/controller/heartbeats.py
@@ -0,0 +1,79 @@
+"""Build the heartbeats that peers get, and learn from theirs."""
+
+from collections.abc import Mapping
+from datetime import datetime
+
+from roadbend import clock
+from roadbend.autoscaler.cloud import Cloud
+from roadbend.controller.cancellations import ConfirmedCancellations
+from roadbend.fleet.service import Fleet
+from roadbend.peers.heartbeat import PeerHeartbeat
+from roadbend.peers.links import Link
+from roadbend.placement.context import ControllerContext
+from roadbend.placement.leader import PartitionLeader
+from roadbend.store.request_budget import RequestBudget
+
+
+class PeerExchange:
+    """What this controller tells its peers of itself, and what it makes of their words."""
+
+    def __init__(
+        self,
+        incarnation: str,
+        context: ControllerContext,
+        leaders: Mapping[str, PartitionLeader],
+        fleet: Fleet,
+        cancellations: ConfirmedCancellations,
+        *,
+        budget: RequestBudget,
+        cloud: Cloud,
+    ) -> None:
+        self.began_at = clock.now()
+        self._incarnation = incarnation
+        self._context = context
+        self._leaders = leaders
+        self._fleet = fleet
+        self._cancellations = cancellations
+        self._budget = budget
+        self._cloud = cloud
+
+    def build(self) -> PeerHeartbeat:
+        """Build a heartbeat of what is known now."""
+        now = clock.now()
+        contact = self._context.reader.contact
+        cancellations = self._cancellations.recent(now)
+        return PeerHeartbeat(
+            incarnation=self._incarnation,
+            uptime=now - self.began_at,
+            contact_age=None if contact is None else now - contact,
+            request_rates=(*self._budget.used, self._cloud.used),
+            led_partitions={
+                partition: leadership.term
+                for partition, leadership in self._context.election.leaderships.items()
+            },
+            heard_machines=self._fleet.heard(now),
+            cancellations_span=cancellations.span,
+            cancellations=cancellations.jobs,
+        )
+
+    def on_call(self, _sender: str, payload: bytes) -> bytes:
+        """Take in a peer's heartbeat, and return ours; raise `FrameError` if it is malformed."""
+        self._learn(PeerHeartbeat.unpack(payload))
+        return self.build().pack()
+
+    def on_reply(self, link: Link, heartbeat: PeerHeartbeat, asked: datetime) -> None:
+        """Take in a peer's answer to a heartbeat that was sent at `asked`.
+
+        It may raise the cancellation watermark that we have of the peer.
+        """
+        link.known.take(heartbeat, asked, clock.now(), self._context.reader.contact)
+        self._learn(heartbeat)
+
+    def _learn(self, heartbeat: PeerHeartbeat) -> None:
+        for partition, term in heartbeat.led_partitions.items():
+            self._context.election.depose(partition, term)
+        if self._context.cancel(heartbeat.cancellations):
+            # A worker's heartbeat with nothing new is answered without a step of the leader: what
+            # is to be stopped must be marked before the next one comes.
+            for leader in self._leaders.values():
+                leader.stop_dead(clock.now())
--- /dev/null
+++ b/roadbend/controller/leaders.py
@@ -0,0 +1,62 @@
+"""Begin and end the work on partitions with their leaderships, and wake it up on changes."""
+
+import trio
+
+from roadbend.autoscaler.service import Autoscaler
+from roadbend.fleet.service import Fleet
+from roadbend.placement.context import ControllerContext
+from roadbend.placement.leader import PartitionLeader
+
+TERM_PREFIX, JOB_PREFIX, TEAM_PREFIX = "r/term/", "r/job/", "r/team/"
+
+
+class PartitionLeaders:
+    """The partitions that this controller leads, each with the object that does the work."""
+
+    def __init__(
+        self,
+        context: ControllerContext,
+        fleet: Fleet,
+        autoscaler: Autoscaler,
+        leaders: dict[str, PartitionLeader],
+    ) -> None:
+        self.leaders = leaders
+        self._context = context
+        self._fleet = fleet
+        self._autoscaler = autoscaler
+        self._nursery: trio.Nursery | None = None
+
+    def start_in(self, nursery: trio.Nursery) -> None:
+        """Run the work on partitions in a nursery from now on."""
+        self._nursery = nursery
+
+    def on_leadership(self, partition: str) -> None:
+        """Begin or end the work on a partition whose leadership has changed."""
+        leadership = self._context.election.leadership(partition)
+        if leadership is None:
+            self.leaders.pop(partition, None)
+            return
+        leader = PartitionLeader(self._context, leadership)
+        leader.order_now = self._fleet.commands.order_now
+        leader.recovery = self._context.recovery.for_partition(leader)
+        self.leaders[partition] = leader
+        if self._nursery is not None:
+            self._nursery.start_soon(leader.run)
+            self._nursery.start_soon(self._autoscaler.run, leader)
+
+    def on_record(self, key: str) -> None:
+        """Tell those of a changed record whom it concerns."""
+        if key.startswith(TERM_PREFIX):
+            self._context.election.on_record(key)
+        elif key.startswith(JOB_PREFIX):
+            self._on_job(key.removeprefix(JOB_PREFIX))
+        elif key.startswith(TEAM_PREFIX):
+            for leader in self.leaders.values():
+                if leader.left:
+                    leader.wake_up.set()
+
+    def _on_job(self, job: str) -> None:
+        for partition, leader in self.leaders.items():
+            assigned = self._context.view.assigned_jobs.get(partition, ())
+            if job in assigned or job in leader.job_slices():
+                leader.wake_up.set()
--- /dev/null
+++ b/roadbend/controller/rate_sharing.py
@@ -0,0 +1,24 @@
+"""Share the permitted request rates of the state store and the cloud with the peers."""
+
+from datetime import timedelta
+
+from roadbend import clock
+from roadbend.autoscaler.cloud import Cloud
+from roadbend.peers.links import Peers
+from roadbend.store.request_budget import RequestBudget
+
+INTERVAL = timedelta(seconds=1)
+
+
+async def share_rates(peers: Peers, budget: RequestBudget, cloud: Cloud) -> None:
+    """Take every second what the live peers' heartbeats say that they leave, for ever."""
+    while True:
+        await clock.pause(INTERVAL)
+        now = clock.now()
+        rates = [
+            link.known.heartbeat.request_rates
+            for link in peers.links.values()
+            if link.alive(now) and link.known.heartbeat
+        ]
+        budget.share([(requests, changes) for requests, changes, _ in rates])
+        cloud.share([cloud_requests for _, _, cloud_requests in rates])
--- /dev/null
+++ b/roadbend/controller/reachability.py
@@ -0,0 +1,67 @@
+"""Give up partitions whose workers reach other controllers but not this one."""
+
+from datetime import datetime, timedelta
+
+from roadbend import clock
+from roadbend.log import Log
+from roadbend.peers.links import Peers
+from roadbend.placement.context import ControllerContext
+from roadbend.placement.leader import PartitionLeader
+
+log = Log("controller")
+CHECK_INTERVAL = timedelta(seconds=1)
+# Without any worker's heartbeat for so many heartbeat intervals a partition counts as silent.
+SILENT_INTERVALS = 2.5
+
+
+class WorkerReachability:
+    """Watches whether the workers of partitions that this controller leads reach it."""
+
+    def __init__(
+        self, context: ControllerContext, peers: Peers, leaders: dict[str, PartitionLeader]
+    ) -> None:
+        self._context = context
+        self._peers = peers
+        self._leaders = leaders
+        self._heartbeat_interval = context.settings.heartbeat_interval
+        # Since when partitions have been silent here while peers heard their workers.
+        self._unreachable_since: dict[str, datetime] = {}
+
+    async def watch(self) -> None:
+        """Look at all partitions every second, for ever."""
+        while True:
+            await clock.pause(CHECK_INTERVAL)
+            now = clock.now()
+            for partition, leader in list(self._leaders.items()):
+                await self._check(partition, leader, now)
+
+    async def _check(self, partition: str, leader: PartitionLeader, now: datetime) -> None:
+        if not (self._is_silent(leader, now) and self._is_heard_by_peers(partition, now)):
+            self._unreachable_since.pop(partition, None)
+            return
+        since = self._unreachable_since.setdefault(partition, now)
+        if now - since <= self._heartbeat_interval:
+            return
+        self._unreachable_since.pop(partition, None)
+        try:
+            await self._context.election.fail_over(partition)
+        except Exception:
+            # It is given up all the same, only its record stays for now; other partitions are
+            # still to be watched.
+            log.crash("failover-failed", partition=partition)
+
+    def _is_silent(self, leader: PartitionLeader, now: datetime) -> bool:
+        acquired_at = leader.leadership.acquired_at
+        heard_at = max(
+            (m.last_heartbeat_at for m in leader.machines.values() if m.last_heartbeat_at),
+            default=acquired_at,
+        )
+        return now - max(heard_at, acquired_at) > self._heartbeat_interval * SILENT_INTERVALS
+
+    def _is_heard_by_peers(self, partition: str, now: datetime) -> bool:
+        return any(
+            link.alive(now)
+            and link.known.heartbeat is not None
+            and link.known.heartbeat.heard_machines.get(partition)
+            for link in self._peers.links.values()
+        )
--- a/roadbend/peers/links.py
+++ b/roadbend/peers/links.py
@@ -5,6 +5,7 @@
 import random
 from collections.abc import Callable
 from datetime import datetime, timedelta
+from typing import Protocol
 
 import trio
 
@@ -28,6 +29,16 @@
 Handler = Callable[[str, bytes], bytes | None]
 
 
+class HeartbeatExchange(Protocol):
+    """Builds the heartbeats that peers get, and takes in their answers."""
+
+    def build(self) -> PeerHeartbeat:
+        """Build a heartbeat of what is known now."""
+
+    def on_reply(self, link: "Link", heartbeat: PeerHeartbeat, asked: datetime) -> None:
+        """Take in a peer's answer to a heartbeat that was sent at `asked`."""
+
+
 class NoReplyError(RoadbendError):
     """A peer did not answer a call in time."""
 
@@ -93,11 +104,7 @@
                     self._stream = None
                     await trio.aclose_forcefully(stream)
 
-    async def run(
-        self,
-        heartbeat: Callable[[], PeerHeartbeat],
-        took: Callable[["Link", PeerHeartbeat, datetime], None],
-    ) -> None:
+    async def run(self, exchange: HeartbeatExchange) -> None:
         waits = Backoff(timedelta(milliseconds=200), timedelta(seconds=1), self._rng)
         while True:
             try:
@@ -109,7 +116,7 @@
                     waits.reset()
                     async with trio.open_nursery() as nursery:
                         nursery.start_soon(self._read, stream, nursery.cancel_scope)
-                        nursery.start_soon(self._beat, heartbeat, took, nursery.cancel_scope)
+                        nursery.start_soon(self._beat, exchange, nursery.cancel_scope)
                 finally:
                     self._stream = None
                     await trio.aclose_forcefully(stream)
@@ -121,24 +128,20 @@
                 send.close()
             await clock.pause(waits.next())
 
-    async def beat(
-        self,
-        heartbeat: Callable[[], PeerHeartbeat],
-        took: Callable[["Link", PeerHeartbeat, datetime], None],
-    ) -> bool:
+    async def exchange_heartbeats(self, exchange: HeartbeatExchange) -> bool:
         """Exchanges pulses once; says whether the peer has taken ours."""
         asked = clock.now()
         try:
-            reply = await self.call(frames.PING, heartbeat().pack(), HEARTBEAT_TIMEOUT)
-            took(self, PeerHeartbeat.unpack(reply), asked)
+            reply = await self.call(frames.PING, exchange.build().pack(), HEARTBEAT_TIMEOUT)
+            exchange.on_reply(self, PeerHeartbeat.unpack(reply), asked)
             return True
         except (NoReplyError, FrameError):
             return False
 
-    async def _beat(self, heartbeat, took, scope) -> None:
+    async def _beat(self, exchange, scope) -> None:
         missed = 0
         while True:
-            if await self.beat(heartbeat, took):
+            if await self.exchange_heartbeats(exchange):
                 missed = 0
             else:
                 missed += 1
--- a/roadbend/test_meetings.py
+++ b/roadbend/test_meetings.py
@@ -8,7 +8,7 @@
 import pytest
 import trio
 
-from roadbend import controller
+from roadbend.controller import cancellations
 from roadbend.fakes.scenario import AIMS, OP, SITES, TEAMS, Scenario, name, play
 from roadbend.fakes.submission import job
 from roadbend.fakes.world import world
@@ -300,7 +300,7 @@
 @pytest.mark.parametrize("beside", BESIDE, ids=lambda beside: beside.__name__)
 async def test_the_gap_leaves_nothing_cancelled_on_a_machine(beside, site, monkeypatch):
     if beside is more_cancellations_than_a_pulse_holds:
-        monkeypatch.setattr(controller, "MAX_CANCELLATIONS", 2)
+        monkeypatch.setattr(cancellations, "MAX_CANCELLATIONS", 2)
     rng = random.Random(f"{beside.__name__} {site}")
     async with world(capacity=10, operator=OP, teams=TEAMS, objectives=AIMS, **SITES[site]) as w:
         scenario = Scenario(w, rng, site)
