--- a/roadbend/intake/__init__.py
+++ b/roadbend/intake/__init__.py
@@ -1,1 +1,1 @@
-"""The users' interface: submit, query, withdraw, /up, and the limit on requests in progress."""
+"""The users' interface: submitting, querying and cancelling jobs."""
--- /dev/null
+++ b/roadbend/intake/cancellation.py
@@ -0,0 +1,116 @@
+"""Answering `POST /v1/jobs/{id}/withdraw`."""
+
+from collections.abc import Awaitable, Callable
+from datetime import timedelta
+
+import trio
+
+from roadbend.http.server import Response
+from roadbend.intake.job_states import JobStates
+from roadbend.intake.messages import JobState, JobStatus, is_job_id
+from roadbend.intake.refusals import NotNowError, NotNowReason, no_such_job
+from roadbend.log import Log
+from roadbend.placement.context import ControllerContext
+from roadbend.store import keys, records
+from roadbend.store.client import ConflictError, commit, delete, put
+from roadbend.store.records import Job
+
+log = Log("intake")
+# Users wait for 5 s.
+ANSWER_WITHIN_S = 4
+WRITE_WITHIN = timedelta(seconds=2.5)
+# A write conflicts with every other change of the job's record.
+MAX_WRITES = 8
+
+
+class CancellationHandler:
+    """Cancels jobs.
+
+    `told` is called with the id of a job that is cancelled in the records; `propagate` returns when
+    no controller can start a task of it any more.
+    """
+
+    def __init__(
+        self,
+        context: ControllerContext,
+        states: JobStates,
+        told: Callable[[str], None],
+        propagate: Callable[[], Awaitable[None]],
+    ) -> None:
+        self._context = context
+        self._states = states
+        self._told = told
+        self._propagate = propagate
+
+    async def handle(self, job_id: str) -> Response:
+        """Cancel a job, and answer once no task of it may be started any more."""
+        if not is_job_id(job_id):
+            return no_such_job()
+        known = self._states.answer_known_final(job_id)
+        if known is not None:
+            return known
+        self._states.freshness.require()
+        with trio.move_on_after(ANSWER_WITHIN_S):
+            for _ in range(MAX_WRITES):
+                job = await self._find_live(job_id)
+                if job is None:
+                    return await self._answer_not_live(job_id)
+                state = await self._record(job)
+                if state is not None:
+                    return await self._answer_everywhere(job_id, state)
+        raise NotNowError(NotNowReason.NO_STATE_STORE)
+
+    async def _find_live(self, job_id: str) -> Job | None:
+        """Return the live job; that there is none is known for certain, after a read barrier."""
+        view = self._context.view
+        job = view.jobs.get(job_id)
+        if job is None:
+            await self._context.reader.read_barrier()
+            job = view.jobs.get(job_id)
+        return job
+
+    async def _answer_not_live(self, job_id: str) -> Response:
+        state = await self._states.fetch_final(job_id)
+        if state is None:
+            return no_such_job()
+        return await self._answer_everywhere(job_id, state)
+
+    async def _record(self, job: Job) -> JobState | None:
+        """Write a job's cancellation; None where its record has changed meanwhile."""
+        context = self._context
+        state = JobState(JobStatus.CANCELLED, self._states.live_state(job).done)
+        changes = [
+            delete(keys.job_key(job.id)),
+            put(
+                keys.job_end_key(job.id),
+                records.job_end_value(state.status.value, state.done),
+            ),
+        ]
+        if job.spec.gang:
+            changes.append(delete(keys.gang_key(job.id)))
+        conditions = {keys.job_key(job.id): job.mod_revision, keys.job_end_key(job.id): 0}
+        try:
+            revision = await commit(
+                context.state, conditions, changes, within=WRITE_WITHIN, urgent=True
+            )
+        except ConflictError:
+            await context.reader.read_barrier()
+            return None
+        # Recorded before anybody is told. Leaders stop the tasks of a job that is no longer live.
+        context.view.applied(changes, revision)
+        log.info("job-cancelled", job=job.id)
+        context.observer.job_over(job, state.status.value)
+        return state
+
+    async def _answer_everywhere(self, job_id: str, state: JobState) -> Response:
+        """Tell the leaders of a final state, then its user.
+
+        Once its user is told, no task of a cancelled job may be started. So leaders are told first,
+        and one that can't be told is waited for until it can start nothing on records as old as
+        that.
+        """
+        if state.status is JobStatus.CANCELLED:
+            self._told(job_id)
+            await self._propagate()
+        self._states.final_states.put(job_id, state)
+        return self._states.answer_final(job_id, state)
--- a/roadbend/intake/messages.py
+++ b/roadbend/intake/messages.py
@@ -1,137 +1,197 @@
-"""Wire names of the users' interface, and strict reading of submissions."""
+"""Wire names of the users' interface, and strict reading of submissions.
+
+The source of every name, status and rule is the protocol's section "Users -> controller nodes".
+"""
 
 import re
+from dataclasses import dataclass
 from datetime import timedelta
-from typing import Any
+from enum import StrEnum
+from typing import Any, NamedTuple, TypedDict, TypeGuard
 
-from roadbend.autoscaler.cloud import MachineType
-from roadbend.errors import RoadbendError
 from roadbend.fleet.messages import flag, number, text, whole
 from roadbend.http.server import MalformedError
-from roadbend.settings import Team
 from roadbend.store.records import PRIORITY, JobSpec, Resources
 
-ID = re.compile(r"run-[0-9]{1,20}\Z")
+JOB_ID = re.compile(r"run-[0-9]{1,20}\Z")
 MAX_TASKS = 100_000
 # A name this long has no use, and a record with several of them would outgrow its value.
-MAX_NAME = 120
-MAX_RIGS = 32
+MAX_NAME_LENGTH = 120
+MAX_MACHINE_TYPES = 32
+MAX_AMOUNT = 1e9
 MAX_SECONDS = 1e9
 
-STATUS_PENDING, STATUS_RUNNING, STATUS_DONE, STATUS_ABORTED = (
-    "pending",
-    "running",
-    "done",
-    "aborted",
-)
 
+class JobStatus(StrEnum):
+    """What users are told of a job."""
 
-class NeverRunsError(RoadbendError):
-    """Well-formed, but can never run."""
+    PENDING = "pending"
+    RUNNING = "running"
+    DONE = "done"
+    CANCELLED = "aborted"
 
 
-def valid_id(value: Any) -> bool:
-    return isinstance(value, str) and ID.match(value) is not None
+FINAL_STATUSES = (JobStatus.DONE, JobStatus.CANCELLED)
 
 
-def _seconds(value: Any, name: str) -> timedelta:
-    return timedelta(seconds=_amount(value, name, MAX_SECONDS))
+class JobShape(StrEnum):
+    """How the tasks of a job belong together."""
 
+    JOB_ARRAY = "batch"
+    SERVICE = "daemon"
+    GANG = "group"
+
+
+JOB_SHAPES = frozenset(JobShape)
+
+
+@dataclass(frozen=True, slots=True)
+class JobState:
+    """A job's status, and how many of its tasks are done and running, for display."""
+
+    status: JobStatus
+    done: int
+    running: int = 0
+
+
+class Submission(NamedTuple):
+    """A well-formed submission."""
+
+    job_id: str
+    spec: JobSpec
+
+
+class JobStateBody(TypedDict):
+    """The answer to a query, a cancellation and an idempotent submission."""
+
+    id: str
+    status: str
+    done: int
+    running: int
 
-def _amount(value: Any, name: str, most: float = 1e9) -> float:
-    value = number(value, name)
-    if value > most:
-        raise MalformedError(f"{name}: too large")
-    return value
+
+class AcceptedBody(TypedDict):
+    """The answer to the submission that was accepted."""
+
+    id: str
+    status: str
+
+
+def job_state_body(job_id: str, state: JobState) -> JobStateBody:
+    """Build the answer that tells a job's state."""
+    return {
+        "id": job_id,
+        "status": state.status.value,
+        "done": state.done,
+        "running": state.running,
+    }
+
+
+def accepted_body(job_id: str) -> AcceptedBody:
+    """Build the answer to a submission that has just been accepted."""
+    return {"id": job_id, "status": JobStatus.PENDING.value}
+
+
+def is_job_id(value: object) -> TypeGuard[str]:
+    """Return whether a value has the form of a job's id."""
+    return isinstance(value, str) and JOB_ID.match(value) is not None
 
 
 def read_id(data: Any) -> str:
+    """Read the id of a submission whose other fields may be malformed.
+
+    Raises `MalformedError`.
+    """
     if not isinstance(data, dict):
         raise MalformedError("body: expected a map")
-    job = data.get("id")
-    if not valid_id(job):
+    job_id = data.get("id")
+    if not is_job_id(job_id):
         raise MalformedError("id: expected run- and digits")
-    return job
+    return job_id
+
+
+def read_submission(data: Any) -> Submission:
+    """Read a whole submission.
+
+    Raises `MalformedError`, which names the first field in the order of reading that is missing or
+    invalid.
+    """
+    job_id = read_id(data)
+    shape = _read_shape(data.get("shape"))
+    priority = _read_priority(data.get("rank"))
+    task_count = _read_task_count(data.get("legs"))
+    resources = _read_resources(data)
+    machine_types = _read_machine_types(data.get("rigs"))
+    zone = data.get("yard")
+    due = data.get("dueS")
+    spec = JobSpec(
+        team=text(data.get("crew"), "crew", MAX_NAME_LENGTH),
+        job_class=text(data.get("lane"), "lane", MAX_NAME_LENGTH),
+        service=shape is JobShape.SERVICE,
+        priority=priority,
+        task_count=task_count,
+        resources=resources,
+        machine_types=machine_types,
+        zone=None if zone is None else text(zone, "yard", MAX_NAME_LENGTH),
+        together=flag(data.get("together"), "together"),
+        apart=flag(data.get("apart"), "apart"),
+        spot=flag(data.get("loaners"), "loaners"),
+        image=text(data.get("bundle"), "bundle", MAX_NAME_LENGTH),
+        image_gb=_read_amount(data.get("imageGb"), "imageGb"),
+        expected_duration=_read_duration(data.get("expectedS"), "expectedS"),
+        checkpoint=_read_duration(data.get("milestoneS"), "milestoneS"),
+        save=_read_duration(data.get("stowS"), "stowS"),
+        due=None if due is None else _read_duration(due, "dueS"),
+        gang=shape is JobShape.GANG,
+    )
+    return Submission(job_id, spec)
 
 
-def read_submission(data: Any) -> tuple[str, JobSpec]:
-    job = read_id(data)
-    shape = data.get("shape")
-    if shape not in ("batch", "daemon", "group"):
+def _read_shape(value: Any) -> JobShape:
+    # Only text is looked up: other values of a hostile body may have no hash.
+    if not isinstance(value, str) or value not in JOB_SHAPES:
         raise MalformedError("shape: expected batch, daemon or group")
-    rank = data.get("rank")
-    if not isinstance(rank, str) or rank not in PRIORITY:
+    return JobShape(value)
+
+
+def _read_priority(value: Any) -> int:
+    if not isinstance(value, str) or value not in PRIORITY:
         raise MalformedError("rank: expected production, high, normal or best_effort")
-    task_count = whole(data.get("legs"), "legs")
+    return PRIORITY[value]
+
+
+def _read_task_count(value: Any) -> int:
+    task_count = whole(value, "legs")
     if not 1 <= task_count <= MAX_TASKS:
         raise MalformedError("legs: out of range")
+    return task_count
+
+
+def _read_resources(data: dict[str, Any]) -> Resources:
     resources = Resources(
-        _amount(data.get("vcpus"), "vcpus"),
-        _amount(data.get("gpus"), "gpus"),
-        _amount(data.get("memoryGb"), "memoryGb"),
+        _read_amount(data.get("vcpus"), "vcpus"),
+        _read_amount(data.get("gpus"), "gpus"),
+        _read_amount(data.get("memoryGb"), "memoryGb"),
     )
     if resources.cpus <= 0 and resources.gpus <= 0 and resources.memory <= 0:
         raise MalformedError("vcpus: a task that takes nothing")
-    machine_types = data.get("rigs")
-    if machine_types is not None:
-        if (
-            not isinstance(machine_types, list)
-            or not machine_types
-            or len(machine_types) > MAX_RIGS
-        ):
-            raise MalformedError("rigs: expected a list of names")
-        machine_types = tuple(
-            text(machine_type, "rigs", MAX_NAME) for machine_type in machine_types
-        )
-    yard = data.get("yard")
-    due = data.get("dueS")
-    return job, JobSpec(
-        team=text(data.get("crew"), "crew", MAX_NAME),
-        job_class=text(data.get("lane"), "lane", MAX_NAME),
-        service=shape == "daemon",
-        priority=PRIORITY[rank],
-        task_count=task_count,
-        resources=resources,
-        machine_types=machine_types,
-        zone=None if yard is None else text(yard, "yard", MAX_NAME),
-        together=flag(data.get("together"), "together"),
-        apart=flag(data.get("apart"), "apart"),
-        spot=flag(data.get("loaners"), "loaners"),
-        image=text(data.get("bundle"), "bundle", MAX_NAME),
-        image_gb=_amount(data.get("imageGb"), "imageGb"),
-        expected_duration=_seconds(data.get("expectedS"), "expectedS"),
-        checkpoint=_seconds(data.get("milestoneS"), "milestoneS"),
-        save=_seconds(data.get("stowS"), "stowS"),
-        due=None if due is None else _seconds(due, "dueS"),
-        gang=shape == "group",
-    )
+    return resources
 
 
-def can_run(spec: JobSpec, teams: dict[str, Team], machine_types: dict[str, MachineType]) -> None:
-    team = teams.get(spec.team)
-    if team is None:
-        raise NeverRunsError("unknown team")
-    # A service and a gang need all of their tasks at once, an array one at a time.
-    total = spec.resources.times(spec.task_count if spec.service or spec.gang else 1)
-    for want, most, name in (
-        (total.cpus, team.cpus_max, "vcpus"),
-        (total.gpus, team.gpus_max, "gpus"),
-    ):
-        if 0 < most < want - 1e-9:
-            raise NeverRunsError(f"more {name} than the team's limit")
-    fits = [
-        machine_type
-        for machine_type in machine_types.values()
-        if (spec.machine_types is None or machine_type.name in spec.machine_types)
-        and (spec.zone is None or spec.zone in machine_type.zones)
-        and spec.resources.cpus <= machine_type.capacity.cpus + 1e-9
-        and spec.resources.gpus <= machine_type.capacity.gpus + 1e-9
-        and spec.resources.memory <= machine_type.capacity.memory + 1e-9
-    ]
-    if not fits:
-        raise NeverRunsError("a task fits no allowed machine type")
-    zones = {
-        zone for machine_type in fits for zone in machine_type.zones if spec.zone in (None, zone)
-    }
-    if spec.apart and spec.task_count > 1 and (len(zones) < 2 or spec.together):
-        raise NeverRunsError("apart leaves no zone for the other half")
+def _read_machine_types(value: Any) -> tuple[str, ...] | None:
+    if value is None:
+        return None
+    if not isinstance(value, list) or not 1 <= len(value) <= MAX_MACHINE_TYPES:
+        raise MalformedError("rigs: expected a list of names")
+    return tuple(text(machine_type, "rigs", MAX_NAME_LENGTH) for machine_type in value)
+
+
+def _read_duration(value: Any, name: str) -> timedelta:
+    return timedelta(seconds=_read_amount(value, name, MAX_SECONDS))
+
+
+def _read_amount(value: Any, name: str, most: float = MAX_AMOUNT) -> float:
+    amount: float = number(value, name)
+    if amount > most:
+        raise MalformedError(f"{name}: too large")
+    return amount
--- a/roadbend/intake/test_intake.py
+++ b/roadbend/intake/test_intake.py
@@ -10,8 +10,10 @@
 from roadbend.fakes.submission import job
 from roadbend.fakes.world import MACHINE_TYPE, settings_for, world
 from roadbend.http.server import MalformedError
+from roadbend.intake.feasibility import NeverRunsError, can_run
+from roadbend.intake.final_states import FinalStateCache
 from roadbend.intake.limit import AdaptiveLimit
-from roadbend.intake.messages import NeverRunsError, can_run, read_submission
+from roadbend.intake.messages import JobState, JobStatus, read_submission
 
 NAN, INF = float("nan"), float("inf")
 
@@ -24,6 +26,7 @@
     {"id": None},
     {"shape": "gang"},
     {"shape": None},
+    {"shape": ["batch"]},
     {"rank": "urgent"},
     {"rank": ["high"]},
     {"legs": 0},
@@ -235,6 +238,15 @@
     assert limit.enter(1.0)
 
 
+def test_the_cache_of_final_states_is_bounded_and_drops_the_oldest():
+    cache = FinalStateCache(capacity=2)
+    for number in range(3):
+        cache.put(f"run-{number}", JobState(JobStatus.DONE, number))
+    assert cache.get("run-0") is None
+    assert cache.get("run-1") == JobState(JobStatus.DONE, 1)
+    assert cache.get("run-2") == JobState(JobStatus.DONE, 2)
+
+
 async def test_a_cancellation_races_a_start_and_wins():
     async with world() as w:
         for n in range(70, 90):
