--- a/tests/compatibility/adapter.py
+++ b/tests/compatibility/adapter.py
@@ -334,14 +334,7 @@
 WORDS: dict[str, Any] = {
     "recovery_phases": sorted(str(phase) for phase in PhaseName),
     "differences": sorted(str(kind) for kind in Kind),
-    "statuses": sorted(
-        [
-            user_messages.STATUS_PENDING,
-            user_messages.STATUS_RUNNING,
-            user_messages.STATUS_DONE,
-            user_messages.STATUS_ABORTED,
-        ]
-    ),
+    "statuses": sorted(status.value for status in user_messages.JobStatus),
     "priorities": records.PRIORITY,
 }
 CATALOG_KEY = keys.CATALOG_KEY
