--- a/roadbend/bidding/requester.py
+++ b/roadbend/bidding/requester.py
@@ -10,8 +10,9 @@
 
 from roadbend import clock
 from roadbend.bidding import casa, messages
-from roadbend.bidding.casa import Bid, Promises
+from roadbend.bidding.casa import Bid
 from roadbend.bidding.messages import BidRequest
+from roadbend.bidding.promises import Promises
 from roadbend.bidding.responder import Responder
 from roadbend.log import Log
 from roadbend.partitions.policy import rendezvous
@@ -346,13 +347,13 @@
         self, leader: PartitionLeader, bidder: Responder, job: Job, average: timedelta
     ) -> bool:
         """Says whether anybody bid."""
-        operator, partition, now = self._context.operator, leader.partition, clock.now()
+        operator, partition = self._context.operator, leader.partition
         unplaced = leader.queue.unplaced(job)
         whole = job.spec.together or job.spec.gang
         if not unplaced or (whole and unplaced != job.allocation.get(partition)):
             return True
         waited = max(clock.ZERO, clock.wall() - job.submitted_at)
-        theirs = bidder.estimate(job, now)
+        theirs = bidder.estimate_response_time(job)
         ask = BidRequest(
             job=job.id,
             requests=len(self._peers.links) + 1,
@@ -379,7 +380,7 @@
             min(casa.response_time(bid, operator.omega) for bid in bids)
             - job.spec.expected_duration
         )
-        stay = sum(1 for start in bidder.starts(job) if start <= soonest.total_seconds())
+        stay = sum(1 for start in bidder.start_times(job) if start <= soonest.total_seconds())
         if job.spec.gang:
             # It begins with its last task, and goes as a whole.
             stay = stay if stay == ranges.size(unplaced) else 0
--- a/roadbend/bidding/responder.py
+++ b/roadbend/bidding/responder.py
@@ -1,223 +1,196 @@
-"""A partition's answer to a request: the paper's times, and real fit on machines instead of
-totals."""
+"""The responder's side of CASA for one partition: bids, and what it expects for its own jobs.
 
+Times are the paper's. What a partition can take is counted on its machines, one by one, not by the
+paper's totals: these hide free capacity in pieces that are too small.
+"""
+
+from collections.abc import Sequence
 from datetime import datetime, timedelta
+from typing import NamedTuple
 
 from roadbend import clock
-from roadbend.autoscaler import policy as renting
-from roadbend.autoscaler.cloud import MAX_HIRED, MachineType
-from roadbend.bidding import casa
-from roadbend.bidding.casa import Bid, Promises
+from roadbend.bidding import casa, machine_fit
+from roadbend.bidding.casa import Bid
 from roadbend.bidding.messages import BidRequest
+from roadbend.bidding.promises import Promises
+from roadbend.bidding.scale_out import ClosedTypes, ScaleOut, ScaleOutOffer
 from roadbend.placement import forecast
-from roadbend.placement import policy as placing
+from roadbend.placement.forecast import MachineTimeline
 from roadbend.placement.leader import PartitionLeader
-from roadbend.placement.policy import FreeCapacity
+from roadbend.placement.policy import FreeCapacity, PendingTasks
 from roadbend.placement.queue_projection import QueueProjection
 from roadbend.store import ranges
 from roadbend.store.records import Job, JobSpec
 
+# How many tasks of a job a partition asks for although the job's team is at its limit.
+MIN_TEAM_TASKS = 2
+# The longest wait that an estimate states, in seconds.
+MAX_WAIT_SECONDS = 3600.0
+
+
+class _Prospect(NamedTuple):
+    """What a partition can do for a job."""
 
-def fetch_time(spec: JobSpec, machine_type: MachineType | None) -> timedelta:
-    return (
-        timedelta(seconds=spec.image_gb / machine_type.fetch_gb_per_s)
-        if machine_type
-        else clock.ZERO
-    )
+    # How many tasks it can start now, and how many it can take in all.
+    startable_now: int
+    capacity: int
+    # Seconds until the first task can start; `forecast.NEVER` if none can.
+    wait: float
+    # The machine on which that task starts; None for any that is up, and for one to be created.
+    timeline: MachineTimeline | None
+    scale_out: ScaleOutOffer | None
 
 
 class Responder:
-    """Bids for one partition while we own it."""
-
-    def __init__(self, leader: PartitionLeader, controller: str, closed, shadow: Promises):
-        self._leader, self._controller, self._closed, self._shadow = (
-            leader,
-            controller,
-            closed,
-            shadow,
-        )
+    """Bids for one partition that this controller leads."""
+
+    def __init__(
+        self, leader: PartitionLeader, controller: str, closed_types: ClosedTypes, shadow: Promises
+    ) -> None:
+        self._leader, self._controller, self._shadow = leader, controller, shadow
+        self._scale_out = ScaleOut(leader, closed_types)
+
+    def bid(self, request: BidRequest, now: datetime) -> Bid | None:
+        """Return the partition's bid, or None if it can't run the job: algorithm 2.
 
-    def bid(self, ask: BidRequest, now: datetime) -> Bid | None:
-        leader, spec = self._leader, ask.spec
+        The bid is a promise, which adds to the partition's shadow load. `now` is a steady instant.
+        """
+        leader, spec = self._leader, request.spec
         if spec.zone is not None and spec.zone != leader.partition:
             return None
-        job = Job(ask.job, spec, clock.wall())
-        dear = self._dear(job, ask)
+        job = Job(request.job, spec, clock.wall())
+        expensive = frozenset(self._scale_out.expensive_machine_types(job, request.waited))
         queue = leader.queue.lately()
-        own = sum(item.count for item in queue if item.job.id == ask.job)
-        # What queues here comes first: what is left after it can start the asked job now.
-        projection = leader.projections.of(spec.priority, frozenset(dear))
-        timelines = projection.timelines
-        cores, ready = projection.cores, projection.ready
-        now_count, when_booted = self._fitting(job, projection)
-        # All of a gang at once on machines' real free room, or it can't start now; of one that is
-        # to be apart, what one partition may run of it.
-        whole = spec.task_count if spec.gang and not spec.apart else 1
-        if now_count < whole:
-            now_count = 0
-        capacity = now_count + when_booted
-        wait, timeline = (0.0, None) if now_count else forecast.earliest(job, timelines)
-        could_rent = self._rent(job, ask, dear)
-        if could_rent is not None:
-            # What waits here and found no place calls for machines first.
-            waits = sum(item.count for item in queue) - projection.laid
-            capacity += max(0, could_rent[1] - waits)
-            if spec.gang:
-                # Wider than one request rents: more requests follow.
-                capacity = max(capacity, spec.task_count)
-            if could_rent[0] < wait:
-                wait, timeline = could_rent[0], None
-        if wait == forecast.NEVER:
+        # What waits here goes first: the job is offered what that leaves.
+        projection = leader.projections.of(spec.priority, expensive)
+        prospect = self._prospect(job, request, queue, projection, expensive)
+        if prospect.wait == forecast.NEVER:
             return None
-        # Slices fit the free room: what the team's limit or our own queue keeps waiting is not
-        # asked for, or a huge array would pile up here range by range. A gang is held whole by one
-        # partition, and queues there while its team is at its limit.
-        left = spec.task_count if spec.gang else self._team_left(job) - own
-        now_count, capacity = min(now_count, left), min(max(capacity, 0 if own else 1), left)
-        if capacity <= 0 or capacity < whole:
+        prospect = self._limit(job, prospect, queue)
+        if prospect.capacity <= 0 or prospect.capacity < _tasks_at_once(spec):
             return None
-        if timeline is not None:
-            fetch = timedelta(seconds=timeline.capacity.fetch(spec.image, spec.image_gb))
-        elif could_rent is not None and not now_count:
-            fetch = fetch_time(spec, could_rent[2])
-        else:
-            fetch = (
-                clock.ZERO
-                if self._cached(job, ready)
-                else fetch_time(spec, self._fastest(job, ready))
-            )
-        load = sum(casa.job_load(item.job.spec, item.count) for item in queue)
+        fetch = self._fetch_time(job, prospect, projection.ready)
+        queue_load = sum(casa.job_load(item.job.spec, item.count) for item in queue)
         bid = Bid(
             partition=leader.partition,
             controller=self._controller,
-            job_time=spec.expected_duration + fetch + timedelta(seconds=wait),
-            queue_time=casa.load_time(load, cores),
-            shadow_time=casa.load_time(self._shadow.load(now), cores),
-            startable_now=now_count,
-            capacity=capacity,
-        )
-        self._shadow.add(
-            ask.job, casa.job_load(spec, min(ask.tasks, max(1, capacity))), ask.requests, now
+            job_time=spec.expected_duration + fetch + timedelta(seconds=prospect.wait),
+            queue_time=casa.load_time(queue_load, projection.cores),
+            shadow_time=casa.load_time(self._shadow.load(now), projection.cores),
+            startable_now=prospect.startable_now,
+            capacity=prospect.capacity,
         )
+        promised = casa.job_load(spec, min(request.tasks, max(1, prospect.capacity)))
+        self._shadow.add(request.job, promised, request.requests, now)
         return bid
 
     def average_queuing(self, now: datetime) -> timedelta:
-        """Definition 4 for this partition: of those that wait, else of those that were started."""
+        """Return the partition's average queuing time (definition 4).
+
+        Jobs whose tasks were started count as the paper's executed jobs.
+        """
         leader = self._leader
         waiting = [now - leader.queued.get(item.job.id, now) for item in leader.queue.lately()]
         return casa.average_queuing(waiting, list(leader.waits))
 
-    def estimate(self, job: Job, now: datetime) -> timedelta:
-        """What this partition itself expects for a job that waits here: its run, and when the last
-        of what waits can start; a slice is not over before its last task is."""
-        leader = self._leader
-        starts = self.starts(job)
-        start = starts[-1] if starts else forecast.NEVER
-        choices = renting.options(
-            leader.context.machine_types.values(), leader.partition, self._closed()
-        )
-        option = renting.cheapest(
-            placing.PendingTasks(job, ((0, 1),), False),
-            choices,
-            leader.partition,
-            job.spec.task_count,
-        )
-        if option is not None:
-            start = min(start, option.machine_type.startup.total_seconds())
-        return job.spec.expected_duration + timedelta(seconds=min(start, 3600.0))
+    def estimate_response_time(self, job: Job) -> timedelta:
+        """Return the response time that the partition expects for a job that waits in it.
 
-    def starts(self, job: Job) -> list[float]:
-        """When the tasks that wait here would begin, in seconds; never, for those beyond the
-        forecast."""
-        leader = self._leader
-        starts = leader.projections.of(0, frozenset()).starts.get(job.id, [])
-        return sorted(starts) + [forecast.NEVER] * (
-            ranges.size(leader.queue.unplaced(job)) - len(starts)
-        )
+        That is the job's duration, and the wait until the last of its waiting tasks can start: a
+        slice is not over before its last task is.
+        """
+        starts = self.start_times(job)
+        wait = starts[-1] if starts else forecast.NEVER
+        startup = self._scale_out.startup_for(job)
+        if startup is not None:
+            wait = min(wait, startup)
+        return job.spec.expected_duration + timedelta(seconds=min(wait, MAX_WAIT_SECONDS))
 
-    def _team_left(self, job: Job) -> int:
-        left = self._leader.context.room_left(job.spec, self._leader.partition)
-        # A full team's jobs queue all the same, a few tasks at a time.
-        return max(left, 2)
-
-    def _dear(self, job: Job, ask: BidRequest) -> set[str]:
-        """Machine types that a service should not settle on, for as long as it can wait: it would
-        hold a machine that costs much more a task than another type does."""
-        if not job.spec.service:
-            return set()
-        context = self._leader.context
-        boot = max(
-            (machine_type.startup for machine_type in context.machine_types.values()),
-            default=clock.ZERO,
-        )
-        if ask.waited >= context.patience(job.spec, boot):
-            return set()
-        return renting.expensive_machine_types(
-            job, context.machine_types.values(), context.operator.dear, self._leader.partition
-        )
+    def start_times(self, job: Job) -> list[float]:
+        """Return when the job's tasks that wait here would start, in seconds from now, ascending.
 
-    def _fitting(self, job: Job, projection: QueueProjection) -> tuple[int, int]:
-        """How many tasks of a job fit on the machines that are up, and on those that boot."""
-        if job.id not in self._leader.avoid:
-            return projection.fitting(job)
-        booting = [
-            timeline.capacity for timeline in projection.timelines if timeline.capacity.ready_in > 0
-        ]
-        return self._fit(job, projection.ready), self._fit(job, booting)
-
-    def _fit(self, job: Job, capacities: list[FreeCapacity]) -> int:
-        return sum(
-            capacity.count(job.spec.resources)
-            for capacity in capacities
-            if placing.allowed(job, capacity.machine_type, capacity.zone, capacity.spot)
-            and capacity.id not in self._leader.avoid.get(job.id, ())
+        For tasks beyond the forecast that is `forecast.NEVER`.
+        """
+        leader = self._leader
+        known = leader.projections.of(0, frozenset()).starts.get(job.id, [])
+        unknown = ranges.size(leader.queue.unplaced(job)) - len(known)
+        return sorted(known) + [forecast.NEVER] * unknown
+
+    def _prospect(
+        self,
+        job: Job,
+        request: BidRequest,
+        queue: Sequence[PendingTasks],
+        projection: QueueProjection,
+        expensive: frozenset[str],
+    ) -> _Prospect:
+        """Return what machines allow: those that there are, and those that could be created."""
+        startable_now, fit_on_booting = machine_fit.count_fitting(self._leader, job, projection)
+        if startable_now < _tasks_at_once(job.spec):
+            startable_now = 0
+        capacity = startable_now + fit_on_booting
+        wait, timeline = (
+            (0.0, None) if startable_now else forecast.earliest(job, projection.timelines)
         )
-
-    def _cached(self, job: Job, capacities: list[FreeCapacity]) -> bool:
-        return any(
-            job.spec.image in capacity.images and self._fit(job, [capacity])
-            for capacity in capacities
+        scale_out = self._scale_out.offer(job, request, expensive)
+        if scale_out is not None:
+            # What waits here and found no place calls for machines first.
+            displaced = sum(item.count for item in queue) - projection.laid
+            capacity += max(0, scale_out.capacity - displaced)
+            if job.spec.gang:
+                # A gang may be wider than what one request creates: more requests follow.
+                capacity = max(capacity, job.spec.task_count)
+            if scale_out.startup < wait:
+                wait, timeline = scale_out.startup, None
+        return _Prospect(startable_now, capacity, wait, timeline, scale_out)
+
+    def _limit(self, job: Job, prospect: _Prospect, queue: Sequence[PendingTasks]) -> _Prospect:
+        """Limit a prospect to what the job's team may start here.
+
+        A slice fits the free capacity: what the team's quota or the partition's own queue keeps
+        waiting is not asked for, or a huge array would pile up here range by range. A gang is held
+        whole by one partition, and queues there while its team is at its quota.
+        """
+        waiting_here = sum(item.count for item in queue if item.job.id == job.id)
+        spec = job.spec
+        limit = spec.task_count if spec.gang else self._team_limit(spec) - waiting_here
+        # A job that doesn't wait here yet may queue with one task.
+        capacity = max(prospect.capacity, 0 if waiting_here else 1)
+        return prospect._replace(
+            startable_now=min(prospect.startable_now, limit), capacity=min(capacity, limit)
         )
 
-    def _rent(
-        self, job: Job, ask: BidRequest, dear: set[str]
-    ) -> tuple[float, int, MachineType] | None:
-        """Boot time, places and type of the cheapest machine that we believe we can hire.
-
-        A partition that could only hire dearly leaves a job to those who can do it cheaply, for as
-        long as the job can wait: the paper's acceptance takes the responder's own preferences into
-        account."""
-        leader, operator = self._leader, self._leader.context.operator
-        machine_types = leader.context.machine_types.values()
-        choices = [
-            o
-            for o in renting.options(machine_types, leader.partition, self._closed())
-            if o.machine_type.name not in dear
-        ]
-        item = placing.PendingTasks(job, ((0, 1),), False)
-        option = renting.cheapest(item, choices, leader.partition, ask.tasks)
-        if option is None:
-            return None
-        price = renting.cost(item, option, leader.partition, ask.tasks)
-        least = renting.least_cost(item, machine_types, ask.tasks)
-        if price > least * operator.dear and ask.waited < operator.dear_wait:
-            return None
-        places = renting.empty_room("", option, leader.partition).count(job.spec.resources)
-        # As many as one request hires; where the cloud has fewer, it says so and the type is closed
-        # here.
-        return option.machine_type.startup.total_seconds(), places * MAX_HIRED, option.machine_type
-
-    def _fastest(self, job: Job, capacities: list[FreeCapacity]) -> MachineType | None:
-        machine_types = self._leader.context.machine_types
-        fitting = [
-            machine_types[r.machine_type]
-            for r in capacities
-            if r.machine_type in machine_types and self._fit(job, [r])
-        ]
-        if not fitting:
-            fitting = [
-                machine_type
-                for machine_type in machine_types.values()
-                if self._leader.partition in machine_type.zones
-            ]
-        return max(fitting, key=lambda machine_type: machine_type.fetch_gb_per_s, default=None)
+    def _team_limit(self, spec: JobSpec) -> int:
+        """Return how many tasks of a job its team may start here.
+
+        The jobs of a team at its quota queue all the same, a few tasks at a time.
+        """
+        room = self._leader.context.room_left(spec, self._leader.partition)
+        return max(room, MIN_TEAM_TASKS)
+
+    def _fetch_time(
+        self, job: Job, prospect: _Prospect, ready: Sequence[FreeCapacity]
+    ) -> timedelta:
+        """Return how long the machine on which the first task starts takes to fetch its image.
+
+        `ready` are the machines that are up.
+        """
+        leader, spec = self._leader, job.spec
+        if prospect.timeline is not None:
+            capacity = prospect.timeline.capacity
+            return timedelta(seconds=capacity.fetch(spec.image, spec.image_gb))
+        if prospect.scale_out is not None and not prospect.startable_now:
+            return machine_fit.fetch_time(spec, prospect.scale_out.machine_type)
+        if machine_fit.has_image(leader, job, ready):
+            return clock.ZERO
+        fastest = machine_fit.fastest_fetching_type(leader, job, ready)
+        return machine_fit.fetch_time(spec, fastest)
+
+
+def _tasks_at_once(spec: JobSpec) -> int:
+    """Return how many tasks of a job a partition must start at once, or start none.
+
+    A gang goes to the free capacity of one partition whole; of one with anti-affinity a partition
+    may run but a share.
+    """
+    return spec.task_count if spec.gang and not spec.apart else 1
--- a/roadbend/bidding/test_casa.py
+++ b/roadbend/bidding/test_casa.py
@@ -6,7 +6,8 @@
 
 from roadbend import clock
 from roadbend.bidding import casa, messages
-from roadbend.bidding.casa import Bid, Promises
+from roadbend.bidding.casa import Bid
+from roadbend.bidding.promises import Promises
 from roadbend.fakes.submission import job
 from roadbend.intake.messages import read_submission
 from roadbend.store import ranges
