--- a/roadbend/bidding/machine_fit.py
+++ b/roadbend/bidding/machine_fit.py
@@ -8,9 +8,9 @@
 
 from roadbend import clock
 from roadbend.autoscaler.cloud import MachineType
-from roadbend.placement import policy
+from roadbend.placement import free_capacity
+from roadbend.placement.free_capacity import FreeCapacity
 from roadbend.placement.leader import PartitionLeader
-from roadbend.placement.policy import FreeCapacity
 from roadbend.placement.queue_projection import QueueProjection
 from roadbend.store.records import Job, JobSpec
 
@@ -32,7 +32,7 @@
     return sum(
         capacity.count(job.spec.resources)
         for capacity in capacities
-        if policy.allowed(job, capacity.machine_type, capacity.zone, capacity.spot)
+        if free_capacity.allowed(job, capacity.machine_type, capacity.zone, capacity.spot)
         and capacity.id not in leader.avoid.get(job.id, ())
     )
 
--- a/roadbend/bidding/responder.py
+++ b/roadbend/bidding/responder.py
@@ -16,8 +16,9 @@
 from roadbend.bidding.scale_out import ClosedTypes, ScaleOut, ScaleOutOffer
 from roadbend.placement import forecast
 from roadbend.placement.forecast import MachineTimeline
+from roadbend.placement.free_capacity import FreeCapacity
 from roadbend.placement.leader import PartitionLeader
-from roadbend.placement.policy import FreeCapacity, PendingTasks
+from roadbend.placement.queue_order import PendingTasks
 from roadbend.placement.queue_projection import QueueProjection
 from roadbend.store import ranges
 from roadbend.store.records import Job, JobSpec
--- a/roadbend/bidding/scale_out.py
+++ b/roadbend/bidding/scale_out.py
@@ -9,7 +9,7 @@
 from roadbend.autoscaler.cloud import MAX_HIRED, MachineType
 from roadbend.bidding.messages import BidRequest
 from roadbend.placement.leader import PartitionLeader
-from roadbend.placement.policy import PendingTasks
+from roadbend.placement.queue_order import PendingTasks
 from roadbend.store.records import Job
 
 # Machine types, and whether as spot machines, that the cloud refuses in a partition for now.
