--- a/roadbend/autoscaler/cloud.py
+++ b/roadbend/autoscaler/cloud.py
@@ -7,11 +7,11 @@
 
 from roadbend import clock
 from roadbend.errors import RoadbendError
-from roadbend.fleet.messages import number, text
 from roadbend.http.client import Client, NoAnswerError
 from roadbend.http.server import MalformedError
 from roadbend.store.records import Resources
 from roadbend.store.request_budget import SharedTokenBucket
+from roadbend.wire_values import number, text
 
 # Most names that one deletion takes, and most machines that one request hires.
 MAX_NAMES = 100
--- a/roadbend/fleet/direct_commands.py
+++ b/roadbend/fleet/direct_commands.py
@@ -9,6 +9,7 @@
 from roadbend import clock
 from roadbend.fleet import messages
 from roadbend.fleet.machines import DirectStart, Machine
+from roadbend.fleet.messages import StartTask, StopTask, WorkerOrder
 from roadbend.fleet.terminations import TaskKey
 from roadbend.http.client import Client, NoAnswerError
 from roadbend.http.net import Net
@@ -47,22 +48,24 @@
         # however many hang, what waits here is bounded by the machines.
         self._stopping: set[str] = set()
 
-    async def _send_kills(self, leader: PartitionLeader, machine: str, orders: list[dict]) -> None:
+    async def _send_kills(
+        self, leader: PartitionLeader, machine: str, orders: list[WorkerOrder]
+    ) -> None:
         self._stopping.add(machine)
         try:
             await self.command(leader, machine, orders)
         finally:
             self._stopping.discard(machine)
 
-    async def command(self, leader: PartitionLeader, machine: str, orders: list[dict]) -> None:
+    async def command(
+        self, leader: PartitionLeader, machine: str, orders: list[WorkerOrder]
+    ) -> None:
         target = leader.machines.get(machine)
         if target is None:
             return
-        body = {
-            "baton": leader.heartbeats.token(target),
-            "stint": target.position[0],
-            "orders": orders,
-        }
+        body = messages.direct_command(
+            leader.heartbeats.token(target), target.position.epoch, orders
+        )
         client = Client(self._net, target.address, most=1, keep=0)
         try:
             async with self._direct:
@@ -114,13 +117,13 @@
                 or not election.may_start(now)
             ):
                 return
-            epoch = machine.position[0]
+            epoch = machine.position.epoch
             for key, attempt in rows:
                 machine.direct[key] = DirectStart(attempt.number, epoch)
             machine.unchanged_version = None
             machine.lease_started_at = now
-            orders = [messages.run(*key, attempt.number) for key, attempt in rows]
-            body = {"baton": leader.heartbeats.token(machine), "stint": epoch, "orders": orders}
+            orders = [StartTask(*key, attempt.number) for key, attempt in rows]
+            body = messages.direct_command(leader.heartbeats.token(machine), epoch, orders)
             client, heartbeat = Client(self._net, machine.address, most=1, keep=0), None
             try:
                 status, answer = await client.request(
@@ -154,11 +157,7 @@
         for _ in range(FENCE_TRIES):
             if leader.machines.get(machine.id) is not machine or machine.token_confirmed:
                 return
-            body = {
-                "baton": leader.heartbeats.token(machine),
-                "stint": machine.position[0],
-                "orders": [],
-            }
+            body = messages.direct_command(leader.heartbeats.token(machine), machine.position.epoch)
             client = Client(self._net, machine.address, most=1, keep=0)
             try:
                 async with self._direct:
@@ -177,7 +176,7 @@
             if len(sent) > MAX_SENT:
                 sent = {k: at for k, at in sent.items() if now - at < SENT_FOR}
             for leader in list(self._leaders.values()):
-                orders: dict[str, list[dict]] = {}
+                orders: dict[str, list[WorkerOrder]] = {}
                 with leader.lock:
                     leader.stop_dead(now)
                     for key, stop in leader.stops.items():
@@ -189,9 +188,8 @@
                             continue
                         if stop.machine in leader.machines:
                             sent[mark] = now
-                            grace = stop.grace.total_seconds()
                             orders.setdefault(stop.machine, []).append(
-                                messages.kill(*key, stop.attempt, grace)
+                                StopTask(*key, stop.attempt, stop.grace)
                             )
                 for machine, rows in orders.items():
                     nursery.start_soon(self._send_kills, leader, machine, rows)
--- a/roadbend/fleet/heartbeat_evaluation.py
+++ b/roadbend/fleet/heartbeat_evaluation.py
@@ -9,9 +9,18 @@
 from dataclasses import dataclass
 from datetime import datetime, timedelta
 
-from roadbend.fleet import messages
+from roadbend import clock
 from roadbend.fleet.machines import Machine, ObservedTask, StopOrder
-from roadbend.fleet.messages import TaskStatus, WorkerHeartbeat
+from roadbend.fleet.messages import (
+    EndCause,
+    ForgetTask,
+    StartTask,
+    StopTask,
+    TaskState,
+    TaskStatus,
+    WorkerHeartbeat,
+    WorkerOrder,
+)
 from roadbend.fleet.terminations import TaskKey, Termination, Terminations
 from roadbend.log import Log
 from roadbend.store import ranges
@@ -46,7 +55,7 @@
     token: int,
     expected: MachineExpectation,
     now: datetime,
-) -> list[dict]:
+) -> list[WorkerOrder]:
     """Gives the orders for the response to a machine's latest report. Notes in `expected.ended`
     what it proves."""
     recorded, stops, ended = expected.recorded, expected.stops, expected.ended
@@ -55,7 +64,7 @@
     machine.address = heartbeat.address
     if heartbeat.notice is not None:
         machine.reclaim_at = now + timedelta(seconds=heartbeat.notice)
-    orders: list[dict] = []
+    orders: list[WorkerOrder] = []
     seen: dict[TaskKey, ObservedTask] = {}
     machine.unrecorded_tasks = 0
     for task in heartbeat.tasks:
@@ -67,7 +76,7 @@
                 orders.append(order)
             continue
         seen[key] = _see(machine, task, now)
-        if task.state == "ended":
+        if task.state == TaskState.ENDED:
             if machine.settled(key, task.attempt, heartbeat, current):
                 _note_end(machine, task, current, ended)
             continue
@@ -85,7 +94,7 @@
         if wanted and expected.may_start:
             # Write-ahead has been done. Repeating an order is harmless: the worker ignores what it
             # holds, and this attempt has not been forgotten while it is in the records.
-            orders.append(messages.run(job_slice.job, key[1], attempt.number))
+            orders.append(StartTask(job_slice.job, key[1], attempt.number))
         elif current and not wanted and machine.settled(key, attempt.number, heartbeat, current):
             ended.note(key, Termination(attempt.number, machine.id, False, "absent"))
     machine.tasks = seen
@@ -107,14 +116,14 @@
 
 def _order_for_unrecorded(
     machine: Machine, task: TaskStatus, expected: MachineExpectation
-) -> dict | None:
+) -> WorkerOrder | None:
     """A task that is not in the records (any more): its end has been recorded, or it never should
     have been, or the records have lost it."""
     if expected.keeps_unrecorded(task):
         machine.unrecorded_tasks += 1
         return None
-    if task.state == "ended":
-        return messages.forget(task.job, task.task_index, task.attempt)
+    if task.state == TaskState.ENDED:
+        return ForgetTask(task.job, task.task_index, task.attempt)
     machine.unrecorded_tasks += 1
     recorded = expected.recorded_attempt(TaskKey(task.job, task.task_index))
     log.warning(
@@ -128,7 +137,7 @@
         recorded_attempt=recorded.number if recorded is not None else None,
         recorded_machine=recorded.machine if recorded is not None else None,
     )
-    return messages.kill(task.job, task.task_index, task.attempt, 0)
+    return StopTask(task.job, task.task_index, task.attempt)
 
 
 def _see(machine: Machine, task: TaskStatus, now: datetime) -> ObservedTask:
@@ -136,7 +145,7 @@
     before = machine.tasks.get((task.job, task.task_index))
     known = before if before and before.attempt == task.attempt else None
     running_since = known.running_since if known else None
-    if task.state in ("running", "flushing") and running_since is None:
+    if task.state in (TaskState.RUNNING, TaskState.FLUSHING) and running_since is None:
         running_since = now
     since = known.since if known is not None and known.state == task.state else now
     return ObservedTask(task.attempt, task.state, since, running_since)
@@ -145,14 +154,14 @@
 def _note_end(machine: Machine, task: TaskStatus, current: bool, ended: Terminations) -> None:
     """`done` stays true however old the report; any other end needs the proof of a current one."""
     key = TaskKey(task.job, task.task_index)
-    if task.cause == "done":
-        ended.note(key, Termination(task.attempt, machine.id, True, "done"))
+    if task.cause == EndCause.DONE:
+        ended.note(key, Termination(task.attempt, machine.id, True, EndCause.DONE))
     elif current:
         ended.note(key, Termination(task.attempt, machine.id, False, task.cause or "ended"))
 
 
-def _kill(task: TaskStatus, stop: StopOrder, shown_for: timedelta) -> dict:
+def _kill(task: TaskStatus, stop: StopOrder, shown_for: timedelta) -> StopTask:
     """A task that saves for longer than it was given is ended by a kill without grace."""
-    stuck = task.state == "flushing" and shown_for > stop.grace + SAVE_MARGIN
-    grace = 0.0 if stuck else stop.grace.total_seconds()
-    return messages.kill(task.job, task.task_index, task.attempt, grace)
+    stuck = task.state == TaskState.FLUSHING and shown_for > stop.grace + SAVE_MARGIN
+    grace = clock.ZERO if stuck else stop.grace
+    return StopTask(task.job, task.task_index, task.attempt, grace)
--- a/roadbend/fleet/machines.py
+++ b/roadbend/fleet/machines.py
@@ -3,7 +3,12 @@
 from dataclasses import dataclass, field
 from datetime import datetime, timedelta
 
-from roadbend.fleet.messages import WorkerHeartbeat
+from roadbend.fleet.messages import (
+    NO_HEARTBEAT_YET,
+    HeartbeatPosition,
+    UnreadTasks,
+    WorkerHeartbeat,
+)
 from roadbend.fleet.terminations import TaskKey
 
 
@@ -26,7 +31,7 @@
 
     attempt: int
     epoch: int
-    acknowledged_position: tuple[int, int] | None = None
+    acknowledged_position: HeartbeatPosition | None = None
     fenced: bool = False
 
 
@@ -39,7 +44,7 @@
     machine_type: str
     zone: str
     spot: bool
-    position: tuple[int, int] = (0, -1)
+    position: HeartbeatPosition = NO_HEARTBEAT_YET
     last_heartbeat_at: datetime | None = None
     # Its lease counts from no later than this: when the last report came that is or may be
     # answered with 200, for a lease counts from when that report was sent; or when the last direct
@@ -58,7 +63,7 @@
     suspected: bool = False
     # The tasks as the last report had them, and the count of recorded changes then, if all was in
     # order.
-    reported_tasks: list | None = None
+    reported_tasks: UnreadTasks | None = None
     unchanged_version: int | None = None
     # What the records leave free on it, and the mark of the records that this was worked out from.
     free: tuple[int, float, float, float] | None = None
@@ -85,9 +90,9 @@
         self.take_in(heartbeat.position, now)
         return True
 
-    def take_in(self, order: tuple[int, int], now: datetime) -> None:
+    def take_in(self, position: HeartbeatPosition, now: datetime) -> None:
         """The count of a newer report; it is, or may be, answered."""
-        self.position = order
+        self.position = position
         self.lease_started_at = now
 
     def is_latest(self, heartbeat: WorkerHeartbeat) -> bool:
@@ -124,8 +129,8 @@
         for row in self.direct.values():
             row.fenced = True
 
-    def restart(self, order: tuple[int, int]) -> None:
-        self.position, self.incarnation = order, self.incarnation + 1
+    def restart(self, position: HeartbeatPosition) -> None:
+        self.position, self.incarnation = position, self.incarnation + 1
         self.token_confirmed = self.newly_created = self.suspected = False
         for row in self.direct.values():
             row.fenced, row.epoch = True, 1 << 64
--- a/roadbend/fleet/service.py
+++ b/roadbend/fleet/service.py
@@ -10,6 +10,7 @@
 from roadbend.fleet.cloud_inventory import CloudInventory
 from roadbend.fleet.direct_commands import DirectCommands
 from roadbend.fleet.failure_detector import FailureDetector
+from roadbend.fleet.messages import HeartbeatPosition
 from roadbend.fleet.zone_reachability import ZoneReachability
 from roadbend.http.net import Net
 from roadbend.http.server import MalformedError, Request, Response, decode
@@ -38,7 +39,9 @@
         self._peers, self._context, self._leaders = peers, context, leaders
         # Reports of partitions that we don't own, lately: partition -> machine -> when, and which
         # it was.
-        self._foreign_heartbeats: dict[str, OrderedDict[str, tuple[datetime, tuple[int, int]]]] = {}
+        self._foreign_heartbeats: dict[
+            str, OrderedDict[str, tuple[datetime, HeartbeatPosition]]
+        ] = {}
         self.inventory = CloudInventory()
         self.reachability = ZoneReachability(context, self.inventory)
         self.commands = DirectCommands(context, net, leaders)
@@ -51,7 +54,7 @@
         election = self._context.election
         try:
             data = decode(request.body)
-            leader = self._leaders.get(data.get("yard")) if isinstance(data, dict) else None
+            leader = self._leaders.get(messages.sender_zone(data))
             if (
                 leader is not None
                 and election.leadership(leader.partition) == leader.leadership
@@ -59,7 +62,7 @@
             ):
                 token = leader.heartbeats.answer_unchanged(data, now)
                 if token is not None:
-                    return Response(200, {"baton": token, "orders": []})
+                    return Response(200, messages.heartbeat_answer(token))
             heartbeat = messages.parse_heartbeat(data)
         except (MalformedError, TypeError) as error:
             return Response(400, {"error": str(error)[:200]})
@@ -73,7 +76,7 @@
                 # It waited for what the report called for; what we may answer is judged when the
                 # answer goes out.
                 return Response(503, {"error": "no state"})
-            return Response(200, {"baton": answer[0], "orders": answer[1]})
+            return Response(200, messages.heartbeat_answer(*answer))
         if heartbeat.zone not in election.partitions():
             return Response(503, {"error": "no such part"})
         heard = self._foreign_heartbeats.setdefault(heartbeat.zone, OrderedDict())
@@ -87,7 +90,7 @@
         owner = election.leader_of(heartbeat.zone)
         if owner is None or owner == self._context.settings.name:
             return Response(503, {"error": "no owner yet"})
-        return Response(421, {"dispatcher": owner})
+        return Response(421, messages.redirect(owner))
 
     def heard(self, now: datetime) -> dict[str, tuple[str, ...]]:
         out = {}
--- a/roadbend/fleet/test_machines.py
+++ b/roadbend/fleet/test_machines.py
@@ -72,7 +72,8 @@
 
 
 def verbs(orders):
-    return [(o["verb"], o["leg"], o["try"]) for o in orders]
+    rows = [messages.order_to_wire(order) for order in orders]
+    return [(row["verb"], row["leg"], row["try"]) for row in rows]
 
 
 def test_what_was_ordered_directly_is_gone_only_when_the_order_is_settled():
@@ -147,10 +148,10 @@
     desk = Desk()
     desk.stops[KEY] = StopOrder(70, timedelta(seconds=3), "preempted", NOW, "m-1")
     first = desk.take(tasks=[("run-000001/0", 70, "flushing", None)])
-    assert first[0]["windDownS"] == 3.0
+    assert messages.order_to_wire(first[0])["windDownS"] == 3.0
     desk.machine.tasks[KEY].since -= timedelta(seconds=10)
     again = desk.take(sequence=6, tasks=[("run-000001/0", 70, "flushing", None)])
-    assert again[0]["windDownS"] == 0.0
+    assert messages.order_to_wire(again[0])["windDownS"] == 0.0
 
 
 def test_a_task_moved_elsewhere_is_not_ordered_again():
--- a/roadbend/placement/heartbeats.py
+++ b/roadbend/placement/heartbeats.py
@@ -9,9 +9,9 @@
 import trio
 
 from roadbend import clock
-from roadbend.fleet import heartbeat_evaluation
+from roadbend.fleet import heartbeat_evaluation, messages
 from roadbend.fleet.machines import Machine
-from roadbend.fleet.messages import WorkerHeartbeat
+from roadbend.fleet.messages import HeartbeatPosition, WorkerHeartbeat, WorkerOrder
 from roadbend.log import Log
 from roadbend.placement import gangs
 from roadbend.store import records
@@ -44,29 +44,26 @@
         orders by comparing it with the last one. Gives the token to answer with; None: it must be
         looked at."""
         leader = self._leader
-        machine = (
-            leader.machines.get(data.get("hitch")) if isinstance(data.get("hitch"), str) else None
-        )
+        name = messages.sender_machine(data)
+        machine = leader.machines.get(name) if name is not None else None
         if machine is None or machine.unchanged_version is None:
             return None
-        epoch, sequence = data.get("stint"), data.get("tick")
+        token = self.token(machine)
+        position = messages.unchanged_position(
+            data,
+            previous=machine.position,
+            token=token,
+            reported_tasks=machine.reported_tasks,
+            address=machine.address,
+        )
         machine_versions = leader.context.view.machine_versions.get(leader.partition, {})
-        if (
-            type(epoch) is not int
-            or type(sequence) is not int
-            or not machine.position < (epoch, sequence) < (machine.position[0], 1 << 64)
-            or data.get("baton") != self.token(machine)
-            or data.get("recallS") is not None
-            or data.get("legs") != machine.reported_tasks
-            or data.get("address") != machine.address
-            or machine_versions.get(machine.id, 0) != machine.unchanged_version
-        ):
+        if position is None or machine_versions.get(machine.id, 0) != machine.unchanged_version:
             return None
-        machine.take_in((epoch, sequence), now)
+        machine.take_in(position, now)
         machine.note_heartbeat(now, leader.context.settings.heartbeat_interval)
-        return self.token(machine)
+        return token
 
-    async def handle(self, heartbeat: WorkerHeartbeat) -> tuple[int, list[dict]] | None:
+    async def handle(self, heartbeat: WorkerHeartbeat) -> tuple[int, list[WorkerOrder]] | None:
         """Token and orders for the response; None for a report that is not newer than what we had.
 
         What a report brings may call for orders: room came free, a machine came up. Its response
@@ -163,7 +160,7 @@
         )
 
     def _note_unchanged(
-        self, machine: Machine, heartbeat: WorkerHeartbeat, orders: list[dict]
+        self, machine: Machine, heartbeat: WorkerHeartbeat, orders: list[WorkerOrder]
     ) -> None:
         leader = self._leader
         machine.reported_tasks = heartbeat.reported_tasks
@@ -183,7 +180,9 @@
         else:
             machine.unchanged_version = None
 
-    def _orders(self, machine: Machine, heartbeat: WorkerHeartbeat, now: datetime) -> list[dict]:
+    def _orders(
+        self, machine: Machine, heartbeat: WorkerHeartbeat, now: datetime
+    ) -> list[WorkerOrder]:
         leader = self._leader
         recorded = leader.by_machine().get(machine.id, {})
         for key, (_, attempt) in recorded.items():
@@ -206,7 +205,7 @@
         self._learn(machine, recorded, now)
         return orders
 
-    def begin_incarnation(self, machine: Machine, order: tuple[int, int]) -> None:
+    def begin_incarnation(self, machine: Machine, position: HeartbeatPosition) -> None:
         """The machine itself has shown that it began anew: what its former life said proves nothing
         any more, and what it held is gone only once a report of this life under its own token lacks
         it."""
@@ -218,7 +217,7 @@
                 machine=machine.id,
                 incarnation=machine.incarnation + 1,
             )
-            machine.restart(order)
+            machine.restart(position)
         leader.wake_up.set()
 
     def _evacuate(self, machine: Machine, recorded: MachineAttempts, now: datetime) -> None:
