--- a/tests/compatibility/adapter.py
+++ b/tests/compatibility/adapter.py
@@ -549,16 +549,20 @@
     }
 
 
-_ORDERS: dict[str, Callable[..., Fields]] = {
-    "run": worker_messages.run,
-    "kill": worker_messages.kill,
-    "forget": worker_messages.forget,
+_ORDERS: dict[str, Callable[..., worker_messages.WorkerOrder]] = {
+    "run": worker_messages.StartTask,
+    "kill": worker_messages.StopTask,
+    "forget": worker_messages.ForgetTask,
 }
 
 
-def write_order(verb: str, *arguments: Any) -> Fields:
-    """An order for a machine."""
-    return _ORDERS[verb](*arguments)
+def write_order(verb: str, job: str, task: int, attempt: int, *grace_s: float) -> Fields:
+    """An order for a machine. An integer 0 as grace is what an attempt that no record names gets;
+    every other grace is written as a decimal number."""
+    grace = [
+        None if seconds == 0 and type(seconds) is int else _length(seconds) for seconds in grace_s
+    ]
+    return worker_messages.order_to_wire(_ORDERS[verb](job, task, attempt, *grace))
 
 
 def submission(number: int, **changes: Any) -> Fields:
