--- a/roadbend/autoscaler/policy.py
+++ b/roadbend/autoscaler/policy.py
@@ -6,7 +6,7 @@
 from datetime import datetime, timedelta
 
 from roadbend.autoscaler.cloud import MachineType
-from roadbend.placement.forecast import MachineTimeline, ScheduleProjection, StartCandidates
+from roadbend.placement.forecast import NEVER, MachineTimeline, ScheduleProjection, StartCandidates
 from roadbend.placement.free_capacity import FreeCapacity, allowed, min_resources
 from roadbend.placement.queue_order import PendingTasks
 from roadbend.store.records import Job
@@ -232,7 +232,7 @@
             if most <= 0:
                 return out
             most -= 1
-            begin, _, timeline = rows.best()
+            begin, created = rows.next_run(), False
             if begin > slack:
                 # Of a gang the last task counts: machines are hired for all of it.
                 if at == 0 or option is not None or spec.gang:
@@ -249,15 +249,15 @@
                         capacity.ready_in + capacity.fetch(spec.image, timing.image_gb)
                         < begin - 1.0
                     ):
-                        timeline = MachineTimeline(capacity)
-                        rows.join(timeline)
+                        rows.add(MachineTimeline(capacity))
+                        created = True
                         key = (option.machine_type.name, option.spot)
                         out[key] = out.get(key, 0) + 1
             left -= 1
-            if timeline is None:
+            if begin == NEVER and not created:
                 # Nothing can be had for it, nor for those beside it.
                 break
-            rows.put(timing.run)
+            rows.assign(timing.run)
     return out
 
 
--- a/roadbend/autoscaler/test_autoscaler.py
+++ b/roadbend/autoscaler/test_autoscaler.py
@@ -11,7 +11,7 @@
 from roadbend.autoscaler.service import MAX_REQUESTS, Autoscaler
 from roadbend.fakes.world import MACHINE_TYPE
 from roadbend.http.server import MalformedError
-from roadbend.placement.forecast import MachineTimeline
+from roadbend.placement.forecast import MachineTimeline, Release
 from roadbend.placement.free_capacity import FreeCapacity
 from roadbend.placement.test_placement import pending
 from roadbend.store.records import Resources
@@ -31,7 +31,7 @@
 
 def busy(seconds: float) -> MachineTimeline:
     capacity = FreeCapacity("m", "g2", "east", True, 0, 0, 0, total=Resources(24, 2, 144))
-    return MachineTimeline(capacity, [(seconds, Resources(8, 1, 40))])
+    return MachineTimeline(capacity, [Release(seconds, Resources(8, 1, 40))])
 
 
 def choices(refused=()):
--- a/roadbend/placement/forecast.py
+++ b/roadbend/placement/forecast.py
@@ -1,11 +1,16 @@
-"""When will queued tasks start on the machines there are? Pure; used for hiring just in time and
-for telling peers how long a reoffered job would wait here."""
+"""Forecast when waiting tasks will start on the machines there are.
+
+Used for scaling out just in time, and for telling other controllers how long a job that is
+rescheduled would wait here. All times are in seconds from now. Pure: everything comes as an
+argument.
+"""
 
 import heapq
 from bisect import bisect_left, bisect_right, insort
 from collections.abc import Callable, Container, Iterable
 from dataclasses import dataclass, field
-from datetime import timedelta
+from operator import attrgetter
+from typing import NamedTuple
 
 from roadbend.placement.free_capacity import (
     RESOURCE_TOLERANCE,
@@ -14,155 +19,211 @@
     min_resources,
 )
 from roadbend.placement.queue_order import PendingTasks
-from roadbend.store.records import Job, Resources
+from roadbend.store.records import PRIORITY, Job, Resources
 
 NEVER = float("inf")
+# Starts are compared in microseconds: what differs by rounding alone counts as level.
+START_DIGITS = 6
+# A start may be this much sooner than its machine's place in the order of the timelines says.
+ROUNDING_SECONDS = 1e-5
+# The shortest run time that is predicted, before the job class's factor.
+MIN_RUN_SECONDS = 5.0
+# An array without a deadline may be complete after this many times its run time: it may wait for
+# so long, less what it has waited already.
+ARRAY_PATIENCE_RUNS = 2
+
+
+class Release(NamedTuple):
+    """Resources that are thought to come free on a machine, and when."""
+
+    at: float
+    resources: Resources
 
 
-def _when(row: tuple[float, Resources]) -> float:
-    return row[0]
+# A release as the key of a sort; typed by hand, since `attrgetter` gives Any.
+release_time: Callable[[Release], float] = attrgetter("at")
 
 
 @dataclass(slots=True)
 class MachineTimeline:
-    """A machine's future: what is free now, and what comes free when (seconds from now)."""
+    """A machine with what is free on it now, and what comes free when.
+
+    `releases` are in the order of their times. `assign` changes the timeline and its capacity.
+    """
 
     capacity: FreeCapacity
-    releases: list[tuple[float, Resources]] = field(default_factory=list)
+    releases: list[Release] = field(default_factory=list)
     # What is free counts from here: room left by a task that had to wait is not there before it.
     free_from: float = 0.0
 
     def earliest(self, resources: Resources) -> float:
-        capacity, want_cpus, want_gpus, want_memory = (
-            self.capacity,
-            resources.cpus - RESOURCE_TOLERANCE,
-            resources.gpus - RESOURCE_TOLERANCE,
-            resources.memory - RESOURCE_TOLERANCE,
-        )
+        """Return when a task that needs these resources could be on the machine, or NEVER."""
+        capacity = self.capacity
+        needed_cpus = resources.cpus - RESOURCE_TOLERANCE
+        needed_gpus = resources.gpus - RESOURCE_TOLERANCE
+        needed_memory = resources.memory - RESOURCE_TOLERANCE
         cpus, gpus, memory = capacity.cpus, capacity.gpus, capacity.memory
-        if want_cpus <= cpus and want_gpus <= gpus and want_memory <= memory:
-            return max(capacity.ready_in, self.free_from)
+        if needed_cpus <= cpus and needed_gpus <= gpus and needed_memory <= memory:
+            # Asked twice for each task that is assigned: this costs less than `max`.
+            ready_in, free_from = capacity.ready_in, self.free_from
+            return ready_in if ready_in >= free_from else free_from
         for at, freed in self.releases:
             cpus, gpus, memory = cpus + freed.cpus, gpus + freed.gpus, memory + freed.memory
-            if want_cpus <= cpus and want_gpus <= gpus and want_memory <= memory:
+            if needed_cpus <= cpus and needed_gpus <= gpus and needed_memory <= memory:
                 return max(at, capacity.ready_in)
         return NEVER
 
-    def put(self, job: Job, start: float, run: float) -> None:
-        """A task is laid on this machine from `start`; its image is there afterwards."""
-        resources = job.spec.resources
-        while self.releases and self.releases[0][0] <= start and not self.capacity.fits(resources):
-            at, freed = self.releases.pop(0)
-            self.capacity.give(freed)
-            self.free_from = max(self.free_from, at)
-        self.capacity.take(resources)
+    def assign(self, job: Job, start: float, run: float) -> None:
+        """Add a task of a job that is on the machine from `start` and runs for `run` seconds.
+
+        Its image is there afterwards.
+        """
+        capacity, spec = self.capacity, job.spec
+        while self.releases and self.releases[0].at <= start and not capacity.fits(spec.resources):
+            release = self.releases.pop(0)
+            capacity.give(release.resources)
+            self.free_from = max(self.free_from, release.at)
+        capacity.take(spec.resources)
         if run < NEVER:
-            end = start + self.capacity.fetch(job.spec.image, job.spec.image_gb) + run
-            insort(self.releases, (end, resources), key=_when)
-        if job.spec.image not in self.capacity.images:
-            self.capacity.images = {*self.capacity.images, job.spec.image}
+            end = start + capacity.fetch(spec.image, spec.image_gb) + run
+            insort(self.releases, Release(end, spec.resources), key=release_time)
+        if spec.image not in capacity.images:
+            capacity.images = {*capacity.images, spec.image}
 
 
 class ScheduleProjection:
-    """The lines in the order in which each could take the least that anybody asks for. Work that is
-    laid on a line only ever makes it later, so a job looks no further down than to where it finds
-    its places."""
+    """Machine timelines in the order in which each could take the smallest waiting task.
+
+    Assigning a task to a timeline only ever makes it later, so a job looks no further down the
+    order than to where it finds its places.
+    """
 
-    def __init__(self, timelines: Iterable[MachineTimeline], least: Resources):
+    def __init__(self, timelines: Iterable[MachineTimeline], smallest: Resources) -> None:
         self.timelines = list(timelines)
-        self._least = least
-        self._soonest = [timeline.earliest(least) for timeline in self.timelines]
-        self.order = sorted((at, n) for n, at in enumerate(self._soonest) if at < NEVER)
+        self._smallest = smallest
+        self._soonest = [timeline.earliest(smallest) for timeline in self.timelines]
+        # The soonest start on a timeline, and its index; sorted. Plain tuples, for all of them are
+        # sorted for each forecast.
+        self.order: list[tuple[float, int]] = [
+            (soonest, index) for index, soonest in enumerate(self._soonest) if soonest < NEVER
+        ]
+        self.order.sort()
 
     def add(self, timeline: MachineTimeline) -> int:
-        """One more line, a machine that is to be hired."""
+        """Add a machine that is to be created; return the index of its timeline."""
+        index = len(self.timelines)
         self.timelines.append(timeline)
-        at = timeline.earliest(self._least)
-        self._soonest.append(at)
-        if at < NEVER:
-            insort(self.order, (at, len(self.timelines) - 1))
-        return len(self.timelines) - 1
-
-    def filled(self, n: int) -> None:
-        """Something was laid on a line."""
-        old, new = self._soonest[n], self.timelines[n].earliest(self._least)
+        soonest = timeline.earliest(self._smallest)
+        self._soonest.append(soonest)
+        if soonest < NEVER:
+            insort(self.order, (soonest, index))
+        return index
+
+    def update(self, index: int) -> None:
+        """Move a timeline to its place in the order after a task was assigned to it."""
+        old, new = self._soonest[index], self.timelines[index].earliest(self._smallest)
         if new != old:
-            del self.order[bisect_left(self.order, (old, n))]
-            self._soonest[n] = new
+            del self.order[bisect_left(self.order, (old, index))]
+            self._soonest[index] = new
             if new < NEVER:
-                insort(self.order, (new, n))
+                insort(self.order, (new, index))
+
+
+# Where the next task of a job could start, the smallest being the best: when it would run, its
+# image fetched; whether it may run on spot machines and would be on another, which on level starts
+# it leaves free; the timeline's index in the projection, which no other candidate of the job has;
+# when it would be on its machine; the timeline. A plain tuple, for one is built for each task that
+# is assigned.
+StartCandidate = tuple[float, bool, int, float, MachineTimeline]
 
 
 class StartCandidates:
-    """Where tasks of one job would begin to run, the soonest first, as they are laid on the lines
-    one by one. Lines are looked at once a job, not once a task, and only as far as a sooner place
-    may be found."""
-
-    def __init__(self, job: Job, schedule: ScheduleProjection, machine_types: Container[str] = ()):
-        self._job, self._board, self._rigs = job, schedule, machine_types
-        self._rows: list[tuple[float, bool, int, float, MachineTimeline]] = []
-        # The last line that was looked at in the board's order; those before it, and some that were
-        # there when they were looked at and have come later since, are known here.
-        self._last: tuple[float, int] = (-1.0, -1)
+    """Where tasks of one job would start, the soonest first, as they are assigned one by one.
+
+    Each timeline is examined once a job, not once a task, and only as far down the projection's
+    order as a sooner start may be found.
+    """
+
+    def __init__(
+        self, job: Job, schedule: ScheduleProjection, excluded_types: Container[str] = ()
+    ) -> None:
+        self._job, self._schedule, self._excluded_types = job, schedule, excluded_types
+        self._spec = job.spec
+        self._heap: list[StartCandidate] = []
+        # The last entry of the projection's order that was examined. Timelines before it, and some
+        # that were there when they were examined and have come later since, are known here.
+        self._last_examined: tuple[float, int] = (-1.0, -1)
         self._known: set[int] = set()
 
-    def _look(self) -> None:
-        """Lines that could come before the best one known."""
-        order, rows, timelines = self._board.order, self._rows, self._board.timelines
-        at, count = bisect_right(order, self._last), len(order)
-        while at < count:
-            row = order[at]
-            # What is as soon but for the rounding is looked at too, for it may be the better one.
-            if rows and row[0] > rows[0][0] + 1e-5:
+    def next_run(self) -> float:
+        """Return when the next task would run at the soonest; NEVER if it fits nowhere."""
+        self._examine()
+        return self._heap[0][0] if self._heap else NEVER
+
+    def next_start(self) -> float:
+        """Return when the task of `next_run` would be on its machine; NEVER if it fits nowhere."""
+        self._examine()
+        return self._heap[0][3] if self._heap else NEVER
+
+    def assign(self, run: float) -> None:
+        """Assign the next task, which runs for `run` seconds, to where it runs soonest.
+
+        It must fit somewhere, and `next_run` or `next_start` must have found that.
+        """
+        _, _, index, start, timeline = heapq.heappop(self._heap)
+        timeline.assign(self._job, start, run)
+        self._schedule.update(index)
+        self._push(index, timeline)
+
+    def add(self, timeline: MachineTimeline) -> None:
+        """Add a machine that is to be created."""
+        index = self._schedule.add(timeline)
+        self._known.add(index)
+        self._push(index, timeline)
+
+    def _examine(self) -> None:
+        """Examine the timelines that could be sooner than the best candidate known."""
+        order, heap = self._schedule.order, self._heap
+        position, count = bisect_right(order, self._last_examined), len(order)
+        while position < count:
+            entry = order[position]
+            if heap and entry[0] > heap[0][0] + ROUNDING_SECONDS:
                 return
-            self._last = row
-            at += 1
-            n = row[1]
-            if n not in self._known:
-                self._known.add(n)
-                capacity = timelines[n].capacity
-                if capacity.machine_type not in self._rigs and allowed(
+            self._last_examined = entry
+            position += 1
+            index = entry[1]
+            if index not in self._known:
+                self._known.add(index)
+                timeline = self._schedule.timelines[index]
+                capacity = timeline.capacity
+                if capacity.machine_type not in self._excluded_types and allowed(
                     self._job, capacity.machine_type, capacity.zone, capacity.spot
                 ):
-                    self._push(n, timelines[n])
+                    self._push(index, timeline)
 
-    def _push(self, n: int, timeline: MachineTimeline) -> None:
-        spec = self._job.spec
+    def _push(self, index: int, timeline: MachineTimeline) -> None:
+        spec, capacity = self._spec, timeline.capacity
         start = timeline.earliest(spec.resources)
         if start < NEVER:
-            # Level ones: what may run on spot machines leaves the others free.
-            runs = round(start + timeline.capacity.fetch(spec.image, spec.image_gb), 6)
-            heapq.heappush(
-                self._rows, (runs, spec.spot and not timeline.capacity.spot, n, start, timeline)
-            )
-
-    def best(self) -> tuple[float, float, MachineTimeline | None]:
-        """When the next task would run, from when it would be on its machine, and which that is."""
-        self._look()
-        if not self._rows:
-            return NEVER, NEVER, None
-        runs, _, _, start, timeline = self._rows[0]
-        return runs, start, timeline
-
-    def put(self, run: float) -> None:
-        """The next task is laid where it runs first."""
-        _, _, n, start, timeline = heapq.heappop(self._rows)
-        timeline.put(self._job, start, run)
-        self._board.filled(n)
-        self._push(n, timeline)
-
-    def join(self, timeline: MachineTimeline) -> None:
-        """One more line, a machine that is to be hired."""
-        n = self._board.add(timeline)
-        self._known.add(n)
-        self._push(n, timeline)
-
-
-def earliest(job: Job, timelines: list[MachineTimeline]) -> tuple[float, MachineTimeline | None]:
-    """Where a task would begin to run first, its fetch counted, and from when it would be there.
-    For one task a plain look at every line is the cheapest."""
+            runs_at = round(start + capacity.fetch(spec.image, spec.image_gb), START_DIGITS)
+            wastes_ordinary = spec.spot and not capacity.spot
+            heapq.heappush(self._heap, (runs_at, wastes_ordinary, index, start, timeline))
+
+
+class EarliestStart(NamedTuple):
+    """When a task would be on a machine, and on which; NEVER and None if it fits nowhere."""
+
+    start: float
+    timeline: MachineTimeline | None
+
+
+def earliest(job: Job, timelines: list[MachineTimeline]) -> EarliestStart:
+    """Find where one task of a job would run soonest, its image fetch counted.
+
+    For one task a plain look at every timeline costs the least.
+    """
     spec = job.spec
-    best, found = (NEVER, False), (NEVER, None)
+    best, found = (NEVER, False), EarliestStart(NEVER, None)
     for timeline in timelines:
         capacity = timeline.capacity
         start = timeline.earliest(spec.resources)
@@ -171,57 +232,63 @@
             and start < NEVER
             and allowed(job, capacity.machine_type, capacity.zone, capacity.spot)
         ):
-            runs = (
-                round(start + capacity.fetch(spec.image, spec.image_gb), 6),
-                spec.spot and not capacity.spot,
-            )
-            if runs < best:
-                best, found = runs, (start, timeline)
+            runs_at = round(start + capacity.fetch(spec.image, spec.image_gb), START_DIGITS)
+            rank = (runs_at, spec.spot and not capacity.spot)
+            if rank < best:
+                best, found = rank, EarliestStart(start, timeline)
     return found
 
 
 def project(
     queue: list[PendingTasks],
     timelines: list[MachineTimeline],
-    run_of: Callable[[Job], float],
-    most: int,
+    run_seconds_of: Callable[[Job], float],
+    max_tasks: int,
 ) -> dict[str, list[float]]:
-    """Lays the queue on the machines, at most so many tasks of it; when each job's tasks would
-    begin."""
+    """Assign the first `max_tasks` tasks of the queue to the machines.
+
+    Returns when the tasks of each job, by its id, would be on their machines.
+    """
     starts: dict[str, list[float]] = {}
-    schedule = ScheduleProjection(
-        timelines, min_resources(item.job.spec.resources for item in queue)
-    )
+    smallest = min_resources(item.job.spec.resources for item in queue)
+    schedule = ScheduleProjection(timelines, smallest)
     for item in queue:
-        if most <= 0:
+        if max_tasks <= 0:
             break
-        rows, run = StartCandidates(item.job, schedule), run_of(item.job)
-        for _ in range(min(most, item.count)):
-            _, start, timeline = rows.best()
-            if timeline is None:
+        candidates, run = StartCandidates(item.job, schedule), run_seconds_of(item.job)
+        for _ in range(min(max_tasks, item.count)):
+            start = candidates.next_start()
+            if start == NEVER:
                 break
             starts.setdefault(item.job.id, []).append(start)
-            rows.put(run)
-            most -= 1
+            candidates.assign(run)
+            max_tasks -= 1
     return starts
 
 
 def run_seconds(job: Job, factor: float) -> float:
-    """Predicted run time, without the fetch; a service never comes free."""
+    """Predict a task's run time without the image fetch; a service never ends.
+
+    `factor` is how long tasks of the job's class ran over how long their owners said.
+    """
     if job.spec.service:
         return NEVER
-    return max(timedelta(seconds=5), job.spec.expected_duration).total_seconds() * factor
+    return max(MIN_RUN_SECONDS, job.spec.expected_duration.total_seconds()) * factor
+
 
+def slack(item: PendingTasks, waited: float, run: float, deadline_factor: float = 1.0) -> float:
+    """Return how many seconds from now a task may start and still be in time.
 
-def slack(item: PendingTasks, waited: float, run: float, times: float = 1.0) -> float:
-    """How many seconds from now a task may start and still be in time; without a deadline, a
-    service wants to start at once and an array may wait for about twice its run time."""
+    `waited` is how long its job has waited, `run` the time that is kept for its run, and the
+    deadline that counts is `deadline_factor` times the due time. Without a deadline, services and
+    work of high priority want to start at once, and an array may wait for about twice its run time.
+    """
     spec = item.job.spec
     if spec.gang:
-        # Those who wait for each other are to begin at once.
+        # Tasks that wait for each other are to start at once.
         return 0.0
     if spec.due is not None:
-        return spec.due.total_seconds() * times - waited - run
-    if spec.service or spec.priority >= 2:
+        return spec.due.total_seconds() * deadline_factor - waited - run
+    if spec.service or spec.priority >= PRIORITY["high"]:
         return 0.0
-    return max(0.0, 2 * run - waited)
+    return max(0.0, ARRAY_PATIENCE_RUNS * run - waited)
--- a/roadbend/placement/free_capacity.py
+++ b/roadbend/placement/free_capacity.py
@@ -3,7 +3,7 @@
 Pure: everything comes as an argument.
 """
 
-from collections.abc import Container, Iterable
+from collections.abc import Collection, Iterable
 from dataclasses import dataclass, field
 
 from roadbend.store.records import Job, Resources
@@ -31,7 +31,7 @@
     cpus: float
     gpus: float
     memory: float
-    images: Container[str] = frozenset()
+    images: Collection[str] = frozenset()
     total: Resources = field(default_factory=lambda: Resources(0, 0, 0))
     ready_in: float = 0.0
     price: float = 0.0
--- a/roadbend/placement/queue_projection.py
+++ b/roadbend/placement/queue_projection.py
@@ -10,9 +10,9 @@
 
 from roadbend import clock
 from roadbend.placement import forecast, free_capacity
-from roadbend.placement.forecast import MachineTimeline
+from roadbend.placement.forecast import MachineTimeline, Release, release_time
 from roadbend.placement.free_capacity import FreeCapacity
-from roadbend.store.records import Job, Resources
+from roadbend.store.records import Job
 
 if TYPE_CHECKING:
     from roadbend.placement.leader import PartitionLeader
@@ -120,9 +120,8 @@
             releases = []
             for key, (job_slice, attempt) in index.get(capacity.id, {}).items():
                 if key in leader.stops:
-                    releases.append(
-                        (leader.stops[key].grace.total_seconds() + 1.0, job_slice.resources)
-                    )
+                    grace = leader.stops[key].grace.total_seconds()
+                    releases.append(Release(grace + 1.0, job_slice.resources))
                     continue
                 if job_slice.job not in lengths:
                     job = leader.context.view.jobs.get(job_slice.job)
@@ -145,11 +144,7 @@
                 else:
                     spec = leader.context.view.jobs[job_slice.job].spec
                     left = run + capacity.fetch(spec.image, spec.image_gb)
-                releases.append((left, job_slice.resources))
-            releases.sort(key=_when)
+                releases.append(Release(left, job_slice.resources))
+            releases.sort(key=release_time)
             out.append(MachineTimeline(capacity, releases))
         return out + [MachineTimeline(capacity) for capacity in more]
-
-
-def _when(row: tuple[float, Resources]) -> float:
-    return row[0]
--- a/roadbend/placement/test_placement.py
+++ b/roadbend/placement/test_placement.py
@@ -11,7 +11,7 @@
 from roadbend.intake.messages import read_submission
 from roadbend.placement import bin_packing, forecast, free_capacity, preemption_policy, queue_order
 from roadbend.placement.context import within_guarantee
-from roadbend.placement.forecast import MachineTimeline
+from roadbend.placement.forecast import MachineTimeline, Release
 from roadbend.placement.free_capacity import FreeCapacity
 from roadbend.placement.preemption_policy import RunningTask, Victim
 from roadbend.placement.queue_order import PendingTasks
@@ -158,12 +158,12 @@
 def test_the_forecast_waits_for_what_comes_free():
     timeline = MachineTimeline(
         capacity("a", cpus=0, gpus=0, memory=0),
-        [(5.0, Resources(4, 1, 20)), (9.0, Resources(8, 1, 40))],
+        [Release(5.0, Resources(4, 1, 20)), Release(9.0, Resources(8, 1, 40))],
     )
     assert timeline.earliest(Resources(4, 1, 20)) == 5.0
     assert timeline.earliest(Resources(8, 1, 40)) == 9.0
     assert timeline.earliest(Resources(20, 1, 40)) == forecast.NEVER
-    timeline.put(pending().job, 9.0, 30.0)
+    timeline.assign(pending().job, 9.0, 30.0)
     assert (
         timeline.earliest(Resources(4, 1, 20)) == 9.0
         and timeline.earliest(Resources(8, 1, 40)) == 39.0
@@ -183,11 +183,11 @@
         MachineTimeline(capacity("warm", fetch_gb_per_s=0.5, images=["img-1"], ready_in=20.0)),
     )
     assert forecast.earliest(item.job, [without_image, warm]) == (20.0, warm)
-    without_image.put(item.job, 0.0, 10.0)
+    without_image.assign(item.job, 0.0, 10.0)
     # The image is on its way; the next task of this job begins there at once.
     assert (
-        without_image.releases[0][0] == 90.0
-        and forecast.earliest(item.job, [without_image, warm])[1] is without_image
+        without_image.releases[0].at == 90.0
+        and forecast.earliest(item.job, [without_image, warm]).timeline is without_image
     )
 
 
@@ -214,7 +214,7 @@
                 break
             _, _, _, start, timeline = min(rows)
             starts.setdefault(item.job.id, []).append(start)
-            timeline.put(item.job, start, run(item.job))
+            timeline.assign(item.job, start, run(item.job))
     return starts
 
 
@@ -236,10 +236,10 @@
             room_.images = frozenset(rng.sample(("img-1", "img-2", "img-3"), rng.randrange(3)))
             room_.ready_in = rng.choice((0.0, 0.0, 0.0, rng.uniform(1, 40)))
             ends = [
-                (rng.uniform(1, 90), Resources(rng.choice((6.0, 12.0)), 1, 0))
+                Release(rng.uniform(1, 90), Resources(rng.choice((6.0, 12.0)), 1, 0))
                 for _ in range(rng.randrange(3))
             ]
-            timelines.append(MachineTimeline(room_, sorted(ends, key=lambda row: row[0])))
+            timelines.append(MachineTimeline(room_, sorted(ends, key=lambda release: release.at)))
         queue = [
             pending(
                 n,
@@ -267,7 +267,7 @@
 
     def cost(machines):
         timelines = [
-            MachineTimeline(capacity(f"m-{n}", gpus=0.0), [(10.0 + n, Resources(8, 1, 40))])
+            MachineTimeline(capacity(f"m-{n}", gpus=0.0), [Release(10.0 + n, Resources(8, 1, 40))])
             for n in range(machines)
         ]
         queue = [pending(n, 2, legs=2) for n in range(1, 41)]
