--- a/roadbend/bidding/messages.py
+++ b/roadbend/bidding/messages.py
@@ -9,8 +9,7 @@
 
 from roadbend.bidding.casa import Bid
 from roadbend.clock import ZERO
-from roadbend.peers.frames import Scanner, Writer
-from roadbend.peers.links import finite
+from roadbend.peers.frames import PayloadReader, PayloadWriter, finite
 from roadbend.store.records import JobSpec, Resources
 
 # What stands for an absent duration, and for an absent list of machine types.
@@ -45,13 +44,13 @@
 
     def pack(self) -> bytes:
         """Return the payload. Whether the job is a gang is told by the frame's kind."""
-        out = Writer().text(self.job).put("HI", self.requests, self.tasks)
+        out = PayloadWriter().text(self.job).put("HI", self.requests, self.tasks)
         _pack_spec(out, self.spec)
         out.text(self.from_partition)
         out.put("d", _seconds(self.requester_response))
         out.put("d", _seconds(self.requester_average))
         out.put("d", max(0.0, _seconds(self.waited)))
-        return out.bytes()
+        return out.payload()
 
     def as_gang(self) -> "BidRequest":
         """Return the same request for a gang."""
@@ -60,11 +59,11 @@
     @staticmethod
     def unpack(data: bytes) -> "BidRequest":
         """Read a payload."""
-        scan = Scanner(data)
-        job, (requests, tasks) = scan.text(), scan.get("HI")
+        scan = PayloadReader(data)
+        job, (requests, tasks) = scan.text(), scan.read("HI")
         spec = _unpack_spec(scan)
-        from_partition, (response, average, waited) = scan.text(), scan.get("ddd")
-        scan.end()
+        from_partition, (response, average, waited) = scan.text(), scan.read("ddd")
+        scan.expect_end()
         return BidRequest(
             job=job,
             requests=requests,
@@ -77,28 +76,28 @@
         )
 
 
-def _pack_spec(out: Writer, spec: JobSpec) -> None:
+def _pack_spec(out: PayloadWriter, spec: JobSpec) -> None:
     out.text(spec.team).text(spec.job_class)
     out.put("?BI", spec.service, spec.priority, spec.task_count)
     out.put("ddd", spec.resources.cpus, spec.resources.gpus, spec.resources.memory)
     out.put("h", ABSENT_LIST if spec.machine_types is None else len(spec.machine_types))
     for machine_type in spec.machine_types or ():
         out.text(machine_type)
-    out.maybe(spec.zone).put("???", spec.together, spec.apart, spec.spot)
+    out.optional_text(spec.zone).put("???", spec.together, spec.apart, spec.spot)
     out.text(spec.image).put("d", spec.image_gb)
     for duration in (spec.expected_duration, spec.checkpoint, spec.save, spec.due):
         out.put("d", _seconds(duration))
 
 
-def _unpack_spec(scan: Scanner) -> JobSpec:
-    team, job_class, (service, priority, task_count) = scan.text(), scan.text(), scan.get("?BI")
-    cpus, gpus, memory = (finite(value) for value in scan.get("ddd"))
-    count = scan.one("h")
+def _unpack_spec(scan: PayloadReader) -> JobSpec:
+    team, job_class, (service, priority, task_count) = scan.text(), scan.text(), scan.read("?BI")
+    cpus, gpus, memory = (finite(value) for value in scan.read("ddd"))
+    count = scan.read_one("h")
     machine_types = None if count < 0 else tuple(scan.text() for _ in range(count))
-    zone, (together, apart, spot) = scan.maybe(), scan.get("???")
-    image, image_gb = scan.text(), finite(scan.one("d"))
-    expected_duration, checkpoint, save = (_duration(value) for value in scan.get("ddd"))
-    due = _optional_duration(scan.one("d"))
+    zone, (together, apart, spot) = scan.optional_text(), scan.read("???")
+    image, image_gb = scan.text(), finite(scan.read_one("d"))
+    expected_duration, checkpoint, save = (_duration(value) for value in scan.read("ddd"))
+    due = _optional_duration(scan.read_one("d"))
     return JobSpec(
         team=team,
         job_class=job_class,
@@ -134,27 +133,27 @@
 
 def pack_bids(bids: Sequence[Bid]) -> bytes:
     """Return the payload of the answer to a request: the bids of a controller's partitions."""
-    out = Writer().put("H", len(bids))
+    out = PayloadWriter().put("H", len(bids))
     for bid in bids:
         out.text(bid.partition).text(bid.controller)
         for duration in (bid.job_time, bid.queue_time, bid.shadow_time):
             out.put("d", duration.total_seconds())
         out.put("II", min(bid.startable_now, MAX_TASKS), min(bid.capacity, MAX_TASKS))
-    return out.bytes()
+    return out.payload()
 
 
 def unpack_bids(data: bytes) -> list[Bid]:
     """Read the payload of the answer to a request."""
-    scan = Scanner(data)
-    bids = [_unpack_bid(scan) for _ in range(scan.one("H"))]
-    scan.end()
+    scan = PayloadReader(data)
+    bids = [_unpack_bid(scan) for _ in range(scan.read_one("H"))]
+    scan.expect_end()
     return bids
 
 
-def _unpack_bid(scan: Scanner) -> Bid:
+def _unpack_bid(scan: PayloadReader) -> Bid:
     partition, controller = scan.text(), scan.text()
-    job_time, queue_time, shadow_time = (_duration(value) for value in scan.get("ddd"))
-    startable_now, capacity = scan.get("II")
+    job_time, queue_time, shadow_time = (_duration(value) for value in scan.read("ddd"))
+    startable_now, capacity = scan.read("II")
     return Bid(
         partition=partition,
         controller=controller,
@@ -179,14 +178,14 @@
 
     def pack(self) -> bytes:
         """Return the payload."""
-        head = Writer().text(self.job).put("QI", self.mod_revision, len(self.value))
-        return head.bytes() + self.value
+        head = PayloadWriter().text(self.job).put("QI", self.mod_revision, len(self.value))
+        return head.payload() + self.value
 
     @staticmethod
     def unpack(data: bytes) -> "Assignment":
         """Read a payload."""
-        scan = Scanner(data)
-        job, (mod_revision, length) = scan.text(), scan.get("QI")
+        scan = PayloadReader(data)
+        job, (mod_revision, length) = scan.text(), scan.read("QI")
         return Assignment(job, data[len(data) - length :] if length else b"", mod_revision)
 
 
@@ -198,12 +197,12 @@
 
     def pack(self) -> bytes:
         """Return the payload."""
-        return Writer().text(self.job).bytes()
+        return PayloadWriter().text(self.job).payload()
 
     @staticmethod
     def unpack(data: bytes) -> "Revocation":
         """Read a payload."""
-        scan = Scanner(data)
+        scan = PayloadReader(data)
         job = scan.text()
-        scan.end()
+        scan.expect_end()
         return Revocation(job)
--- a/roadbend/bidding/requester.py
+++ b/roadbend/bidding/requester.py
@@ -62,12 +62,12 @@
         self._busy: set[str] = set()
         # When nobody took a job that was offered again.
         self._refused_at: dict[str, datetime] = {}
-        peers.handlers[frames.REQUEST] = self._on_request
-        peers.handlers[frames.ASSIGN] = self._on_assign
-        peers.handlers[frames.REVOKE] = self._on_revoke
-        peers.handlers[frames.INFORM] = self._on_inform
-        peers.handlers[frames.GANG_REQUEST] = self._on_gang_request
-        peers.handlers[frames.GANG_INFORM] = self._on_gang_inform
+        peers.handlers[frames.FrameKind.REQUEST] = self._on_request
+        peers.handlers[frames.FrameKind.ASSIGN] = self._on_assign
+        peers.handlers[frames.FrameKind.REVOKE] = self._on_revoke
+        peers.handlers[frames.FrameKind.INFORM] = self._on_inform
+        peers.handlers[frames.FrameKind.GANG_REQUEST] = self._on_gang_request
+        peers.handlers[frames.FrameKind.GANG_INFORM] = self._on_gang_inform
 
     # Bidding.
 
@@ -197,7 +197,9 @@
                     )
                     self.submit(name)
 
-    async def _ask(self, link: Link, kind: int, payload: bytes, out: list[Bid]) -> None:
+    async def _ask(
+        self, link: Link, kind: frames.FrameKind, payload: bytes, out: list[Bid]
+    ) -> None:
         try:
             out += messages.unpack_bids(
                 await link.call(kind, payload, self._context.operator.bid_wait)
@@ -210,12 +212,12 @@
     async def gather(self, ask: BidRequest) -> list[Bid]:
         again = ask.requester_response is not None
         bids = self.better(ask) if again else self.bids(ask)
-        kind, payload = frames.INFORM if again else frames.REQUEST, ask.pack()
+        kind, payload = frames.FrameKind.INFORM if again else frames.FrameKind.REQUEST, ask.pack()
         if ask.spec.gang:
-            kind = frames.GANG_INFORM if again else frames.GANG_REQUEST
+            kind = frames.FrameKind.GANG_INFORM if again else frames.FrameKind.GANG_REQUEST
         async with trio.open_nursery() as nursery:
             for link in self._peers.links.values():
-                if not ask.spec.gang or link.known.speaks(frames.GANGS):
+                if not ask.spec.gang or link.known.supports(frames.GANGS_EXTENSION):
                     nursery.start_soon(self._ask, link, kind, payload, bids)
         # One bid a partition: while ownership moves, two may answer for it.
         return list({bid.partition: bid for bid in bids}.values())
@@ -462,9 +464,9 @@
         async with trio.open_nursery() as nursery:
             for link in self._peers.links.values():
                 if link.peer.name in tell:
-                    nursery.start_soon(self._say, link, frames.ASSIGN, body)
+                    nursery.start_soon(self._say, link, frames.FrameKind.ASSIGN, body)
                 else:
-                    nursery.start_soon(self._say, link, frames.REVOKE, revoke)
+                    nursery.start_soon(self._say, link, frames.FrameKind.REVOKE, revoke)
         for leader in self._leaders.values():
             leader.wake_up.set()
         return True
@@ -474,12 +476,12 @@
         seconds = casa.response_time(bid, self._context.operator.omega).total_seconds()
         return f"{bid.partition}:{seconds:.1f}/{bid.startable_now}/{bid.capacity}"
 
-    async def _say(self, link: Link, kind: int, payload: bytes) -> None:
+    async def _say(self, link: Link, kind: frames.FrameKind, payload: bytes) -> None:
         # An assign is answered (the paper's receipt); a revoke is not, and may get lost.
         try:
-            if kind == frames.ASSIGN:
+            if kind == frames.FrameKind.ASSIGN:
                 await link.call(kind, payload, self._context.operator.bid_wait)
             else:
-                await link.cast(kind, payload)
+                await link.notify(kind, payload)
         except NoReplyError:
             pass
--- a/roadbend/controller/controller.py
+++ b/roadbend/controller/controller.py
@@ -55,7 +55,7 @@
     """A controller: its parts, wired together."""
 
     # What the controller understands beyond version 2 of the frames; its incarnation ends with it.
-    DIALECT = frames.GANGS
+    EXTENSIONS = frames.GANGS_EXTENSION
 
     def __init__(
         self,
@@ -65,7 +65,7 @@
         rng: random.Random,
         incarnation: str | None = None,
     ) -> None:
-        self.incarnation = (incarnation or secrets.token_hex(6)) + self.DIALECT
+        self.incarnation = (incarnation or secrets.token_hex(6)) + self.EXTENSIONS
         self._net = net
         self._budget = RequestBudget(
             settings.state_rps,
@@ -92,7 +92,7 @@
         self._availability = Availability(self.context, self.peers)
         self._router = self._make_router(cancellations)
         self._server = self._make_server(settings)
-        self.peers.handlers[frames.PING] = self._exchange.on_call
+        self.peers.handlers[frames.FrameKind.HEARTBEAT] = self._exchange.on_call
         self.view.watchers.append(self._partition_leaders.on_record)
         self.election.changed.append(self._partition_leaders.on_leadership)
         # What else runs as long as the controller does, such as recovery where it is switched on.
--- a/roadbend/controller/heartbeats.py
+++ b/roadbend/controller/heartbeats.py
@@ -7,7 +7,7 @@
 from roadbend.autoscaler.cloud import Cloud
 from roadbend.controller.cancellations import ConfirmedCancellations
 from roadbend.fleet.service import Fleet
-from roadbend.peers.heartbeat import PeerHeartbeat
+from roadbend.peers.heartbeat import PeerHeartbeat, RequestRates
 from roadbend.peers.links import Link
 from roadbend.placement.context import ControllerContext
 from roadbend.placement.leader import PartitionLeader
@@ -46,7 +46,7 @@
             incarnation=self._incarnation,
             uptime=now - self.began_at,
             contact_age=None if contact is None else now - contact,
-            request_rates=(*self._budget.used, self._cloud.used),
+            request_rates=RequestRates(*self._budget.used, self._cloud.used),
             led_partitions={
                 partition: leadership.term
                 for partition, leadership in self._context.election.leaderships.items()
@@ -61,12 +61,12 @@
         self._learn(PeerHeartbeat.unpack(payload))
         return self.build().pack()
 
-    def on_reply(self, link: Link, heartbeat: PeerHeartbeat, asked: datetime) -> None:
-        """Take in a peer's answer to a heartbeat that was sent at `asked`.
+    def on_reply(self, link: Link, heartbeat: PeerHeartbeat, asked_at: datetime) -> None:
+        """Take in a peer's answer to a heartbeat that was sent at `asked_at`.
 
         It may raise the cancellation watermark that we have of the peer.
         """
-        link.known.take(heartbeat, asked, clock.now(), self._context.reader.contact)
+        link.known.update(heartbeat, asked_at, clock.now(), self._context.reader.contact)
         self._learn(heartbeat)
 
     def _learn(self, heartbeat: PeerHeartbeat) -> None:
--- a/roadbend/fakes/previous_version.py
+++ b/roadbend/fakes/previous_version.py
@@ -20,7 +20,7 @@
 class PreviousVersionController(Controller):
     """A controller that reads, writes and says only what the version in production does."""
 
-    DIALECT = ""
+    EXTENSIONS = ""
 
     def __init__(
         self,
@@ -32,7 +32,7 @@
     ):
         old = replace(settings, value_bytes=VALUE_BYTES, txn_ops=TXN_OPS, state_write_rps_next=None)
         super().__init__(old, operator, net, rng, incarnation)
-        for kind in (frames.GANG_REQUEST, frames.GANG_INFORM):
+        for kind in (frames.FrameKind.GANG_REQUEST, frames.FrameKind.GANG_INFORM):
             del self.peers.handlers[kind]
         self.fleet.commands.order_now = None
         # A job's record is read and written again without what this version does not know, and its
--- a/roadbend/partitions/policy.py
+++ b/roadbend/partitions/policy.py
@@ -194,5 +194,7 @@
     """
     if contact is None:
         return None
-    known = min((peer.reach(contact) or contact for peer in peers), default=contact)
+    known = min(
+        (peer.cancellations_known_until(contact) or contact for peer in peers), default=contact
+    )
     return known + (cancel_within - lease) * (1 - 2 * DRIFT) - margin
--- a/roadbend/partitions/test_election.py
+++ b/roadbend/partitions/test_election.py
@@ -15,8 +15,8 @@
 T = clock.ORIGIN + 1000 * S
 
 
-def until(contact, *vouched_until):
-    peers = [PeerState(vouched_until=at) for at in vouched_until]
+def until(contact, *watermarks):
+    peers = [PeerState(cancellation_watermark=at) for at in watermarks]
     return policy.renew_until(contact, peers, 38 * S, 18 * S, 2 * S)
 
 
--- a/roadbend/partitions/test_policy.py
+++ b/roadbend/partitions/test_policy.py
@@ -8,7 +8,7 @@
 from roadbend import clock
 from roadbend.partitions.leadership import Leadership, LossReason
 from roadbend.partitions.policy import Action, ControllersState, Decision, PartitionState, decide
-from roadbend.peers.heartbeat import PeerHeartbeat, PeerState
+from roadbend.peers.heartbeat import PeerHeartbeat, PeerState, RequestRates
 from roadbend.settings import OperatorSettings
 from roadbend.store.records import LeaderRecord
 
@@ -22,8 +22,8 @@
 
 def controllers(**alive_since):
     """Build what n1 of the east knows while it and the named controllers are alive."""
-    heartbeat = PeerHeartbeat("i2", 100 * S, S, (0.0, 0.0, 0.0))
-    peers = {"n2": PeerState(heartbeat=heartbeat, asked=T, heard_at=T)}
+    heartbeat = PeerHeartbeat("i2", 100 * S, S, RequestRates(0.0, 0.0, 0.0))
+    peers = {"n2": PeerState(heartbeat=heartbeat, asked_at=T, heard_at=T)}
     return ControllersState("n1", "i1", ZONES, {"n1": T - 100 * S, **alive_since}, peers)
 
 
--- a/roadbend/peers/__init__.py
+++ b/roadbend/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Talk between controllers: hand-written struct frames on the back address."""
+"""Calls between controllers: binary frames over TCP on the `back` address, and heartbeats."""
--- a/roadbend/peers/frames.py
+++ b/roadbend/peers/frames.py
@@ -1,117 +1,168 @@
-"""A frame: length (4 bytes, of what follows), version (1), kind (1), call number (4), payload.
+"""Encode and decode frames and their payloads.
 
-A reply carries its call's number and the kind with the top bit set. docs/peers.md has the
-payloads."""
+A frame: length (4 bytes, of what follows), version (1), kind (1), call number (4), payload. A reply
+carries its call's number and its kind with the top bit set. docs/peers.md describes the payloads.
+"""
 
+import enum
+import math
 import struct
-from collections.abc import Iterable
+from collections.abc import Iterator
+from typing import Any, NamedTuple
 
 from roadbend.errors import RoadbendError
 
 VERSION = 2
-HEAD = struct.Struct("!IBBI")
-MOST = 256 * 1024
-REPLY = 0x80
-
-HELLO, PING, REQUEST, ASSIGN, REVOKE, INFORM = 1, 2, 3, 4, 5, 6
-# As REQUEST and INFORM, for a gang: spoken only to peers whose boot id, which every pulse brings,
-# ends with GANGS. Others drop a connection on which a kind comes that they don't know.
-GANG_REQUEST, GANG_INFORM = 7, 8
-GANGS = "+gangs"
+HEADER = struct.Struct("!IBBI")
+LENGTH_BYTES = 4
+# What the length counts beside the payload.
+COUNTED_HEADER_BYTES = HEADER.size - LENGTH_BYTES
+MAX_PAYLOAD = 256 * 1024
+MAX_TEXT = 0xFFFF
+REPLY_BIT = 0x80
+
+# The end of the incarnation, which every heartbeat brings, of controllers that understand frames
+# about gangs.
+GANGS_EXTENSION = "+gangs"
+
+
+class FrameKind(enum.IntEnum):
+    """What a frame is about."""
+
+    HELLO = 1
+    HEARTBEAT = 2
+    REQUEST = 3
+    ASSIGN = 4
+    REVOKE = 5
+    INFORM = 6
+    # As REQUEST and INFORM, for a gang. They go only to peers with the extension for gangs: others
+    # drop a connection on which a kind comes that they don't know.
+    GANG_REQUEST = 7
+    GANG_INFORM = 8
 
 
 class FrameError(RoadbendError):
-    """Not a frame of ours; the connection is dropped."""
+    """Not a frame of this protocol; the connection is dropped."""
+
+
+class Frame(NamedTuple):
+    """A frame as it came; its kind may be unknown, and has the top bit set in a reply."""
+
+    kind: int
+    number: int
+    payload: bytes
 
 
 def pack(kind: int, number: int, payload: bytes) -> bytes:
-    if len(payload) > MOST:
+    """Encode a frame; raise `FrameError` if the payload is too long."""
+    if len(payload) > MAX_PAYLOAD:
         raise FrameError("too long")
-    return HEAD.pack(len(payload) + 6, VERSION, kind, number) + payload
+    return HEADER.pack(len(payload) + COUNTED_HEADER_BYTES, VERSION, kind, number) + payload
+
+
+def finite(value: float) -> float:
+    """Return a finite number that is not negative; raise `FrameError` for any other."""
+    if not math.isfinite(value) or value < 0:
+        raise FrameError("number")
+    return value
 
 
-class Splitter:
+class FrameDecoder:
     """Cuts a stream of bytes into frames."""
 
-    def __init__(self):
-        self._data = bytearray()
+    def __init__(self) -> None:
+        self._buffer = bytearray()
 
-    def feed(self, data: bytes) -> Iterable[tuple[int, int, bytes]]:
-        self._data += data
-        while len(self._data) >= HEAD.size:
-            length, version, kind, number = HEAD.unpack_from(self._data)
+    def feed(self, data: bytes | bytearray) -> Iterator[Frame]:
+        """Take in bytes, and yield the frames that are whole now.
+
+        Raises `FrameError` at the first one that is malformed.
+        """
+        buffer = self._buffer
+        buffer += data
+        while len(buffer) >= HEADER.size:
+            length, version, kind, number = HEADER.unpack_from(buffer)
             if version != VERSION:
                 raise FrameError(f"version {version}")
-            if not 6 <= length <= MOST + 6:
+            if not COUNTED_HEADER_BYTES <= length <= MAX_PAYLOAD + COUNTED_HEADER_BYTES:
                 raise FrameError(f"length {length}")
-            if len(self._data) < length + 4:
+            end = length + LENGTH_BYTES
+            if len(buffer) < end:
                 return
-            payload = bytes(self._data[HEAD.size : length + 4])
-            del self._data[: length + 4]
-            yield kind, number, payload
+            payload = bytes(buffer[HEADER.size : end])
+            del buffer[:end]
+            yield Frame(kind, number, payload)
 
 
-class Writer:
-    """Builds a frame's payload."""
+class PayloadWriter:
+    """Encodes a frame's payload, value by value."""
 
-    def __init__(self):
+    def __init__(self) -> None:
         self._parts: list[bytes] = []
 
-    def put(self, form: str, *values) -> "Writer":
-        self._parts.append(struct.pack("!" + form, *values))
+    def put(self, layout: str, *values: float) -> "PayloadWriter":
+        """Append numbers in a layout of the module `struct`, big-endian."""
+        self._parts.append(struct.pack("!" + layout, *values))
         return self
 
-    def text(self, value: str) -> "Writer":
+    def text(self, value: str) -> "PayloadWriter":
+        """Append text: its length in two bytes, and UTF-8."""
         data = value.encode()
-        if len(data) > 0xFFFF:
+        if len(data) > MAX_TEXT:
             raise FrameError("text too long")
-        return self.put("H", len(data))._raw(data)
+        self.put("H", len(data))
+        self._parts.append(data)
+        return self
 
-    def maybe(self, value: str | None) -> "Writer":
+    def optional_text(self, value: str | None) -> "PayloadWriter":
+        """Append whether there is a text, and the text if there is one."""
         self.put("?", value is not None)
         return self if value is None else self.text(value)
 
-    def _raw(self, data: bytes) -> "Writer":
-        self._parts.append(data)
-        return self
-
-    def bytes(self) -> bytes:
+    def payload(self) -> bytes:
+        """Return all that was appended."""
         return b"".join(self._parts)
 
 
-class Scanner:
-    """Reads a frame's payload."""
+class PayloadReader:
+    """Decodes a frame's payload, value by value; raises `FrameError` where it is malformed."""
 
-    def __init__(self, data: bytes):
-        self._data, self._at = data, 0
+    def __init__(self, payload: bytes) -> None:
+        self._payload = payload
+        self._position = 0
 
-    def get(self, form: str) -> tuple:
-        form = "!" + form
+    def read(self, layout: str) -> tuple[Any, ...]:
+        """Read numbers in a layout of the module `struct`, big-endian."""
+        layout = "!" + layout
         try:
-            values = struct.unpack_from(form, self._data, self._at)
+            values = struct.unpack_from(layout, self._payload, self._position)
         except struct.error as error:
             raise FrameError(str(error)) from None
-        self._at += struct.calcsize(form)
+        self._position += struct.calcsize(layout)
         return values
 
-    def one(self, form: str):
-        return self.get(form)[0]
+    def read_one(self, layout: str) -> Any:
+        """Read one number; see `read`."""
+        return self.read(layout)[0]
 
     def text(self) -> str:
-        length = self.one("H")
-        end = self._at + length
-        if end > len(self._data):
+        """Read text."""
+        length = self.read_one("H")
+        end = self._position + length
+        if end > len(self._payload):
             raise FrameError("short text")
         try:
-            value = self._data[self._at : end].decode()
+            value = self._payload[self._position : end].decode()
         except UnicodeDecodeError:
             raise FrameError("text") from None
-        self._at = end
+        self._position = end
         return value
 
-    def maybe(self) -> str | None:
-        return self.text() if self.one("?") else None
+    def optional_text(self) -> str | None:
+        """Read what `PayloadWriter.optional_text` wrote."""
+        return self.text() if self.read_one("?") else None
 
-    def end(self) -> None:
-        if self._at != len(self._data):
+    def expect_end(self) -> None:
+        """Raise `FrameError` unless all has been read."""
+        if self._position != len(self._payload):
             raise FrameError("bytes left over")
--- a/roadbend/peers/heartbeat.py
+++ b/roadbend/peers/heartbeat.py
@@ -1,115 +1,156 @@
-"""What controllers tell each other all the time: reach, ownership, reports heard, cancellations."""
+"""The heartbeats of controllers, and what is known of a peer by them."""
 
 from dataclasses import dataclass, field
 from datetime import datetime, timedelta
+from typing import NamedTuple
 
-from roadbend.clock import DRIFT
-from roadbend.peers.frames import Scanner, Writer
+from roadbend.clock import DRIFT, ZERO
+from roadbend.peers.frames import PayloadReader, PayloadWriter
 
+# A peer that was heard this lately counts as alive.
 ALIVE_FOR = timedelta(seconds=3.5)
-_NEVER = 0xFFFFFFFF
-# Times in a pulse are whole milliseconds; one more keeps out what was told at the very edge of the
-# list.
+# What stands in a frame for the age of a contact that never was; other durations end at it.
+_NO_CONTACT = 0xFFFFFFFF
+# Durations in a heartbeat are whole milliseconds; one more keeps out what was told at the very edge
+# of the list.
 _ROUNDING = timedelta(milliseconds=2)
 
 
+class RequestRates(NamedTuple):
+    """What a controller used of the common limits lately, a second."""
+
+    state_requests: float
+    state_changes: float
+    cloud_requests: float
+
+
 @dataclass(frozen=True)
 class PeerHeartbeat:
     """What a controller tells each of the others every second."""
 
     incarnation: str
     uptime: timedelta
-    # Age of the last answered read of the state service; None: none since the process began.
+    # Age of the last answered read of the state store; None: none since the process began.
     contact_age: timedelta | None
-    # Requests and changes of the state service, and calls of the cloud, a second.
-    request_rates: tuple[float, float, float]
+    request_rates: RequestRates
+    # The partitions that the sender leads, with their terms.
     led_partitions: dict[str, int] = field(default_factory=dict)
-    # Machines heard lately by partition, for partitions that the sender does not own.
+    # Machines heard lately by partition, for partitions that the sender does not lead.
     heard_machines: dict[str, tuple[str, ...]] = field(default_factory=dict)
-    # Cancellations that the sender told users of, complete for the last `span`.
-    cancellations_span: timedelta = timedelta()
+    # Cancellations that the sender confirmed to users, complete for the last `cancellations_span`.
+    cancellations_span: timedelta = ZERO
     cancellations: tuple[str, ...] = ()
 
     def pack(self) -> bytes:
-        out = Writer().text(self.incarnation).put("Q", _ms(self.uptime))
-        out.put("I", _NEVER if self.contact_age is None else min(_ms(self.contact_age), _NEVER - 1))
-        out.put("fffI", *self.request_rates, min(_ms(self.cancellations_span), _NEVER))
-        out.put("H", len(self.led_partitions))
+        """Encode the payload of a frame."""
+        writer = PayloadWriter().text(self.incarnation).put("Q", _milliseconds(self.uptime))
+        writer.put("I", _contact_milliseconds(self.contact_age))
+        span = min(_milliseconds(self.cancellations_span), _NO_CONTACT)
+        writer.put("fffI", *self.request_rates, span)
+        writer.put("H", len(self.led_partitions))
         for partition, term in self.led_partitions.items():
-            out.text(partition).put("Q", term)
-        out.put("H", len(self.heard_machines))
-        for partition, names in self.heard_machines.items():
-            out.text(partition).put("H", len(names))
-            for name in names:
-                out.text(name)
-        out.put("H", len(self.cancellations))
-        for job in self.cancellations:
-            out.text(job)
-        return out.bytes()
+            writer.text(partition).put("Q", term)
+        writer.put("H", len(self.heard_machines))
+        for partition, machines in self.heard_machines.items():
+            writer.text(partition)
+            _put_texts(writer, machines)
+        _put_texts(writer, self.cancellations)
+        return writer.payload()
 
     @staticmethod
-    def unpack(data: bytes) -> "PeerHeartbeat":
-        scan = Scanner(data)
-        incarnation, uptime, contact = scan.text(), scan.one("Q"), scan.one("I")
-        calls, writes, cloud, span = scan.get("fffI")
-        owned = {}
-        for _ in range(scan.one("H")):
-            partition = scan.text()
-            owned[partition] = scan.one("Q")
-        heard = {}
-        for _ in range(scan.one("H")):
-            partition = scan.text()
-            heard[partition] = tuple(scan.text() for _ in range(scan.one("H")))
-        cancellations = tuple(scan.text() for _ in range(scan.one("H")))
-        scan.end()
-        age = None if contact == _NEVER else timedelta(milliseconds=contact)
+    def unpack(payload: bytes) -> "PeerHeartbeat":
+        """Decode the payload of a frame; raise `FrameError` if it is malformed."""
+        reader = PayloadReader(payload)
+        incarnation = reader.text()
+        uptime, contact_age = reader.read_one("Q"), reader.read_one("I")
+        state_requests, state_changes, cloud_requests, span = reader.read("fffI")
+        led_partitions = {}
+        for _ in range(reader.read_one("H")):
+            partition = reader.text()
+            led_partitions[partition] = reader.read_one("Q")
+        heard_machines = {}
+        for _ in range(reader.read_one("H")):
+            partition = reader.text()
+            heard_machines[partition] = _read_texts(reader)
+        cancellations = _read_texts(reader)
+        reader.expect_end()
         return PeerHeartbeat(
-            incarnation,
-            timedelta(milliseconds=uptime),
-            age,
-            (calls, writes, cloud),
-            owned,
-            heard,
-            timedelta(milliseconds=span),
-            cancellations,
+            incarnation=incarnation,
+            uptime=timedelta(milliseconds=uptime),
+            contact_age=None if contact_age == _NO_CONTACT else timedelta(milliseconds=contact_age),
+            request_rates=RequestRates(state_requests, state_changes, cloud_requests),
+            led_partitions=led_partitions,
+            heard_machines=heard_machines,
+            cancellations_span=timedelta(milliseconds=span),
+            cancellations=cancellations,
         )
 
 
-def _ms(length: timedelta) -> int:
-    return max(0, round(length.total_seconds() * 1000))
+def _milliseconds(duration: timedelta) -> int:
+    return max(0, round(duration.total_seconds() * 1000))
+
+
+def _contact_milliseconds(age: timedelta | None) -> int:
+    return _NO_CONTACT if age is None else min(_milliseconds(age), _NO_CONTACT - 1)
+
+
+def _put_texts(writer: PayloadWriter, texts: tuple[str, ...]) -> None:
+    writer.put("H", len(texts))
+    for text in texts:
+        writer.text(text)
+
+
+def _read_texts(reader: PayloadReader) -> tuple[str, ...]:
+    return tuple(reader.text() for _ in range(reader.read_one("H")))
 
 
 @dataclass
 class PeerState:
-    """What we know of a peer. `covered`: all cancellations that it told users of before that
-    instant are known to us, from the records or from its own word."""
+    """What is known of a peer by its last answer to a heartbeat."""
 
     heartbeat: PeerHeartbeat | None = None
-    asked: datetime | None = None
+    # When the heartbeat that it answered was sent, and when the answer came.
+    asked_at: datetime | None = None
     heard_at: datetime | None = None
-    vouched_until: datetime | None = None
-
-    def take(
-        self, heartbeat: PeerHeartbeat, asked: datetime, now: datetime, contact: datetime | None
+    # All cancellations that the peer confirmed to users before this instant are known here, by its
+    # own word.
+    cancellation_watermark: datetime | None = None
+
+    def update(
+        self,
+        heartbeat: PeerHeartbeat,
+        asked_at: datetime,
+        now: datetime,
+        contact: datetime | None,
     ) -> None:
-        base = self.reach(contact)
-        # Its list closes the gap only if it goes back to what we had, in one life of that process:
-        # what a former process told its users, this one can't know. The peer counted back from when
-        # it answered, which may have been as late as now, on a clock that may run faster than ours.
-        back = min(heartbeat.uptime, heartbeat.cancellations_span) * (1 - DRIFT) - _ROUNDING
-        if base is not None and now - back <= base:
-            self.vouched_until = max(base, asked)
-        self.heartbeat, self.asked, self.heard_at = heartbeat, asked, now
+        """Take in an answer that came now, and raise the cancellation watermark if it may be.
+
+        `contact` is when our last answered read of the state store began. The peer's list closes
+        the gap only if it goes back to what we had, in one life of that process: what a former
+        process confirmed to users, this one can't know. The peer counted back from when it
+        answered, which may have been as late as now, on a clock that may run faster than ours.
+        """
+        known_until = self.cancellations_known_until(contact)
+        covered = min(heartbeat.uptime, heartbeat.cancellations_span) * (1 - DRIFT) - _ROUNDING
+        if known_until is not None and now - covered <= known_until:
+            self.cancellation_watermark = max(known_until, asked_at)
+        self.heartbeat, self.asked_at, self.heard_at = heartbeat, asked_at, now
+
+    def cancellations_known_until(self, contact: datetime | None) -> datetime | None:
+        """Return before which instant all of the peer's cancellations are known here.
+
+        They are known from the records, or from the peer's own word. None: nothing is known.
+        """
+        known = [at for at in (self.cancellation_watermark, contact) if at is not None]
+        return max(known) if known else None
 
     def alive(self, now: datetime) -> bool:
         """Tell whether the peer was heard lately."""
         return self.heard_at is not None and now - self.heard_at < ALIVE_FOR
 
-    def speaks(self, dialect: str) -> bool:
-        """Whether the peer understands what came after version 2 of the frames; one that we have
-        not heard may not."""
-        return self.heartbeat is not None and self.heartbeat.incarnation.endswith(dialect)
+    def supports(self, extension: str) -> bool:
+        """Tell whether the peer understands an extension of version 2 of the frames.
 
-    def reach(self, contact: datetime | None) -> datetime | None:
-        known = [at for at in (self.vouched_until, contact) if at is not None]
-        return max(known) if known else None
+        One that has not been heard may not.
+        """
+        return self.heartbeat is not None and self.heartbeat.incarnation.endswith(extension)
--- a/roadbend/peers/links.py
+++ b/roadbend/peers/links.py
@@ -1,9 +1,11 @@
-"""Links to the other controllers: one connection each way, calls with replies, a pulse every
-second."""
+"""Links to the other controllers: calls with replies, and a heartbeat every second.
 
-import math
+Each controller opens a connection to every other one. Calls go one way, their replies come back on
+the same connection.
+"""
+
+import contextlib
 import random
-from collections.abc import Callable
 from datetime import datetime, timedelta
 from typing import Protocol
 
@@ -14,19 +16,32 @@
 from roadbend.http.net import Net
 from roadbend.log import Log
 from roadbend.peers import frames
-from roadbend.peers.frames import FrameError, Splitter
+from roadbend.peers.frames import REPLY_BIT, FrameDecoder, FrameError, FrameKind
 from roadbend.peers.heartbeat import PeerHeartbeat, PeerState
+from roadbend.peers.incoming import RECEIVE_BYTES, Handler, IncomingConnection
 from roadbend.retry import Backoff
 from roadbend.settings import Peer
 
 log = Log("peers")
+
 HEARTBEAT_INTERVAL = timedelta(seconds=1)
 HEARTBEAT_TIMEOUT = timedelta(seconds=1.5)
+# After so many heartbeats in a row without an answer the connection is opened anew.
+MAX_MISSED_HEARTBEATS = 2
+# Seconds.
+CONNECT_TIMEOUT = 2
+NOTIFY_TIMEOUT = 0.5
+RECONNECT_FIRST = timedelta(milliseconds=200)
+RECONNECT_MOST = timedelta(seconds=1)
+# Connections that other controllers may have open here; those beyond are closed at once.
 MAX_INCOMING = 32
+# Calls that wait for a peer's reply; those beyond count as unanswered.
 MAX_WAITING = 256
+MAX_CALL_NUMBER = 0xFFFFFFFF
+
 
-# A handler gets the sender's name and the payload, and gives the reply's payload (None: no reply).
-Handler = Callable[[str, bytes], bytes | None]
+class NoReplyError(RoadbendError):
+    """A peer did not answer a call in time."""
 
 
 class HeartbeatExchange(Protocol):
@@ -35,37 +50,36 @@
     def build(self) -> PeerHeartbeat:
         """Build a heartbeat of what is known now."""
 
-    def on_reply(self, link: "Link", heartbeat: PeerHeartbeat, asked: datetime) -> None:
-        """Take in a peer's answer to a heartbeat that was sent at `asked`."""
-
-
-class NoReplyError(RoadbendError):
-    """A peer did not answer a call in time."""
+    def on_reply(self, link: "Link", heartbeat: PeerHeartbeat, asked_at: datetime) -> None:
+        """Take in a peer's answer to a heartbeat that was sent at `asked_at`."""
 
 
 class Link:
     """The connection to one other controller, and what is known of it."""
 
-    def __init__(self, net: Net, peer: Peer, me: str, rng: random.Random):
+    def __init__(self, net: Net, peer: Peer, controller: str, rng: random.Random) -> None:
         self.peer = peer
-        self._rng = rng
         self.known = PeerState()
         self._net = net
-        self._me = me
+        self._controller = controller
+        self._rng = rng
         self._stream: trio.abc.Stream | None = None
         self._sending = trio.Lock()
-        self._number = 0
-        self._waiting: dict[int, trio.MemorySendChannel] = {}
+        self._last_number = 0
+        # The calls that wait for a reply, by number.
+        self._waiting: dict[int, trio.MemorySendChannel[bytes]] = {}
 
     def alive(self, now: datetime) -> bool:
+        """Tell whether the peer was heard lately."""
         return self.known.alive(now)
 
-    async def call(self, kind: int, payload: bytes, within: timedelta) -> bytes:
+    async def call(self, kind: FrameKind, payload: bytes, within: timedelta) -> bytes:
+        """Send a call, and return its reply's payload; raise `NoReplyError` if none comes."""
         if self._stream is None or len(self._waiting) >= MAX_WAITING:
             raise NoReplyError(self.peer.name)
-        self._number = (self._number + 1) & 0xFFFFFFFF
-        number = self._number
-        send, receive = trio.open_memory_channel(1)
+        self._last_number = (self._last_number + 1) & MAX_CALL_NUMBER
+        number = self._last_number
+        send, receive = trio.open_memory_channel[bytes](1)
         self._waiting[number] = send
         try:
             with trio.fail_after(within.total_seconds()):
@@ -81,10 +95,10 @@
         finally:
             self._waiting.pop(number, None)
 
-    async def cast(self, kind: int, payload: bytes) -> None:
-        """Says something that needs no answer."""
+    async def notify(self, kind: FrameKind, payload: bytes) -> None:
+        """Send what needs no reply; raise `NoReplyError` if it can't be sent."""
         try:
-            with trio.fail_after(0.5):
+            with trio.fail_after(NOTIFY_TIMEOUT):
                 await self._send(frames.pack(kind, 0, payload))
         except (trio.TooSlowError, trio.BrokenResourceError, trio.ClosedResourceError):
             raise NoReplyError(self.peer.name) from None
@@ -94,76 +108,79 @@
             stream = self._stream
             if stream is None:
                 raise trio.BrokenResourceError
-            clean = False
+            whole = False
             try:
                 await stream.send_all(data)
-                clean = True
+                whole = True
             finally:
                 # A frame that was cut short would spoil all that follow.
-                if not clean and self._stream is stream:
+                if not whole and self._stream is stream:
                     self._stream = None
                     await trio.aclose_forcefully(stream)
 
     async def run(self, exchange: HeartbeatExchange) -> None:
-        waits = Backoff(timedelta(milliseconds=200), timedelta(seconds=1), self._rng)
+        """Keep a connection open and heartbeats going, for ever."""
+        backoff = Backoff(RECONNECT_FIRST, RECONNECT_MOST, self._rng)
         while True:
             try:
-                with trio.fail_after(2):
-                    stream = await self._net.connect(self.peer.address)
-                try:
-                    await stream.send_all(frames.pack(frames.HELLO, 0, self._me.encode()))
-                    self._stream = stream
-                    waits.reset()
-                    async with trio.open_nursery() as nursery:
-                        nursery.start_soon(self._read, stream, nursery.cancel_scope)
-                        nursery.start_soon(self._beat, exchange, nursery.cancel_scope)
-                finally:
-                    self._stream = None
-                    await trio.aclose_forcefully(stream)
+                await self._run_connection(exchange, backoff)
             except (OSError, trio.TooSlowError, trio.BrokenResourceError, trio.ClosedResourceError):
                 pass
             except Exception:
+                # Whatever failed, the peer must be reached again.
                 log.crash("peer-link-failed", peer=self.peer.name)
             for send in list(self._waiting.values()):
                 send.close()
-            await clock.pause(waits.next())
+            await clock.pause(backoff.next())
+
+    async def _run_connection(self, exchange: HeartbeatExchange, backoff: Backoff) -> None:
+        with trio.fail_after(CONNECT_TIMEOUT):
+            stream = await self._net.connect(self.peer.address)
+        try:
+            await stream.send_all(frames.pack(FrameKind.HELLO, 0, self._controller.encode()))
+            self._stream = stream
+            backoff.reset()
+            async with trio.open_nursery() as nursery:
+                nursery.start_soon(self._read_replies, stream, nursery.cancel_scope)
+                nursery.start_soon(self._send_heartbeats, exchange, nursery.cancel_scope)
+        finally:
+            self._stream = None
+            await trio.aclose_forcefully(stream)
 
     async def exchange_heartbeats(self, exchange: HeartbeatExchange) -> bool:
-        """Exchanges pulses once; says whether the peer has taken ours."""
-        asked = clock.now()
+        """Exchange heartbeats once; return whether the peer has taken in ours."""
+        asked_at = clock.now()
         try:
-            reply = await self.call(frames.PING, exchange.build().pack(), HEARTBEAT_TIMEOUT)
-            exchange.on_reply(self, PeerHeartbeat.unpack(reply), asked)
-            return True
+            reply = await self.call(FrameKind.HEARTBEAT, exchange.build().pack(), HEARTBEAT_TIMEOUT)
+            exchange.on_reply(self, PeerHeartbeat.unpack(reply), asked_at)
         except (NoReplyError, FrameError):
             return False
+        return True
 
-    async def _beat(self, exchange, scope) -> None:
+    async def _send_heartbeats(self, exchange: HeartbeatExchange, scope: trio.CancelScope) -> None:
+        """Exchange heartbeats every second, until the peer misses too many."""
         missed = 0
         while True:
             if await self.exchange_heartbeats(exchange):
                 missed = 0
             else:
                 missed += 1
-                if missed >= 2:
+                if missed >= MAX_MISSED_HEARTBEATS:
                     log.debug("peer-link-silent", peer=self.peer.name)
                     scope.cancel()
             await clock.pause(HEARTBEAT_INTERVAL)
 
-    async def _read(self, stream, scope) -> None:
-        splitter = Splitter()
+    async def _read_replies(self, stream: trio.abc.Stream, scope: trio.CancelScope) -> None:
+        """Hand replies to the calls that wait for them, until the connection ends."""
+        decoder = FrameDecoder()
         try:
-            while True:
-                data = await stream.receive_some(65536)
-                if not data:
-                    break
-                for kind, number, payload in splitter.feed(data):
+            while data := await stream.receive_some(RECEIVE_BYTES):
+                for kind, number, payload in decoder.feed(data):
                     waiting = self._waiting.get(number)
-                    if waiting is not None and kind & frames.REPLY:
-                        try:
+                    if waiting is not None and kind & REPLY_BIT:
+                        # A call that has given up, or has its reply already, needs none.
+                        with contextlib.suppress(trio.WouldBlock, trio.BrokenResourceError):
                             waiting.send_nowait(payload)
-                        except (trio.WouldBlock, trio.BrokenResourceError):
-                            pass
         except (OSError, trio.BrokenResourceError, trio.ClosedResourceError):
             pass
         except FrameError as error:
@@ -175,57 +192,38 @@
     """The links to all other controllers, and the calls that come from them."""
 
     def __init__(
-        self, net: Net, me: str, peers: tuple[Peer, ...], rng: random.Random | None = None
-    ):
+        self,
+        net: Net,
+        controller: str,
+        peers: tuple[Peer, ...],
+        rng: random.Random | None = None,
+    ) -> None:
         rng = rng or random.Random()
-        self.links = {peer.name: Link(net, peer, me, rng) for peer in peers}
+        self.links = {peer.name: Link(net, peer, controller, rng) for peer in peers}
+        # What answers calls, by the kind of frame.
         self.handlers: dict[int, Handler] = {}
         self._incoming = 0
 
     def alive(self, now: datetime) -> list[str]:
+        """List the controllers that were heard lately."""
         return [name for name, link in self.links.items() if link.alive(now)]
 
     async def serve(self, stream: trio.abc.Stream) -> None:
+        """Answer the calls of one connection until it ends."""
         if self._incoming >= MAX_INCOMING:
             await trio.aclose_forcefully(stream)
             return
         self._incoming += 1
-        sender = None
-        splitter = Splitter()
+        connection = IncomingConnection(stream, self.links, self.handlers)
         try:
-            while True:
-                with trio.fail_after(30 if sender else 5):
-                    data = await stream.receive_some(65536)
-                if not data:
-                    return
-                out = b""
-                for kind, number, payload in splitter.feed(data):
-                    if sender is None:
-                        sender = payload.decode("utf-8", "replace")
-                        if kind != frames.HELLO or sender not in self.links:
-                            raise FrameError("no hello")
-                        continue
-                    handler = self.handlers.get(kind)
-                    if handler is None:
-                        raise FrameError(f"kind {kind}")
-                    reply = handler(sender, payload)
-                    if reply is not None:
-                        out += frames.pack(kind | frames.REPLY, number, reply)
-                if out:
-                    with trio.fail_after(5):
-                        await stream.send_all(out)
+            await connection.run()
         except FrameError as error:
-            log.error("frame-malformed", peer=sender, error=str(error))
+            log.error("frame-malformed", peer=connection.sender, error=str(error))
         except (OSError, trio.BrokenResourceError, trio.ClosedResourceError, trio.TooSlowError):
             pass
         except Exception:
-            log.crash("peer-connection-failed", peer=sender)
+            # A handler's fault must not end the controller; the peer opens the connection anew.
+            log.crash("peer-connection-failed", peer=connection.sender)
         finally:
             self._incoming -= 1
             await trio.aclose_forcefully(stream)
-
-
-def finite(value: float) -> float:
-    if not math.isfinite(value) or value < 0:
-        raise FrameError("number")
-    return value
--- a/roadbend/peers/test_peers.py
+++ b/roadbend/peers/test_peers.py
@@ -1,4 +1,4 @@
-"""Frames and pulses between controllers."""
+"""Frames and heartbeats between controllers."""
 
 from datetime import timedelta
 
@@ -8,8 +8,8 @@
 
 from roadbend import clock
 from roadbend.peers import frames
-from roadbend.peers.frames import FrameError, Splitter
-from roadbend.peers.heartbeat import PeerHeartbeat, PeerState
+from roadbend.peers.frames import FrameDecoder, FrameError
+from roadbend.peers.heartbeat import PeerHeartbeat, PeerState, RequestRates
 from roadbend.peers.links import Peers
 from roadbend.settings import Peer
 
@@ -19,9 +19,9 @@
 def test_frames_survive_any_cutting():
     data = b"".join(frames.pack(kind, kind * 7, bytes(kind)) for kind in range(1, 6))
     for step in (1, 3, 7, len(data)):
-        splitter, out = Splitter(), []
+        decoder, out = FrameDecoder(), []
         for at in range(0, len(data), step):
-            out += list(splitter.feed(data[at : at + step]))
+            out += list(decoder.feed(data[at : at + step]))
         assert out == [(kind, kind * 7, bytes(kind)) for kind in range(1, 6)]
 
 
@@ -30,15 +30,15 @@
 )
 def test_malformed_frames_are_refused(data):
     with pytest.raises(FrameError):
-        list(Splitter().feed(data))
+        list(FrameDecoder().feed(data))
 
 
 async def test_a_stranger_or_garbage_loses_its_connection():
     peers = Peers(None, "a", (Peer("b", "z", "b:1"),))
     for data in (
         b"GET / HTTP/1.1\r\n\r\n",
-        frames.pack(frames.HELLO, 0, b"nobody"),
-        frames.pack(frames.PING, 1, b""),
+        frames.pack(frames.FrameKind.HELLO, 0, b"nobody"),
+        frames.pack(frames.FrameKind.HEARTBEAT, 1, b""),
     ):
         mine, theirs = trio.testing.memory_stream_pair()
         async with trio.open_nursery() as nursery:
@@ -50,12 +50,12 @@
                 raise trio.BrokenResourceError
 
 
-def test_a_pulse_comes_back_as_it_went():
+def test_a_heartbeat_comes_back_as_it_went():
     heartbeat = PeerHeartbeat(
         "b1",
         9 * S,
         None,
-        (1.5, 0.25, 0.5),
+        RequestRates(1.5, 0.25, 0.5),
         {"east": 7},
         {"west": ("m-1", "m-2")},
         60 * S,
@@ -65,28 +65,30 @@
 
 
 def known(heartbeat, asked, contact, waited=0 * S):
-    row = PeerState()
-    row.take(heartbeat, asked, asked + waited, contact)
-    return row
+    state = PeerState()
+    state.update(heartbeat, asked, asked + waited, contact)
+    return state
 
 
 def test_a_peers_list_of_cancellations_covers_only_an_unbroken_life():
     t = clock.ORIGIN + 1000 * S
-    alive = PeerHeartbeat("b1", 500 * S, 20 * S, (0, 0), cancellations_span=100 * S)
-    assert known(alive, t, t - 20 * S).reach(t - 20 * S) == t
+    alive = PeerHeartbeat("b1", 500 * S, 20 * S, RequestRates(0, 0, 0), cancellations_span=100 * S)
+    assert known(alive, t, t - 20 * S).cancellations_known_until(t - 20 * S) == t
     # It restarted after our last contact: what its former process told users is unknown.
-    newborn = PeerHeartbeat("b2", 5 * S, None, (0, 0), cancellations_span=100 * S)
-    assert known(newborn, t, t - 20 * S).reach(t - 20 * S) == t - 20 * S
+    newborn = PeerHeartbeat("b2", 5 * S, None, RequestRates(0, 0, 0), cancellations_span=100 * S)
+    assert known(newborn, t, t - 20 * S).cancellations_known_until(t - 20 * S) == t - 20 * S
     # Its list does not go back far enough.
-    short = PeerHeartbeat("b1", 500 * S, 20 * S, (0, 0), cancellations_span=10 * S)
-    assert known(short, t, t - 20 * S).reach(t - 20 * S) == t - 20 * S
+    short = PeerHeartbeat("b1", 500 * S, 20 * S, RequestRates(0, 0, 0), cancellations_span=10 * S)
+    assert known(short, t, t - 20 * S).cancellations_known_until(t - 20 * S) == t - 20 * S
     # It may have counted back from when its answer came, not from when it was asked: it restarted
     # just after our last contact, and its answer took 1.4 s.
-    slow = PeerHeartbeat("b2", 1.2 * S, None, (0, 0), cancellations_span=100 * S)
-    assert known(slow, t, t - 1 * S, 1.4 * S).reach(t - 1 * S) == t - 1 * S
-    assert known(slow, t, t - 1.3 * S, 1.4 * S).reach(t - 1.3 * S) == t - 1.3 * S
+    slow = PeerHeartbeat("b2", 1.2 * S, None, RequestRates(0, 0, 0), cancellations_span=100 * S)
+    assert known(slow, t, t - 1 * S, 1.4 * S).cancellations_known_until(t - 1 * S) == t - 1 * S
+    assert (
+        known(slow, t, t - 1.3 * S, 1.4 * S).cancellations_known_until(t - 1.3 * S) == t - 1.3 * S
+    )
     # Its clock may run fast, and what it told at the very edge of its list may have been cut off.
-    edge = PeerHeartbeat("b1", 500 * S, 20 * S, (0, 0), cancellations_span=20 * S)
-    assert known(edge, t, t - 20 * S).reach(t - 20 * S) == t - 20 * S
+    edge = PeerHeartbeat("b1", 500 * S, 20 * S, RequestRates(0, 0, 0), cancellations_span=20 * S)
+    assert known(edge, t, t - 20 * S).cancellations_known_until(t - 20 * S) == t - 20 * S
     # Without any contact of our own there is nothing to build on.
-    assert known(alive, t, None).reach(None) is None
+    assert known(alive, t, None).cancellations_known_until(None) is None
--- a/roadbend/recovery/service.py
+++ b/roadbend/recovery/service.py
@@ -159,9 +159,9 @@
         """Since when every live controller was heard; now where there is none."""
         now = clock.now()
         heard = [
-            link.known.asked
+            link.known.asked_at
             for link in self._controller.peers.links.values()
-            if link.alive(now) and link.known.asked is not None
+            if link.alive(now) and link.known.asked_at is not None
         ]
         return min(heard, default=now)
 
--- a/roadbend/test_nonsense.py
+++ b/roadbend/test_nonsense.py
@@ -128,9 +128,16 @@
     async with world() as w:
         for _ in range(60):
             stream = await w.network.port("node-1").connect("node-0:81")
-            await stream.send_all(frames.pack(frames.HELLO, 0, b"node-1"))
+            await stream.send_all(frames.pack(frames.FrameKind.HELLO, 0, b"node-1"))
             kind = rng.choice(
-                (frames.PING, frames.REQUEST, frames.ASSIGN, frames.INFORM, frames.GANG_REQUEST, 99)
+                (
+                    frames.FrameKind.HEARTBEAT,
+                    frames.FrameKind.REQUEST,
+                    frames.FrameKind.ASSIGN,
+                    frames.FrameKind.INFORM,
+                    frames.FrameKind.GANG_REQUEST,
+                    99,
+                )
             )
             await stream.send_all(frames.pack(kind, 1, rng.randbytes(rng.randrange(200))))
             await trio.sleep(0.1)
--- a/roadbend/test_upgrade.py
+++ b/roadbend/test_upgrade.py
@@ -164,25 +164,31 @@
 
 def test_frames_are_written_as_production_writes_them_and_its_frames_are_read():
     made = {
-        "hello": frames.pack(frames.HELLO, 0, b"node-0"),
-        "ping": frames.pack(frames.PING, 3, PULSE.pack()),
+        "hello": frames.pack(frames.FrameKind.HELLO, 0, b"node-0"),
+        "ping": frames.pack(frames.FrameKind.HEARTBEAT, 3, PULSE.pack()),
         "pong": frames.pack(
-            frames.PING | frames.REPLY,
+            frames.FrameKind.HEARTBEAT | frames.REPLY_BIT,
             3,
             PeerHeartbeat("b2", 9 * S, 2 * S, (1.5, 0.25, 0.5)).pack(),
         ),
-        "request": frames.pack(frames.REQUEST, 4, ASK.pack()),
+        "request": frames.pack(frames.FrameKind.REQUEST, 4, ASK.pack()),
         "request-service": frames.pack(
-            frames.REQUEST, 4, BidRequest(job="run-2", requests=3, tasks=4, spec=SERVICE).pack()
+            frames.FrameKind.REQUEST,
+            4,
+            BidRequest(job="run-2", requests=3, tasks=4, spec=SERVICE).pack(),
         ),
-        "inform": frames.pack(frames.INFORM, 5, AGAIN.pack()),
-        "bids": frames.pack(frames.REQUEST | frames.REPLY, 4, messages.pack_bids(BIDS)),
-        "assign": frames.pack(frames.ASSIGN, 6, messages.Assignment("run-1", b"\xa0", 77).pack()),
-        "revoke": frames.pack(frames.REVOKE, 0, messages.Revocation("run-1").pack()),
+        "inform": frames.pack(frames.FrameKind.INFORM, 5, AGAIN.pack()),
+        "bids": frames.pack(
+            frames.FrameKind.REQUEST | frames.REPLY_BIT, 4, messages.pack_bids(BIDS)
+        ),
+        "assign": frames.pack(
+            frames.FrameKind.ASSIGN, 6, messages.Assignment("run-1", b"\xa0", 77).pack()
+        ),
+        "revoke": frames.pack(frames.FrameKind.REVOKE, 0, messages.Revocation("run-1").pack()),
     }
     assert {name: data.hex() for name, data in made.items()} == FRAMES
     read = {
-        name: next(iter(frames.Splitter().feed(bytes.fromhex(data))))[2]
+        name: next(iter(frames.FrameDecoder().feed(bytes.fromhex(data))))[2]
         for name, data in FRAMES.items()
     }
     assert PeerHeartbeat.unpack(read["ping"]) == PULSE and BidRequest.unpack(read["request"]) == ASK
--- a/tests/compatibility/adapter.py
+++ b/tests/compatibility/adapter.py
@@ -139,17 +139,17 @@
 # Frames between controllers.
 
 FRAME_KINDS = {
-    "hello": frames.HELLO,
-    "heartbeat": frames.PING,
-    "bid_request": frames.REQUEST,
-    "assignment": frames.ASSIGN,
-    "revocation": frames.REVOKE,
-    "offer_again": frames.INFORM,
-    "gang_bid_request": frames.GANG_REQUEST,
-    "gang_offer_again": frames.GANG_INFORM,
+    "hello": frames.FrameKind.HELLO,
+    "heartbeat": frames.FrameKind.HEARTBEAT,
+    "bid_request": frames.FrameKind.REQUEST,
+    "assignment": frames.FrameKind.ASSIGN,
+    "revocation": frames.FrameKind.REVOKE,
+    "offer_again": frames.FrameKind.INFORM,
+    "gang_bid_request": frames.FrameKind.GANG_REQUEST,
+    "gang_offer_again": frames.FrameKind.GANG_INFORM,
 }
-REPLY_BIT = frames.REPLY
-LONGEST_PAYLOAD = frames.MOST
+REPLY_BIT = frames.REPLY_BIT
+LONGEST_PAYLOAD = frames.MAX_PAYLOAD
 
 
 def encode_frame(kind: int, number: int, payload: bytes) -> bytes:
@@ -161,7 +161,7 @@
 def split_frames(data: bytes) -> list[tuple[int, int, bytes]]:
     """Kind, call number and payload of every whole frame in the data."""
     with _refusals():
-        return list(frames.Splitter().feed(data))
+        return list(frames.FrameDecoder().feed(data))
 
 
 def encode_heartbeat(fields: Fields) -> bytes:
@@ -198,7 +198,7 @@
 def understands_gangs(boot: str) -> bool:
     """Whether a controller is sent frames about gangs, by the boot id in its heartbeats."""
     heartbeat = PeerHeartbeat(boot, timedelta(), None, (0.0, 0.0, 0.0))
-    return PeerState(heartbeat).speaks(frames.GANGS)
+    return PeerState(heartbeat).supports(frames.GANGS_EXTENSION)
 
 
 def encode_bid_request(fields: Fields) -> bytes:
