--- a/roadbend/autoscaler/service.py
+++ b/roadbend/autoscaler/service.py
@@ -159,7 +159,7 @@
                 continue
             self._first_listed.setdefault(row.id, now)
             boots = self._boots.setdefault(row.zone, {})
-            if row.id in self._context.deleted:
+            if row.id in self._context.deleted_machines.ids:
                 # The list lags: what we deleted still appears in it, and is no stray.
                 continue
             if row.status in ("booting", "running") and row.id not in boots:
@@ -179,7 +179,7 @@
                 if self._context.election.may_start(now) and self._context.machine_types:
                     hires = self._plan(leader, now)
                     # Where looking at everything takes long, it is done less often.
-                    pause = max(ROUND, self._context.rest(clock.now() - now))
+                    pause = max(ROUND, self._context.reuse_window(clock.now() - now))
                     await self._round(leader, now, *hires)
             except (NoAnswerError, CloudBusyError) as error:
                 log.debug("cloud-unavailable", partition=partition, error=str(error)[:60])
@@ -321,7 +321,7 @@
             # The last task decides; for the later deadline, which is the last chance, some more is
             # kept.
             sure = kept * 1.3 + 0.5 * boot
-            first, *more = self._context.deadlines(spec)
+            first, *more = self._context.objectives.deadline_factors(spec)
             later = [forecast.slack(item, waited, sure, x) for x in more]
             first = forecast.slack(item, waited, kept, first)
             least = (
@@ -338,7 +338,7 @@
         """Nothing is hired for tasks that their team's limit keeps waiting anyway."""
 
         def capacity(team: str) -> QuotaAmount | None:
-            most = self._context.most_for(team, leader.partition)
+            most = self._context.fair_share.quota_for(team, leader.partition)
             if most is None:
                 return None
             used = self._context.view.usage.get(leader.partition, {}).get(team, (0.0, 0.0))
--- a/roadbend/autoscaler/warm_pool.py
+++ b/roadbend/autoscaler/warm_pool.py
@@ -28,7 +28,7 @@
             default=clock.ZERO,
         )
         for job in self._context.view.jobs.values():
-            within = self._context.start_within(job.spec)
+            within = self._context.objectives.start_within(job.spec)
             # Boots take up to half as long again as they nominally do.
             if within is None or within > boot * 1.5 or not job.spec.service:
                 continue
--- a/roadbend/bidding/requester.py
+++ b/roadbend/bidding/requester.py
@@ -228,7 +228,7 @@
         view = self._context.view
         for _ in range(3):
             job = view.jobs.get(name)
-            if job is None or not job.unassigned or name in self._context.cancelled:
+            if job is None or not job.unassigned or name in self._context.cancellations.jobs:
                 return
             if self._context.recovery.holds_back(name):
                 return
@@ -326,7 +326,7 @@
         room where it is; others at once, since one partition must hold them whole."""
         for name in list(self._context.view.assigned_jobs.get(leader.partition, ())):
             job = self._context.view.jobs[name]
-            if not job.spec.gang or name in self._context.cancelled:
+            if not job.spec.gang or name in self._context.cancellations.jobs:
                 continue
             waits_long = now - leader.queued.get(name, now) >= LONG_WAIT
             due = apart_gangs.is_apart(job) and (waits_long or name in leader.to_release)
--- a/roadbend/bidding/responder.py
+++ b/roadbend/bidding/responder.py
@@ -166,7 +166,7 @@
 
         The jobs of a team at its quota queue all the same, a few tasks at a time.
         """
-        room = self._leader.context.room_left(spec, self._leader.partition)
+        room = self._leader.context.fair_share.startable_tasks(spec, self._leader.partition)
         return max(room, MIN_TEAM_TASKS)
 
     def _fetch_time(
--- a/roadbend/bidding/scale_out.py
+++ b/roadbend/bidding/scale_out.py
@@ -48,7 +48,7 @@
         longest_startup = max(
             (machine_type.startup for machine_type in machine_types), default=clock.ZERO
         )
-        if waited >= context.patience(job.spec, longest_startup):
+        if waited >= context.objectives.patience(job.spec, longest_startup):
             return set()
         return autoscaling.expensive_machine_types(
             job, machine_types, context.operator.dear, self._leader.partition
--- a/roadbend/controller.py
+++ b/roadbend/controller.py
@@ -191,7 +191,7 @@
     def _learn(self, heartbeat: PeerHeartbeat) -> None:
         for partition, term in heartbeat.led_partitions.items():
             self.election.depose(partition, term)
-        if self.context.cancel(heartbeat.cancellations):
+        if self.context.cancellations.add(heartbeat.cancellations):
             # A calm report is answered at a look: what is to be stopped must be marked before the
             # next one comes.
             for leader in self.leaders.values():
--- a/roadbend/placement/ends.py
+++ b/roadbend/placement/ends.py
@@ -340,7 +340,7 @@
             machine.failures.clear()
             seen, known = machine.tasks.get((job, task_index)), leader.context.view.jobs.get(job)
             if known is not None and seen is not None and seen.running_since is not None:
-                leader.context.learn(known, seen.since - seen.running_since)
+                leader.context.run_times.learn(known, seen.since - seen.running_since)
         leader.backoff.pop(job, None)
     elif end.cause in ("error", "unknown", "no_room", "busy"):
         pause = AVOID if end.cause == "error" else AVOID / 5
--- /dev/null
+++ b/roadbend/placement/fair_share.py
@@ -0,0 +1,96 @@
+"""What teams may use, and what is guaranteed to them."""
+
+from collections.abc import Iterable
+
+from roadbend.placement.quota_allowance import QuotaAmount, tasks_within
+from roadbend.settings import PlatformSettings, Team
+from roadbend.store.record_view import RecordView
+from roadbend.store.records import Job, JobSpec
+
+NOTHING = QuotaAmount(0.0, 0.0)
+
+
+class FairShare:
+    """Teams' quotas and guarantees, and what the records leave of them."""
+
+    def __init__(self, settings: PlatformSettings, view: RecordView) -> None:
+        self._settings, self._view = settings, view
+        # Found anew only when a job comes or goes: the view counts that as `membership`.
+        self._guaranteed: set[str] = set()
+        self._guaranteed_at = -1
+
+    def guaranteed_jobs(self) -> set[str]:
+        """Return the ids of the jobs that are within their team's guarantee."""
+        if self._guaranteed_at != self._view.membership:
+            self._guaranteed_at = self._view.membership
+            self._guaranteed = within_guarantee(self._view.jobs.values(), self._settings)
+        return self._guaranteed
+
+    def quota(self, team: str) -> QuotaAmount | None:
+        """Return a team's quota, infinite where it has no limit; None for an unknown team."""
+        row = self._settings.teams.get(team)
+        if row is None:
+            return None
+        return QuotaAmount(row.cpus_max or float("inf"), row.gpus_max or float("inf"))
+
+    def quota_for(self, team: str, partition: str) -> QuotaAmount | None:
+        """Return the most that a partition may use for a team; None for an unknown team.
+
+        The team's quota less what other partitions have reserved of it.
+        """
+        quota = self.quota(team)
+        if quota is None:
+            return None
+        record = self._view.quotas.get(team)
+        others = (
+            [amount for name, amount in record.partitions.items() if name != partition]
+            if record
+            else []
+        )
+        return QuotaAmount(
+            quota.cpus - sum(cpus for cpus, _ in others),
+            quota.gpus - sum(gpus for _, gpus in others),
+        )
+
+    def quota_left(self, team: str, partition: str) -> QuotaAmount | None:
+        """Return what a partition may still use for a team; None for an unknown team."""
+        quota = self.quota_for(team, partition)
+        if quota is None:
+            return None
+        cpus, gpus = self._view.usage.get(partition, {}).get(team, NOTHING)
+        return QuotaAmount(quota.cpus - cpus, quota.gpus - gpus)
+
+    def startable_tasks(self, spec: JobSpec, partition: str) -> int:
+        """Return how many more of a job's tasks its team's quota lets a partition start."""
+        left = self.quota_left(spec.team, partition)
+        return 0 if left is None else tasks_within(left, spec.resources)
+
+
+def within_guarantee(jobs: Iterable[Job], settings: PlatformSettings) -> set[str]:
+    """Return the ids of the jobs that fit into their team's guarantee.
+
+    A job fits if it does so together with its team's earlier unfinished jobs (the protocol, "How
+    aims are counted").
+    """
+    totals: dict[str, QuotaAmount] = {}
+    guaranteed = set()
+    for job in sorted(jobs, key=lambda job: (job.submitted_at, job.id)):
+        team = settings.teams.get(job.spec.team)
+        if team is None:
+            continue
+        earlier = totals.get(team.name, NOTHING)
+        needs = job.spec.resources.times(job.spec.task_count)
+        total = QuotaAmount(earlier.cpus + needs.cpus, earlier.gpus + needs.gpus)
+        totals[team.name] = total
+        if _is_guaranteed(team, total):
+            guaranteed.add(job.id)
+    return guaranteed
+
+
+def _is_guaranteed(team: Team, total: QuotaAmount) -> bool:
+    """Return whether a team's guarantee covers an amount; 0 in it means that it says nothing."""
+    if team.cpus <= 0 and team.gpus <= 0:
+        return False
+    return (team.cpus <= 0 or total.cpus <= team.cpus) and (
+        team.gpus <= 0 or total.gpus <= team.gpus
+    )
--- a/roadbend/placement/heartbeats.py
+++ b/roadbend/placement/heartbeats.py
@@ -71,7 +71,7 @@
         report later."""
         leader = self._leader
         now = clock.now()
-        if heartbeat.machine in leader.context.deleted:
+        if heartbeat.machine in leader.context.deleted_machines.ids:
             # A report that was held back on its way: the machine is gone, and must not come to life
             # here.
             return None
--- a/roadbend/placement/leader.py
+++ b/roadbend/placement/leader.py
@@ -37,8 +37,6 @@
 # long that may be: where steps take long, reports are to be answered between them.
 STEP_REST = 2
 STEP_REST_MOST = timedelta(seconds=1)
-# Most machines remembered as deleted.
-MAX_DELETED = 32_768
 
 
 class PartitionLeader:
@@ -122,7 +120,7 @@
         return self.context.view.job_slices.get(self.partition, {})
 
     def live(self, job: str) -> Job | None:
-        return None if job in self.context.cancelled else self.context.view.jobs.get(job)
+        return None if job in self.context.cancellations.jobs else self.context.view.jobs.get(job)
 
     def capacities(
         self, ended: Container[TaskKey] = (), least: Resources | None = None
@@ -425,7 +423,5 @@
             if cause == "deleted":
                 self.machines.pop(machine, None)
                 self.rented.discard(machine)
-                self.context.deleted[machine] = clock.now()
-                while len(self.context.deleted) > MAX_DELETED:
-                    self.context.deleted.popitem(last=False)
+                self.context.deleted_machines.add(machine)
         self.wake_up.set()
--- a/roadbend/placement/pending_queue.py
+++ b/roadbend/placement/pending_queue.py
@@ -48,15 +48,18 @@
         passed. Callers do not change it."""
         leader = self._leader
         view, now = leader.context.view, clock.now()
-        mark = (view.version, len(leader.context.cancelled))
+        mark = (view.version, len(leader.context.cancellations.jobs))
         if self._queue[0] == mark and now - self._queue[1] < REUSE:
             return self._queue[2]
-        sure, late = leader.context.guaranteed(), leader.context.overdue(now)
+        sure, late = (
+            leader.context.fair_share.guaranteed_jobs(),
+            leader.context.starvation.starved_jobs(now),
+        )
         out: list[PendingTasks] = []
         for name in view.assigned_jobs.get(leader.partition, ()):
             job = view.jobs[name]
             if (
-                name in leader.context.cancelled
+                name in leader.context.cancellations.jobs
                 or name in leader.backoff
                 and leader.backoff[name][1] > now
             ):
@@ -68,7 +71,7 @@
                         replace(
                             item,
                             guaranteed=name in sure,
-                            overdue=name in late.get(job.spec.team, ()),
+                            starved=name in late.get(job.spec.team, ()),
                         )
                     )
                 continue
@@ -81,7 +84,7 @@
                 tasks = ranges.minus(tasks, first)
             if tasks:
                 out.append(PendingTasks(job, tasks, name in sure))
-        wall, deadlines = clock.wall(), leader.context.deadlines
+        wall, deadlines = clock.wall(), leader.context.objectives.deadline_factors
         out.sort(
             key=lambda item: queue_order.rank(
                 item, queue_order.lateness(item.job, wall, deadlines(item.job.spec))
--- a/roadbend/placement/preemption.py
+++ b/roadbend/placement/preemption.py
@@ -120,7 +120,7 @@
     leader: PartitionLeader, waiting: list[PendingTasks], now: datetime
 ) -> dict[str, list[Victim]]:
     """What runs and may be stopped for something that waits, by machine."""
-    over, sure = teams_beyond(leader), leader.context.guaranteed()
+    over, sure = teams_beyond(leader), leader.context.fair_share.guaranteed_jobs()
     running: dict[str, list[Victim]] = {}
     losses: dict[str, float] = {}
     top = max(item.job.spec.priority for item in waiting)
--- a/roadbend/placement/queue_order.py
+++ b/roadbend/placement/queue_order.py
@@ -20,7 +20,7 @@
     tasks: Ranges
     guaranteed: bool
     # A job that has waited for long and has started nothing goes before its peers with one task.
-    overdue: bool = False
+    starved: bool = False
 
     @property
     def count(self) -> int:
@@ -43,7 +43,7 @@
     deadline = job.deadline
     return (
         -job.spec.priority,
-        not item.overdue,
+        not item.starved,
         not item.guaranteed,
         lateness_of_job,
         deadline is None,
--- a/roadbend/placement/queue_projection.py
+++ b/roadbend/placement/queue_projection.py
@@ -95,7 +95,7 @@
         starts = forecast.project(queue, timelines, self.run_seconds, self.most_forecast(timelines))
         projection = QueueProjection(timelines, starts)
         self._projections.append(
-            (mark, now, max(REUSE, leader.context.rest(clock.now() - now)), projection)
+            (mark, now, max(REUSE, leader.context.reuse_window(clock.now() - now)), projection)
         )
         return projection
 
@@ -107,7 +107,7 @@
 
     def run_seconds(self, job: Job) -> float:
         leader = self._leader
-        return forecast.run_seconds(job, leader.context.factor(job.spec.job_class))
+        return forecast.run_seconds(job, leader.context.run_times.factor(job.spec.job_class))
 
     def timelines(self, more: list[FreeCapacity]) -> list[MachineTimeline]:
         """The machines with what runs on them and when that is thought to end."""
--- a/roadbend/placement/quotas.py
+++ b/roadbend/placement/quotas.py
@@ -33,7 +33,7 @@
 ) -> QuotaAmount | None:
     """What a team's limit leaves this partition, after what the transaction in the making starts
     and ends."""
-    most = leader.context.most_for(team, leader.partition)
+    most = leader.context.fair_share.quota_for(team, leader.partition)
     if most is None:
         return None
     used = transaction.used(team)
@@ -56,10 +56,10 @@
     """Whether an item leaves its team's room to a job that another partition holds and that has
     begun nothing for too long: a partition's own steady stream must not starve it."""
     jobs = overdue.get(item.job.spec.team)
-    if not jobs or item.overdue:
+    if not jobs or item.starved:
         return False
     view, here = leader.context.view, item.job.spec
-    scarce = leader.context.room_left(here, leader.partition) < 2 * item.count
+    scarce = leader.context.fair_share.startable_tasks(here, leader.partition) < 2 * item.count
     # Only for so long: one that has not begun by then waits for something else than the team's
     # room.
     since = clock.wall() - leader.context.operator.begin_within - YIELD
@@ -81,7 +81,7 @@
     """Sees to it that the team's record sets enough aside for this partition, in the same
     transaction. Some more than is needed is taken while there is plenty, so that partitions seldom
     meet there."""
-    limits, team_key = leader.context.limits(team), keys.team_key(team)
+    limits, team_key = leader.context.fair_share.quota(team), keys.team_key(team)
     used = transaction.used(team)
     used = (used[0] + tasks * resources.cpus, used[1] + tasks * resources.gpus)
     use = transaction.team(team)
@@ -105,7 +105,7 @@
     """Gives back what is set aside and not needed here, once others may want it."""
     view = leader.context.view
     waiting: dict[str, tuple[float, float]] = {}
-    overdue = leader.context.overdue(now)
+    overdue = leader.context.starvation.starved_jobs(now)
     for item in leader.queue.pending():
         # What has waited here for longer may wait for a machine that can't be had; other partitions
         # may have room.
@@ -118,7 +118,7 @@
             )
     for name, use in view.quotas.items():
         have = use.partitions.get(leader.partition)
-        key, limits = keys.team_key(name), leader.context.limits(name)
+        key, limits = keys.team_key(name), leader.context.fair_share.quota(name)
         if have is None or limits is None or key in transaction.changes:
             continue
         if now - leader.reserved_at.get(name, clock.ORIGIN) < RESERVE_EVERY:
--- a/roadbend/placement/restrictions.py
+++ b/roadbend/placement/restrictions.py
@@ -66,7 +66,7 @@
         if (
             job.spec.service
             and job.id not in leader.withheld_types
-            and wall - job.submitted_at < leader.context.patience(job.spec, boot)
+            and wall - job.submitted_at < leader.context.objectives.patience(job.spec, boot)
         ):
             dear = renting.expensive_machine_types(
                 job, machine_types, leader.context.operator.dear, leader.partition
@@ -88,7 +88,7 @@
     )
     for item in queue:
         spec = item.job.spec
-        within = leader.context.start_within(spec)
+        within = leader.context.objectives.start_within(spec)
         if within is None or spec.gang or item.job.id in leader.without_image:
             continue
         left = within - (wall - item.job.submitted_at)
--- a/roadbend/placement/starts.py
+++ b/roadbend/placement/starts.py
@@ -39,12 +39,12 @@
         return False
     # Most machines are full. Only services that must start soon look at those, for what could be
     # cleared there.
-    soon = any(leader.context.start_within(item.job.spec) is not None for item in queue)
+    soon = any(leader.context.objectives.start_within(item.job.spec) is not None for item in queue)
     least = None if soon else free_capacity.min_resources(item.job.spec.resources for item in queue)
     capacities = leader.capacities(transaction.ended_attempts, least)
     restrictions.hold_back(leader, queue)
     restrictions.image_first(leader, queue, capacities)
-    overdue = leader.context.overdue(now)
+    overdue = leader.context.starvation.starved_jobs(now)
     limits = QuotaAllowance(
         partial(quotas.team_left, leader, transaction),
         lambda job: now - leader.queued.get(job, now) < quotas.HOLD,
@@ -135,7 +135,7 @@
     leader.waits.append(now - leader.queued.get(job.id, now))
     if len(share) < len(rows):
         transaction.after.append(partial(gangs.note_filling, leader, pieces[0]))
-    if job.spec.gang or leader.context.start_within(job.spec) is not None:
+    if job.spec.gang or leader.context.objectives.start_within(job.spec) is not None:
         indexes = {task_index for _, task_index, _ in share}
         transaction.after.append(partial(order_directly, leader, pieces, indexes))
     transaction.after.append(partial(tell_observer, leader, job, pieces, [row[1] for row in share]))
--- a/roadbend/placement/test_placement.py
+++ b/roadbend/placement/test_placement.py
@@ -10,7 +10,7 @@
 from roadbend.fleet.terminations import TaskKey
 from roadbend.intake.messages import read_submission
 from roadbend.placement import bin_packing, forecast, free_capacity, preemption_policy, queue_order
-from roadbend.placement.context import within_guarantee
+from roadbend.placement.fair_share import within_guarantee
 from roadbend.placement.forecast import MachineTimeline, Release
 from roadbend.placement.free_capacity import FreeCapacity
 from roadbend.placement.preemption_policy import RunningTask, Victim
--- a/roadbend/recovery/judgement.py
+++ b/roadbend/recovery/judgement.py
@@ -60,7 +60,7 @@
             peers_heard=_is_after(self._around.peers_heard(), held.since),
             superseded=job is not None and self.is_superseded(job, held.index),
             job_lives=job is not None,
-            job_over=True if held.job in leader.context.cancelled else held.job_over,
+            job_over=True if held.job in leader.context.cancellations.jobs else held.job_over,
             gang=job is not None and job.spec.gang,
             shows_done=held.shows_done,
             machine_current=stays,
@@ -69,7 +69,7 @@
             higher_elsewhere=any(row.attempt > held.attempt for row in others),
             machines_known=self._machines_known(now),
             within_limit=job is not None
-            and leader.context.room_left(job.spec, leader.partition) > 0,
+            and leader.context.fair_share.startable_tasks(job.spec, leader.partition) > 0,
             waited=now - held.since,
         )
 
--- a/roadbend/recovery/machines.py
+++ b/roadbend/recovery/machines.py
@@ -67,7 +67,7 @@
 
     def _presence(self, name: str) -> Presence:
         leader, inventory = self._leader, self._inventory
-        if name in leader.context.deleted:
+        if name in leader.context.deleted_machines.ids:
             return Presence.GONE
         machine = leader.machines.get(name)
         if machine is not None and machine.token_confirmed:
@@ -92,7 +92,7 @@
                 differing.append(name)
         found = self._compare_machines(differing, held)
         self._compare_at = clock.now() + max(
-            COMPARE_EVERY, leader.context.rest(clock.now() - began)
+            COMPARE_EVERY, leader.context.reuse_window(clock.now() - began)
         )
         return replace(found, matching=found.matching + matching)
 
--- a/roadbend/recovery/partition.py
+++ b/roadbend/recovery/partition.py
@@ -115,7 +115,7 @@
         leader = self.leader
         if task.state == "ended" and task.cause != "done":
             return False
-        if task.job in leader.context.cancelled:
+        if task.job in leader.context.cancellations.jobs:
             return False
         job = leader.context.view.jobs.get(task.job)
         if job is None:
--- a/roadbend/test_growth.py
+++ b/roadbend/test_growth.py
@@ -493,14 +493,14 @@
     fell behind."""
     async with world(count=1) as w:
         context = w.controllers["node-0"].context
-        whole = context.rest(timedelta(milliseconds=50))
+        whole = context.reuse_window(timedelta(milliseconds=50))
         assert set(context.election.leaderships) == {"east"}
         quarter = replace(context, settings=replace(context.settings, cpu=0.25))
-        assert quarter.rest(timedelta(milliseconds=50)) == whole * 4
+        assert quarter.reuse_window(timedelta(milliseconds=50)) == whole * 4
         context.election.leaderships["west"] = replace(
             context.election.leaderships["east"], partition="west"
         )
-        assert context.rest(timedelta(milliseconds=50)) == whole * 2
+        assert context.reuse_window(timedelta(milliseconds=50)) == whole * 2
         del context.election.leaderships["west"]
 
 
--- a/roadbend/test_scenarios.py
+++ b/roadbend/test_scenarios.py
@@ -351,7 +351,7 @@
 async def test_a_late_report_of_a_deleted_machine_does_not_bring_it_back():
     async with world(count=1) as w:
         controller = w.controllers["node-0"]
-        controller.context.deleted["m-7"] = controller.began
+        controller.context.deleted_machines.add("m-7")
         body = {
             "hitch": "m-7",
             "address": "m-7:1",
