--- a/roadbend/store/keys.py
+++ b/roadbend/store/keys.py
@@ -1,79 +1,131 @@
-"""The keys of the records in the state service.
-
-r/job/<id>            a live job: spec, which partition holds which tasks, which tasks are over
-r/slice/<partition>/<id>/<n>   a partition's attempts at some of a job's tasks, and what each of
-them takes; tasks go into shards by number, so that the widest array fits small values r/gang/<id>
-says that a live job is a gang: versions before gangs rewrite its own record without that
-r/team/<team>         what each partition may use at most for a team; the sum never passes its limit
-r/term/<partition>         the partition's term, never removed; its revision guards every write of
-an owner r/own/<partition>          who owns the partition, on the owner's lease r/node/<name>
-a live controller, on its lease r/catalog             the machine types as last seen, for a
-controller that starts in a cloud outage r/recovery/<partition>     how far the recovery of a
-partition is, under one term; older versions ignore it r/unrecorded/<id>     a job that machines run
-and no record names: not accepted anew while this is there; older versions ignore it fin/<id>
-the end of a job, kept for ever and outside the partition that everyone follows"""
-
+"""The keys of the records in the state store.
+
+| key                          | record                                                            |
+| ---------------------------- | ----------------------------------------------------------------- |
+| `r/job/ID`                   | a live job: its specification, which partition holds which tasks, |
+|                              | and which tasks are done                                          |
+| `r/gang/ID`                  | says that a live job is a gang: versions before gangs rewrite the |
+|                              | job's own record without that                                     |
+| `r/slice/PARTITION/ID/SHARD` | a shard of a job slice: a partition's attempts at some of a job's |
+|                              | tasks, and what a task takes; tasks go into shards by number, so  |
+|                              | that the widest job array fits small values                       |
+| `r/team/TEAM`                | what each partition has reserved of a team's quota; the sum never |
+|                              | passes the quota                                                  |
+| `r/term/PARTITION`           | the partition's term, never deleted; its mod revision guards      |
+|                              | every write of a leader                                           |
+| `r/own/PARTITION`            | the partition's leader, on the leader's lease                     |
+| `r/node/NAME`                | a live controller, on its lease                                   |
+| `r/catalog`                  | the machine types as last seen, for a controller that starts in   |
+|                              | an outage of the cloud                                            |
+| `r/recovery/PARTITION`       | how far the partition's recovery is, under one term; older        |
+|                              | versions ignore it                                                |
+| `r/unrecorded/ID`            | a job that machines run and no record names: it is not accepted   |
+|                              | anew while this is there; older versions ignore it                |
+| `fin/ID`                     | the end of a job, kept for ever; not live, so the record view     |
+|                              | does not follow it                                                |
+
+Names of partitions, teams and controllers are percent-encoded; job ids need no encoding.
+"""
+
+from enum import StrEnum
 from functools import lru_cache
-from urllib.parse import quote
+from urllib.parse import quote, unquote
 
 # All records of what is live begin so.
 LIVE = "r/"
+
+
+class RecordKind(StrEnum):
+    """The kinds of live records, as they stand in keys."""
+
+    JOB = "job"
+    GANG = "gang"
+    SLICE = "slice"
+    QUOTA = "team"
+    TERM = "term"
+    LEADER = "own"
+    CONTROLLER = "node"
+    RECOVERY = "recovery"
+    UNRECORDED = "unrecorded"
+    CATALOG = "catalog"
+
+
 CATALOG_KEY = "r/catalog"
+# The shard number of a record of version 0.1, which kept a job slice in one record.
+NO_SHARD = -1
 
 
 @lru_cache(maxsize=4096)
 def quoted(name: str) -> str:
-    """A name as part of a key; names of teams, partitions and controllers come again and again."""
+    """Encode a name as part of a key.
+
+    Names of teams, partitions and controllers come again and again, so the results are cached.
+    """
     return quote(name, safe="")
 
 
 def job_key(job: str) -> str:
-    """A live job."""
+    """Return the key of a live job."""
     return f"r/job/{job}"
 
 
 def slice_key(partition: str, job: str, shard: int) -> str:
-    """A shard of what a partition runs of a job."""
+    """Return the key of a shard of a job slice.
+
+    Records of version 0.1 had no shards; they are read, and emptied where they lie.
+    """
     key = f"r/slice/{quoted(partition)}/{job}"
-    # Records of version 0.1 had no shards; they are read, and emptied where they lie.
     return key if shard < 0 else f"{key}/{shard}"
 
 
 def team_key(team: str) -> str:
-    """What each partition may use of a team's limit."""
+    """Return the key of a team's quota record."""
     return f"r/team/{quoted(team)}"
 
 
 def gang_key(job: str) -> str:
-    """Says that a live job is a gang."""
+    """Return the key that says that a live job is a gang."""
     return f"r/gang/{job}"
 
 
 def term_key(partition: str) -> str:
-    """A partition's term, which never ends."""
+    """Return the key of a partition's term, which is never deleted."""
     return f"r/term/{quoted(partition)}"
 
 
 def leader_key(partition: str) -> str:
-    """Who owns a partition."""
+    """Return the key that names a partition's leader."""
     return f"r/own/{quoted(partition)}"
 
 
 def controller_key(name: str) -> str:
-    """A live controller."""
+    """Return the key of a live controller."""
     return f"r/node/{quoted(name)}"
 
 
 def recovery_key(partition: str) -> str:
-    """How far the recovery of a partition is."""
+    """Return the key that says how far a partition's recovery is."""
     return f"r/recovery/{quoted(partition)}"
 
 
 def unrecorded_key(job: str) -> str:
-    """Says that machines run a job that no record names."""
+    """Return the key that says that machines run a job that no record names."""
     return f"r/unrecorded/{job}"
 
 
 def job_end_key(job: str) -> str:
-    """The end of a job."""
+    """Return the key of a job's end."""
     return f"fin/{job}"
+
+
+def split_key(key: str) -> tuple[str, str]:
+    """Return a live key's kind, which may be one of a newer version, and the record's name."""
+    kind, _, name = key.removeprefix(LIVE).partition("/")
+    return kind, name
+
+
+def split_slice_name(name: str) -> tuple[str, str, int]:
+    """Return partition, job and shard of a slice's name; raises ValueError for a bad shard."""
+    partition, _, rest = name.partition("/")
+    job, slash, shard = rest.partition("/")
+    return unquote(partition), job, int(shard) if slash else NO_SHARD
--- /dev/null
+++ b/roadbend/store/mod_revisions.py
@@ -0,0 +1,43 @@
+"""Mod revisions of live and of lately deleted records, to tell news from what is known already."""
+
+from collections.abc import Collection
+
+
+class ModRevisions:
+    """The revision of each key's last change.
+
+    Changes come from two sides in any order, our own transactions' answers and the change log. A
+    deleted key's revision is kept until the log has passed it, so that an older write which comes
+    late does not bring the record back.
+    """
+
+    def __init__(self) -> None:
+        self._live: dict[str, int] = {}
+        self._deleted: dict[str, int] = {}
+
+    def of(self, key: str) -> int:
+        """Return a live key's mod revision, 0 if there is no such key."""
+        return self._live.get(key, 0)
+
+    def is_news(self, key: str, mod_revision: int) -> bool:
+        """Return whether a change of a key is newer than all that are known of it."""
+        return mod_revision > self._live.get(key, 0) and mod_revision > self._deleted.get(key, 0)
+
+    def put(self, key: str, mod_revision: int) -> None:
+        """Note that a key was written."""
+        self._live[key] = mod_revision
+        self._deleted.pop(key, None)
+
+    def delete(self, key: str, mod_revision: int) -> bool:
+        """Note that a key was deleted; return whether it was known to be live."""
+        self._deleted[key] = mod_revision
+        return self._live.pop(key, None) is not None
+
+    def unlisted(self, listed: Collection[str], revision: int) -> list[str]:
+        """Return the live keys that a listing made at a revision should name but does not."""
+        return [key for key, at in self._live.items() if key not in listed and at <= revision]
+
+    def forget_deleted(self, revision: int) -> None:
+        """Forget deletions up to a revision: the change log has passed it."""
+        if self._deleted:
+            self._deleted = {key: at for key, at in self._deleted.items() if at > revision}
--- a/roadbend/store/ranges.py
+++ b/roadbend/store/ranges.py
@@ -1,93 +1,118 @@
-"""Sets of task numbers as sorted, disjoint, half-open ranges, so that 100,000 tasks cost
-nothing."""
+"""Sets of task indexes as sorted, disjoint, half-open ranges, so that 100,000 tasks cost nothing.
+
+They are plain tuples of pairs (the first index, and the one after the last) and not a class, since
+they are made and measured hundreds of thousands of times a minute.
+"""
 
 from collections.abc import Iterable, Iterator
 
-Ranges = tuple[tuple[int, int], ...]
+Range = tuple[int, int]
+Ranges = tuple[Range, ...]
 EMPTY: Ranges = ()
 
 
-def normal(pairs: Iterable[tuple[int, int]]) -> Ranges:
-    out: list[list[int]] = []
-    for low, high in sorted((int(low), int(high)) for low, high in pairs):
+def normal(pairs: Iterable[Range]) -> Ranges:
+    """Return the ranges that cover what any pairs do: sorted, disjoint, and none empty.
+
+    Raises TypeError or ValueError for what are no pairs of numbers, as records may hold.
+    """
+    merged: list[Range] = []
+    start = end = 0
+    for low, high in sorted([(int(low), int(high)) for low, high in pairs]):
         if low >= high:
             continue
-        if out and low <= out[-1][1]:
-            out[-1][1] = max(out[-1][1], high)
+        if merged and low <= end:
+            end = max(end, high)
+            merged[-1] = (start, end)
         else:
-            out.append([low, high])
-    return tuple((low, high) for low, high in out)
+            start, end = low, high
+            merged.append((low, high))
+    return tuple(merged)
+
 
+def to_text(ranges: Ranges) -> str:
+    """Write ranges in a short form.
 
-def to_text(a: Ranges) -> str:
-    """A short form: where each range begins after the last one's end, and how long it is."""
-    out, at = [], 0
-    for low, high in a:
-        out += [f"{low - at:x}", f"{high - low:x}"]
-        at = high
-    return " ".join(out)
+    For each range, in hexadecimal: how far it begins after the end of the last, and how long it is.
+    """
+    words: list[str] = []
+    end = 0
+    for low, high in ranges:
+        words += [f"{low - end:x}", f"{high - low:x}"]
+        end = high
+    return " ".join(words)
 
 
-def read(value: str | Iterable[tuple[int, int]]) -> Ranges:
-    """Ranges in either form."""
+def read(value: str | Iterable[Range]) -> Ranges:
+    """Read ranges as records hold them: pairs, or the short form that `to_text` writes."""
     if not isinstance(value, str):
         return normal(value)
-    numbers, out, at = [int(x, 16) for x in value.split()], [], 0
-    for skip, length in zip(numbers[::2], numbers[1::2], strict=True):
-        out.append((at + skip, at + skip + length))
-        at += skip + length
-    return normal(out)
+    words = [int(word, 16) for word in value.split()]
+    pairs: list[Range] = []
+    end = 0
+    for skip, length in zip(words[::2], words[1::2], strict=True):
+        pairs.append((end + skip, end + skip + length))
+        end += skip + length
+    return normal(pairs)
 
 
-def union(a: Ranges, b: Iterable[tuple[int, int]]) -> Ranges:
-    return normal([*a, *b])
+def of(indexes: Iterable[int]) -> Ranges:
+    """Return the ranges that hold just these indexes."""
+    return normal((index, index + 1) for index in indexes)
 
 
-def of(numbers: Iterable[int]) -> Ranges:
-    return normal((n, n + 1) for n in numbers)
+def numbers(ranges: Ranges) -> Iterator[int]:
+    """Yield all indexes, in order."""
+    for low, high in ranges:
+        yield from range(low, high)
 
 
-def minus(a: Ranges, b: Ranges) -> Ranges:
-    out = []
-    for low, high in a:
-        for cut_low, cut_high in b:
-            if cut_high <= low or cut_low >= high:
-                continue
-            if cut_low > low:
-                out.append((low, cut_low))
-            low = max(low, cut_high)
-            if low >= high:
-                break
-        if low < high:
-            out.append((low, high))
-    return tuple(out)
+def union(ranges: Ranges, others: Iterable[Range]) -> Ranges:
+    """Return what is in either."""
+    return normal([*ranges, *others])
 
 
-def size(a: Ranges) -> int:
-    if len(a) == 1:
-        # Most are one range, and sizes are asked for hundreds of thousands of times a minute.
-        return a[0][1] - a[0][0]
-    return sum(high - low for low, high in a)
+def minus(ranges: Ranges, removed: Ranges) -> Ranges:
+    """Return what is in the first and not in the second."""
+    rest: list[Range] = []
+    for low, high in ranges:
+        at = low
+        for removed_low, removed_high in removed:
+            if removed_high <= at or removed_low >= high:
+                continue
+            if removed_low > at:
+                rest.append((at, removed_low))
+            at = max(at, removed_high)
+            if at >= high:
+                break
+        if at < high:
+            rest.append((at, high))
+    return tuple(rest)
 
 
-def has(a: Ranges, n: int) -> bool:
-    return any(low <= n < high for low, high in a)
+def size(ranges: Ranges) -> int:
+    """Return how many indexes there are."""
+    if len(ranges) == 1:
+        # Most are one range.
+        return ranges[0][1] - ranges[0][0]
+    return sum(high - low for low, high in ranges)
 
 
-def numbers(a: Ranges) -> Iterator[int]:
-    for low, high in a:
-        yield from range(low, high)
+def has(ranges: Ranges, index: int) -> bool:
+    """Return whether an index is in the ranges."""
+    return any(low <= index < high for low, high in ranges)
 
 
-def first(a: Ranges, n: int) -> Ranges:
-    """The n lowest numbers of a."""
-    if size(a) <= n:
-        return a
-    out = []
-    for low, high in a:
-        if n <= 0:
+def first(ranges: Ranges, count: int) -> Ranges:
+    """Return the lowest indexes, so many or all if there are fewer."""
+    if size(ranges) <= count:
+        return ranges
+    lowest: list[Range] = []
+    missing = count
+    for low, high in ranges:
+        if missing <= 0:
             break
-        take = min(n, high - low)
-        out.append((low, low + take))
-        n -= take
-    return tuple(out)
+        taken = min(missing, high - low)
+        lowest.append((low, low + taken))
+        missing -= taken
+    return tuple(lowest)
--- /dev/null
+++ b/roadbend/store/records/__init__.py
@@ -0,0 +1,48 @@
+"""The records: all that must last is in one of these.
+
+What is in them, and how they are written and read back; `roadbend.store.keys` has their names.
+"""
+
+from roadbend.store.records.job import PRIORITY, Job, JobSpec, JobValue, job_end_value
+from roadbend.store.records.leadership import (
+    INCARNATION_BITS,
+    ControllerRecord,
+    LeaderRecord,
+    TermRecord,
+)
+from roadbend.store.records.quota import NO_USAGE, QuotaRecord, QuotaValue, Usage
+from roadbend.store.records.recovery import (
+    RecoveryProgress,
+    RecoveryValue,
+    read_recovery_progress,
+    read_unrecorded_job,
+)
+from roadbend.store.records.resources import Resources
+from roadbend.store.records.size import shard_width, weigh
+from roadbend.store.records.slice_shard import Attempt, SliceShard, SliceShardValue
+
+__all__ = [
+    "INCARNATION_BITS",
+    "NO_USAGE",
+    "PRIORITY",
+    "Attempt",
+    "ControllerRecord",
+    "Job",
+    "JobSpec",
+    "JobValue",
+    "LeaderRecord",
+    "QuotaRecord",
+    "QuotaValue",
+    "RecoveryProgress",
+    "RecoveryValue",
+    "Resources",
+    "SliceShard",
+    "SliceShardValue",
+    "TermRecord",
+    "Usage",
+    "job_end_value",
+    "read_recovery_progress",
+    "read_unrecorded_job",
+    "shard_width",
+    "weigh",
+]
--- a/roadbend/store/test_store.py
+++ b/roadbend/store/test_store.py
@@ -46,10 +46,10 @@
     )
     assert Job.from_value(name, one.to_value(), 3) == one
     assert one.unassigned == ((5, 6), (7, 9))
-    piece = SliceShard(
+    shard = SliceShard(
         name, "a/b", "red", Resources(1, 2, 3), ((0, 2),), {5: Attempt(1 << 40, "m-1")}, 4
     )
-    assert SliceShard.from_value("a/b", name, 0, piece.to_value(), 4) == piece
+    assert SliceShard.from_value("a/b", name, 0, shard.to_value(), 4) == shard
     use = (
         QuotaRecord("red", {"east": (1.0, 2.0)})
         .with_partition("west", 3.0, 4.0)
