--- a/roadbend/store/job_index.py
+++ b/roadbend/store/job_index.py
@@ -17,13 +17,13 @@
         self.membership = 0
         # Jobs that are gangs, whatever their own records say: versions before gangs rewrite a job's
         # record without that.
-        self._gangs: set[str] = set()
+        self.gangs: set[str] = set()
         self._attempts = attempts
 
     def store(self, name: str, value: Any, mod_revision: int) -> None:
         """Take in a job's record as read from the state store."""
         job = Job.from_value(name, value, mod_revision)
-        self._replace(name, job.as_gang() if name in self._gangs else job)
+        self._replace(name, job.as_gang() if name in self.gangs else job)
 
     def remove(self, name: str) -> None:
         """Take in that a job's record was deleted."""
@@ -35,14 +35,14 @@
 
     def add_gang(self, name: str) -> None:
         """Take in that a job is a gang, whether its own record is known yet or not."""
-        self._gangs.add(name)
+        self.gangs.add(name)
         job = self.jobs.get(name)
         if job is not None:
             self._replace(name, job.as_gang())
 
     def remove_gang(self, name: str) -> None:
         """Take in that the record that says that a job is a gang was deleted."""
-        self._gangs.discard(name)
+        self.gangs.discard(name)
 
     def _replace(self, name: str, new: Job | None) -> None:
         old = self.jobs.get(name)
--- a/roadbend/store/live_records.py
+++ b/roadbend/store/live_records.py
@@ -68,6 +68,11 @@
         """A number that grows when a job comes or goes."""
         return self._jobs.membership
 
+    @property
+    def gangs(self) -> set[str]:
+        """The jobs that a record of its own says are gangs."""
+        return self._jobs.gangs
+
     @property
     def controllers(self) -> dict[str, ControllerRecord]:
         """The live controllers by name."""
