--- a/roadbend/controller/heartbeats.py
+++ b/roadbend/controller/heartbeats.py
@@ -72,7 +72,7 @@
     def _learn(self, heartbeat: PeerHeartbeat) -> None:
         for partition, term in heartbeat.led_partitions.items():
             self._context.election.depose(partition, term)
-        if self._context.cancel(heartbeat.cancellations):
+        if self._context.cancellations.add(heartbeat.cancellations):
             # A worker's heartbeat with nothing new is answered without a step of the leader: what
             # is to be stopped must be marked before the next one comes.
             for leader in self._leaders.values():
