--- a/roadbend/cli.py
+++ b/roadbend/cli.py
@@ -25,6 +25,8 @@
 # Commands of operators beside starting a controller: the module has a `main(argv)`, and is imported
 # only when it is asked for.
 SUBCOMMANDS = {"recovery": "roadbend.recovery.commands"}
+# The exit status for bad settings; `argparse` ends with the same for bad arguments.
+BAD_SETTINGS = 2
 OPERATOR_FILE = Path(__file__).resolve().parent.parent / "deploy" / "roadbend.sexp"
 
 
@@ -75,14 +77,32 @@
         settings, operator = load(arguments.config, arguments.operator)
         extensions = load_extensions(arguments.recovery, arguments.tracing)
     except SettingsError as error:
-        print(f"roadbend: {error}", file=sys.stderr)
-        return 2
+        return _refuse(error)
     if arguments.check:
         print("settings are good")
         return 0
     log.setup()
-    _run(settings, operator, extensions)
-    return 0
+    status = 0
+    try:
+        _run(settings, operator, extensions)
+    except* SettingsError as group:
+        # An address to listen on is only known to be taken, or to be none, when it is listened on.
+        status = _refuse(_first_error(group))
+    return status
+
+
+def _refuse(error: BaseException) -> int:
+    """Say on one line what is wrong with the settings, and return the exit status."""
+    print(f"roadbend: {error}", file=sys.stderr)
+    return BAD_SETTINGS
+
+
+def _first_error(group: BaseExceptionGroup) -> BaseException:
+    """Return the first error of a group, however deep it lies."""
+    error: BaseException = group
+    while isinstance(error, BaseExceptionGroup):
+        error = error.exceptions[0]
+    return error
 
 
 def load_extensions(recovery: Path | None, tracing: Path | None) -> list[Extension]:
--- a/roadbend/controller.py
+++ b/roadbend/controller.py
@@ -18,6 +18,7 @@
 from roadbend.http.server import Request, Response, Server
 from roadbend.intake.limit import AdaptiveLimit
 from roadbend.intake.users import JobApi
+from roadbend.listen_address import listen_address
 from roadbend.log import Log
 from roadbend.partitions.election import START_FRESHNESS, LeaderElection
 from roadbend.peers import frames
@@ -324,8 +325,10 @@
         )
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
-            await nursery.start(self.net.listen, self.settings.listen, self.server.serve)
-            await nursery.start(self.net.listen, self.settings.back, self.peers.serve)
+            with listen_address("client_listen"):
+                await nursery.start(self.net.listen, self.settings.listen, self.server.serve)
+            with listen_address("back"):
+                await nursery.start(self.net.listen, self.settings.back, self.peers.serve)
             for link in self.peers.links.values():
                 nursery.start_soon(link.run, self.heartbeat, self._took)
             nursery.start_soon(self.server.sweep)
--- a/roadbend/http/net.py
+++ b/roadbend/http/net.py
@@ -5,6 +5,7 @@
 
 import trio
 
+from roadbend.errors import RoadbendError
 from roadbend.log import Log
 
 log = Log("http")
@@ -20,6 +21,10 @@
 Handler = Callable[[trio.abc.Stream], Awaitable[None]]
 
 
+class ListenError(RoadbendError):
+    """An address can't be listened on; the message says which and why."""
+
+
 def split(address: str) -> tuple[str, int]:
     host, _, port = address.rpartition(":")
     return host, int(port)
@@ -82,6 +87,17 @@
     return _Accepted(sock)
 
 
+def _bind(listener: socket.socket, address: str) -> None:
+    """Listen on an address; raise `ListenError` where it is taken, not ours or no address."""
+    try:
+        listener.bind(split(address))
+        listener.listen(BACKLOG)
+    # The last two are what the system's interface raises for hosts and ports that it can't encode.
+    except (OSError, ValueError, TypeError, OverflowError) as error:
+        reason = getattr(error, "strerror", None) or str(error)
+        raise ListenError(f"can't listen on {address!r}: {reason}") from None
+
+
 class Net:
     """TCP over IPv4, by number; nothing is ever looked up."""
 
@@ -101,8 +117,7 @@
         with socket.socket(socket.AF_INET, socket.SOCK_STREAM) as listener:
             listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             listener.setblocking(False)
-            listener.bind(split(address))
-            listener.listen(BACKLOG)
+            _bind(listener, address)
             async with trio.open_nursery() as nursery:
                 task_status.started()
                 while True:
--- a/roadbend/intake/messages.py
+++ b/roadbend/intake/messages.py
@@ -9,9 +9,9 @@
 from enum import StrEnum
 from typing import Any, NamedTuple, TypedDict, TypeGuard
 
-from roadbend.fleet.messages import flag, number, text, whole
 from roadbend.http.server import MalformedError
 from roadbend.store.records import PRIORITY, JobSpec, Resources
+from roadbend.wire_values import flag, number, text, whole
 
 JOB_ID = re.compile(r"run-[0-9]{1,20}\Z")
 MAX_TASKS = 100_000
--- a/roadbend/settings.py
+++ b/roadbend/settings.py
@@ -142,7 +142,9 @@
 
 def _address(text: str, path: str) -> str:
     host, colon, port = text.rpartition(":")
-    if not colon or not host or not port.isdigit() or not 0 < int(port) < 65536:
+    # At most five decimal digits: other characters and longer numbers are more than `int` takes.
+    is_number = port.isdecimal() and len(port.lstrip("0")) <= 5
+    if not colon or not host or not is_number or not 0 < int(port) < 65536:
         raise SettingsError(f"bad value for {path}: expected host:port")
     return text
 
