--- a/roadbend/autoscaler/cloud.py
+++ b/roadbend/autoscaler/cloud.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from roadbend import clock
-from roadbend.errors import RoadbendError
+from roadbend.errors import RetryableError
 from roadbend.http.client import Client, NoAnswerError
 from roadbend.http.server import MalformedError
 from roadbend.store.records import Resources
@@ -86,11 +86,11 @@
     age: timedelta
 
 
-class NoCapacityError(RoadbendError):
+class NoCapacityError(RetryableError):
     """No such machine is to be had now."""
 
 
-class CloudBusyError(RoadbendError):
+class CloudBusyError(RetryableError):
     """Over the limit, the cloud is out, or the reason has passed: not executed."""
 
 
--- a/roadbend/autoscaler/service.py
+++ b/roadbend/autoscaler/service.py
@@ -29,7 +29,7 @@
 from roadbend.placement.queue_order import PendingTasks
 from roadbend.placement.quota_allowance import QuotaAllowance, QuotaAmount
 from roadbend.placement.quotas import within
-from roadbend.retry import Backoff, drawn
+from roadbend.retry import Backoff, jittered
 from roadbend.store import keys
 from roadbend.store.client import ConflictError, LeaseEndedError, UnavailableError, commit, put
 from roadbend.store.records import Job
@@ -380,7 +380,7 @@
                 return 0
             except NoAnswerError:
                 # It may have been carried out; the same name tells which machines it got.
-                await clock.pause(waits.next())
+                await clock.pause(waits.next_wait())
         else:
             raise NoAnswerError("hire")
         now = clock.now()
@@ -418,7 +418,7 @@
         operator, now = self._context.operator, clock.now()
         old = self.refused.get(key)
         pause = min(operator.refusal_pause_max, old.pause * 2) if old else operator.refusal_pause
-        self.refused[key] = CapacityRefusal(now + drawn(pause, self._rng), pause)
+        self.refused[key] = CapacityRefusal(now + jittered(pause, self._rng), pause)
         log.info(
             "capacity-refused",
             partition=key[0],
--- a/roadbend/bidding/requester.py
+++ b/roadbend/bidding/requester.py
@@ -22,7 +22,7 @@
 from roadbend.placement import apart_gangs, gangs
 from roadbend.placement.context import ControllerContext
 from roadbend.placement.leader import PartitionLeader
-from roadbend.retry import drawn
+from roadbend.retry import jittered
 from roadbend.store import keys, ranges, records
 from roadbend.store.client import ConflictError, LeaseEndedError, UnavailableError, commit, put
 from roadbend.store.records import Job
@@ -193,7 +193,8 @@
                     # all bids.
                     waiting[name] = (
                         since,
-                        now + drawn(min((now - since) * 0.4, operator.rebid_every * 4), self._rng),
+                        now
+                        + jittered(min((now - since) * 0.4, operator.rebid_every * 4), self._rng),
                     )
                     self.submit(name)
 
--- a/roadbend/http/client.py
+++ b/roadbend/http/client.py
@@ -7,7 +7,7 @@
 import h11
 import trio
 
-from roadbend.errors import RoadbendError
+from roadbend.errors import UnknownOutcomeError
 from roadbend.http.net import Net
 from roadbend.http.server import MalformedError, decode
 
@@ -15,7 +15,7 @@
 ANSWER_LIMIT = 32 * 1024 * 1024
 
 
-class NoAnswerError(RoadbendError):
+class NoAnswerError(UnknownOutcomeError):
     """No usable answer came; the request may have been carried out, or may be still."""
 
 
--- a/roadbend/http/net.py
+++ b/roadbend/http/net.py
@@ -5,7 +5,7 @@
 
 import trio
 
-from roadbend.errors import RoadbendError
+from roadbend.errors import PermanentError
 from roadbend.log import Log
 
 log = Log("http")
@@ -21,7 +21,7 @@
 Handler = Callable[[trio.abc.Stream], Awaitable[None]]
 
 
-class ListenError(RoadbendError):
+class ListenError(PermanentError):
     """An address can't be listened on; the message says which and why."""
 
 
--- a/roadbend/http/server.py
+++ b/roadbend/http/server.py
@@ -9,7 +9,7 @@
 import h11
 import trio
 
-from roadbend.errors import RoadbendError
+from roadbend.errors import PermanentError
 from roadbend.log import Log
 
 log = Log("http")
@@ -49,7 +49,7 @@
     close: bool = False
 
 
-class MalformedError(RoadbendError):
+class MalformedError(PermanentError):
     """The peer's bytes are not what the protocol asks for."""
 
 
--- a/roadbend/intake/feasibility.py
+++ b/roadbend/intake/feasibility.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable, Mapping
 
 from roadbend.autoscaler.cloud import MachineType
-from roadbend.errors import RoadbendError
+from roadbend.errors import PermanentError
 from roadbend.settings import PlatformSettings, Team
 from roadbend.store.records import JobSpec, Resources
 
@@ -13,7 +13,7 @@
 MIN_ZONES_APART = 2
 
 
-class NeverRunsError(RoadbendError):
+class NeverRunsError(PermanentError):
     """A job is well-formed, but can never run; the message says why."""
 
 
--- a/roadbend/intake/refusals.py
+++ b/roadbend/intake/refusals.py
@@ -2,7 +2,7 @@
 
 from enum import StrEnum
 
-from roadbend.errors import RoadbendError
+from roadbend.errors import RetryableError
 from roadbend.http.server import Response
 
 # The seconds after which a user that was refused is to come back.
@@ -21,7 +21,7 @@
     JOB_MAY_BE_UNRECORDED = "recovering"
 
 
-class NotNowError(RoadbendError):
+class NotNowError(RetryableError):
     """A request can't be answered now and is to be repeated."""
 
     def __init__(self, reason: NotNowReason) -> None:
--- a/roadbend/peers/frames.py
+++ b/roadbend/peers/frames.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterator
 from typing import Any, NamedTuple
 
-from roadbend.errors import RoadbendError
+from roadbend.errors import PermanentError
 
 VERSION = 2
 HEADER = struct.Struct("!IBBI")
@@ -41,7 +41,7 @@
     GANG_INFORM = 8
 
 
-class FrameError(RoadbendError):
+class FrameError(PermanentError):
     """Not a frame of this protocol; the connection is dropped."""
 
 
--- a/roadbend/peers/links.py
+++ b/roadbend/peers/links.py
@@ -12,7 +12,7 @@
 import trio
 
 from roadbend import clock
-from roadbend.errors import RoadbendError
+from roadbend.errors import UnknownOutcomeError
 from roadbend.http.net import Net
 from roadbend.log import Log
 from roadbend.peers import frames
@@ -40,7 +40,7 @@
 MAX_CALL_NUMBER = 0xFFFFFFFF
 
 
-class NoReplyError(RoadbendError):
+class NoReplyError(UnknownOutcomeError):
     """A peer did not answer a call in time."""
 
 
@@ -131,7 +131,7 @@
                 log.crash("peer-link-failed", peer=self.peer.name)
             for send in list(self._waiting.values()):
                 send.close()
-            await clock.pause(backoff.next())
+            await clock.pause(backoff.next_wait())
 
     async def _run_connection(self, exchange: HeartbeatExchange, backoff: Backoff) -> None:
         with trio.fail_after(CONNECT_TIMEOUT):
--- a/roadbend/recovery/survey.py
+++ b/roadbend/recovery/survey.py
@@ -11,6 +11,7 @@
 import trio
 
 from roadbend.autoscaler.cloud import Cloud, CloudBusyError, Listed
+from roadbend.errors import RetryableError
 from roadbend.fleet import messages
 from roadbend.http.client import Client, NoAnswerError
 from roadbend.http.net import Net
@@ -69,7 +70,7 @@
     machines: dict[str, Presence] = field(default_factory=dict)
 
 
-class SurveyError(Exception):
+class SurveyError(RetryableError):
     """The state service or the cloud could not be read; the message says which."""
 
 
--- a/roadbend/rehearsal/script.py
+++ b/roadbend/rehearsal/script.py
@@ -20,7 +20,7 @@
 
 import sexpdata
 
-from roadbend.errors import RoadbendError
+from roadbend.errors import PermanentError
 from roadbend.rehearsal import actions
 from roadbend.rehearsal.scenario import FEWEST_WORKERS, MOST_WORKERS, Action, Scenario
 
@@ -29,7 +29,7 @@
 MOST_LINES, LONGEST = 500, timedelta(hours=2)
 
 
-class ScriptError(RoadbendError):
+class ScriptError(PermanentError):
     """A script can't be played; the message names the line."""
 
 
--- a/roadbend/retry.py
+++ b/roadbend/retry.py
@@ -1,25 +1,36 @@
-"""Waits between repeated tries: they grow, and are drawn, so that many who failed together don't
-come back together."""
+"""Waits between attempts: they grow to a bound, with jitter.
+
+The jitter keeps those who failed together from coming back together.
+"""
 
 import random
 from datetime import timedelta
 
+# The shortest part of a wait that jitter leaves, and by how much a wait grows with each attempt.
+LEAST_SHARE = 0.5
+GROWTH = 2
+
 
-def drawn(length: timedelta, rng: random.Random) -> timedelta:
-    """Between half of a wait and all of it."""
-    return length * rng.uniform(0.5, 1.0)
+def jittered(wait: timedelta, rng: random.Random) -> timedelta:
+    """Draw a duration between half of a wait and all of it."""
+    return wait * rng.uniform(LEAST_SHARE, 1.0)
 
 
 class Backoff:
-    """Waits between tries that grow to a bound, with jitter."""
+    """Exponential backoff with jitter."""
 
-    def __init__(self, first: timedelta, most: timedelta, rng: random.Random):
-        self._first, self._most, self._rng = first, most, rng
+    def __init__(self, first: timedelta, longest: timedelta, rng: random.Random) -> None:
+        self._first = first
+        self._longest = longest
+        self._rng = rng
         self._wait = first
 
-    def next(self) -> timedelta:
-        wait, self._wait = self._wait, min(self._wait * 2, self._most)
-        return drawn(wait, self._rng)
+    def next_wait(self) -> timedelta:
+        """Return how long to wait before the next attempt; the wait after that is longer."""
+        wait = self._wait
+        self._wait = min(wait * GROWTH, self._longest)
+        return jittered(wait, self._rng)
 
     def reset(self) -> None:
+        """Begin anew with the first wait, after an attempt that succeeded."""
         self._wait = self._first
--- a/roadbend/settings.py
+++ b/roadbend/settings.py
@@ -9,14 +9,14 @@
 
 import sexpdata
 
-from roadbend.errors import RoadbendError
+from roadbend.errors import PermanentError
 
 # The longest text that a setting may be.
 MAX_TEXT = 200
 _Form = TypeVar("_Form")
 
 
-class SettingsError(RoadbendError):
+class SettingsError(PermanentError):
     """A settings file can't be used; the message names the key."""
 
 
--- a/roadbend/store/client.py
+++ b/roadbend/store/client.py
@@ -7,21 +7,21 @@
 from urllib.parse import quote
 
 from roadbend import clock
-from roadbend.errors import RoadbendError
+from roadbend.errors import PermanentError, RetryableError, UnknownOutcomeError
 from roadbend.http.client import Client, NoAnswerError
 from roadbend.retry import Backoff
 from roadbend.store.request_budget import RequestBudget
 
 
-class RefusedError(RoadbendError):
+class RefusedError(RetryableError):
     """Not executed: an outage, or over the limits."""
 
 
-class LeaseEndedError(RoadbendError):
+class LeaseEndedError(PermanentError):
     """The lease has ended."""
 
 
-class ConflictError(RoadbendError):
+class ConflictError(PermanentError):
     """A condition of the transaction does not hold."""
 
     def __init__(self, failed: list[str]):
@@ -173,7 +173,7 @@
     return {"delete": key}
 
 
-class UnavailableError(RoadbendError):
+class UnavailableError(UnknownOutcomeError):
     """The state service gave no definite answer in time."""
 
 
@@ -199,7 +199,7 @@
         try:
             return await state.compare_and_swap(conditions, changes, urgent, first)
         except (RefusedError, NoAnswerError) as error:
-            wait = waits.next()
+            wait = waits.next_wait()
             if clock.now() + wait >= deadline:
                 raise UnavailableError(str(error)) from None
         await clock.pause(wait)
--- a/roadbend/store/record_reader.py
+++ b/roadbend/store/record_reader.py
@@ -63,7 +63,7 @@
                     log.error(
                         "state-store-unavailable", error=str(error)[:80], failures=self.refusals
                     )
-                pause = waits.next()
+                pause = waits.next_wait()
                 continue
             if self.refusals > 1:
                 log.info("state-store-recovered", after_failures=self.refusals)
