--- a/roadbend/bidding/__init__.py
+++ b/roadbend/bidding/__init__.py
@@ -1,1 +1,1 @@
-"""CASA: bids, promises, the draw, offering again."""
+"""CASA: bids, promises, the draw, and rescheduling."""
--- /dev/null
+++ b/roadbend/bidding/bid_collector.py
@@ -0,0 +1,58 @@
+"""Asks all controllers for bids on a job: the sending halves of algorithms 1 and 4."""
+
+import trio
+
+from roadbend.bidding import messages
+from roadbend.bidding.bid_service import BidService
+from roadbend.bidding.casa import Bid
+from roadbend.bidding.messages import BidRequest
+from roadbend.log import Log
+from roadbend.peers import frames
+from roadbend.peers.frames import FrameError
+from roadbend.peers.links import Link, NoReplyError, Peers
+from roadbend.placement.context import ControllerContext
+
+log = Log("bidding")
+
+
+class BidCollector:
+    """Collects the bids of this controller and of its peers."""
+
+    def __init__(self, context: ControllerContext, peers: Peers, bid_service: BidService) -> None:
+        self._context, self._peers, self._bid_service = context, peers, bid_service
+
+    @property
+    def controller_count(self) -> int:
+        """How many controllers a request goes to, this one included."""
+        return len(self._peers.links) + 1
+
+    async def collect(self, request: BidRequest) -> list[Bid]:
+        """Return the bids that came in time, at most one of each partition.
+
+        Peers that don't answer are left out, and so are, for a gang, those that don't know gangs.
+        """
+        if request.requester_response is None:
+            bids, kind = self._bid_service.bids(request), frames.REQUEST
+            gang_kind = frames.GANG_REQUEST
+        else:
+            bids, kind = self._bid_service.reschedule_bids(request), frames.INFORM
+            gang_kind = frames.GANG_INFORM
+        gang, payload = request.spec.gang, request.pack()
+        async with trio.open_nursery() as nursery:
+            for link in self._peers.links.values():
+                if not gang:
+                    nursery.start_soon(self._ask, link, kind, payload, bids)
+                elif link.known.speaks(frames.GANGS):
+                    nursery.start_soon(self._ask, link, gang_kind, payload, bids)
+        # While a partition's leadership changes, two controllers may bid for it.
+        return list({bid.partition: bid for bid in bids}.values())
+
+    async def _ask(self, link: Link, kind: int, payload: bytes, bids: list[Bid]) -> None:
+        """Add a peer's bids to `bids`."""
+        try:
+            reply = await link.call(kind, payload, self._context.operator.bid_wait)
+            bids += messages.unpack_bids(reply)
+        except NoReplyError:
+            pass
+        except FrameError as error:
+            log.error("bid-malformed", peer=link.peer.name, error=str(error))
--- /dev/null
+++ b/roadbend/bidding/gang_release.py
@@ -0,0 +1,56 @@
+"""Gives back gangs that can't start where their tasks are, so that they are allocated anew."""
+
+from dataclasses import replace
+from datetime import datetime
+
+from roadbend.bidding.allocation import AllocationChange, AllocationRecorder, max_conditions
+from roadbend.bidding.bid_service import LONG_WAIT
+from roadbend.bidding.requester import Requester
+from roadbend.log import Log
+from roadbend.placement import apart_gangs, gangs
+from roadbend.placement.context import ControllerContext
+from roadbend.placement.leader import PartitionLeader
+from roadbend.store.records import Job
+
+log = Log("bidding")
+
+
+class GangReleaser:
+    """Releases gangs of which several partitions hold tasks."""
+
+    def __init__(
+        self, context: ControllerContext, recorder: AllocationRecorder, requester: Requester
+    ) -> None:
+        self._context, self._recorder, self._requester = context, recorder, requester
+
+    async def release_due(self, leader: PartitionLeader, now: datetime) -> None:
+        """Release the gangs of a partition that are due, and queue them to be allocated."""
+        for name in list(self._context.view.assigned_jobs.get(leader.partition, ())):
+            job = self._context.view.jobs[name]
+            if not self._is_due(leader, job, now):
+                continue
+            conditions = apart_gangs.may_release(leader, job)
+            if conditions is None or len(conditions) > max_conditions(self._context.settings):
+                continue
+            released = replace(job, allocation={})
+            if await self._recorder.record(AllocationChange(job, released, conditions=conditions)):
+                log.info(
+                    "gang-released", partition=leader.partition, job=name, tasks=job.spec.task_count
+                )
+                leader.queued.pop(name, None)
+                leader.to_release.discard(name)
+                self._requester.submit(name)
+
+    def _is_due(self, leader: PartitionLeader, job: Job, now: datetime) -> bool:
+        """Tell whether a gang should be released.
+
+        One with anti-affinity is when it has waited for long, for one of its shares may find no
+        capacity where it is. Any other one is at once if it is scattered, since one partition must
+        hold it whole.
+        """
+        if not job.spec.gang or job.id in self._context.cancelled:
+            return False
+        if gangs.is_scattered(job):
+            return True
+        waits_long = now - leader.queued.get(job.id, now) >= LONG_WAIT
+        return apart_gangs.is_apart(job) and (waits_long or job.id in leader.to_release)
--- a/roadbend/controller.py
+++ b/roadbend/controller.py
@@ -11,7 +11,7 @@
 from roadbend import clock
 from roadbend.autoscaler.cloud import Cloud
 from roadbend.autoscaler.service import Autoscaler
-from roadbend.bidding.requester import Requester
+from roadbend.bidding.service import Bidding
 from roadbend.fleet.service import Fleet
 from roadbend.http.client import Client
 from roadbend.http.net import BACKLOG, Net
@@ -84,12 +84,10 @@
         self.leaders: dict[str, PartitionLeader] = {}
         self.fleet = Fleet(self.context, net, self.cloud, self.peers, self.leaders)
         self.autoscaler = Autoscaler(self.context, self.cloud, self.fleet, self.leaders, rng)
-        self.requester = Requester(
-            self.context, self.peers, self.leaders, self.autoscaler.closed, rng
-        )
+        self.bidding = Bidding(self.context, self.peers, self.leaders, self.autoscaler.closed, rng)
         self.users = JobApi(
             self.context,
-            self.requester.submit,
+            self.bidding.requester.submit,
             self._tell,
             self.propagate_cancellations,
             self.state_refuses_only_us,
@@ -337,10 +335,7 @@
             nursery.start_soon(self.fleet.failure_detector.watch, nursery)
             nursery.start_soon(self._listen_for_deafness)
             nursery.start_soon(self._share_budget)
-            nursery.start_soon(self.requester.run_rebid)
-            nursery.start_soon(self.requester.run_reoffer)
-            for _ in range(4):
-                nursery.start_soon(self.requester.run_worker)
+            self.bidding.start(nursery)
             for run in self.background:
                 nursery.start_soon(run)
             task_status.started()
--- a/roadbend/test_growth.py
+++ b/roadbend/test_growth.py
@@ -13,7 +13,7 @@
 from roadbend.autoscaler.cloud import Cloud
 from roadbend.autoscaler.policy import Timing, wanted
 from roadbend.autoscaler.test_autoscaler import choices
-from roadbend.bidding import requester
+from roadbend.bidding import bid_service
 from roadbend.fakes.submission import job
 from roadbend.fakes.world import world
 from roadbend.http.client import NoAnswerError
@@ -540,7 +540,7 @@
     # A job that no partition can start is offered everywhere well before that, its turn among
     # others counted.
     assert (
-        requester.LONG_WAIT + 4 * OperatorSettings().reoffer_every + OperatorSettings().cool_down
+        bid_service.LONG_WAIT + 4 * OperatorSettings().reoffer_every + OperatorSettings().cool_down
         < timedelta(seconds=60)
     )
 
--- a/roadbend/test_scenarios.py
+++ b/roadbend/test_scenarios.py
@@ -309,7 +309,7 @@
         # Recorded as held by the full partition, as if drawn before the others were up.
         assert await w.submit(0, job(72, legs=2, dueS=60, crew="red"), 10) == 201
         for controller in w.controllers.values():
-            controller.requester.submit = lambda name: None
+            controller.bidding.requester.submit = lambda name: None
         key = keys.job_key("run-000072")
         value = {**w.state.value(key), "a": {"east": [[0, 2]]}}
         w.state.compare_and_swap({"apply": [{"write": key, "value": value}]})
