--- a/roadbend/bidding/gang_release.py
+++ b/roadbend/bidding/gang_release.py
@@ -48,7 +48,7 @@
         capacity where it is. Any other one is at once if it is scattered, since one partition must
         hold it whole.
         """
-        if not job.spec.gang or job.id in self._context.cancelled:
+        if not job.spec.gang or job.id in self._context.cancellations.jobs:
             return False
         if gangs.is_scattered(job):
             return True
--- a/roadbend/bidding/requester.py
+++ b/roadbend/bidding/requester.py
@@ -132,7 +132,7 @@
                 return
 
     def _may_allocate(self, job: Job) -> bool:
-        if not job.unassigned or job.id in self._context.cancelled:
+        if not job.unassigned or job.id in self._context.cancellations.jobs:
             return False
         return not self._context.recovery.holds_back(job.id)
 
