--- a/roadbend/bidding/allocation.py
+++ b/roadbend/bidding/allocation.py
@@ -14,7 +14,7 @@
 from roadbend.bidding.casa import Bid, Shares
 from roadbend.bidding.messages import Assignment, Revocation
 from roadbend.log import Log
-from roadbend.peers import frames
+from roadbend.peers.frames import FrameKind
 from roadbend.peers.links import Link, NoReplyError, Peers
 from roadbend.placement.context import ControllerContext
 from roadbend.placement.leader import PartitionLeader
@@ -129,12 +129,12 @@
     async def _send_assignment(self, link: Link, payload: bytes) -> None:
         """Send an assignment, which is answered: the paper's receipt."""
         with suppress(NoReplyError):
-            await link.call(frames.ASSIGN, payload, self._context.operator.bid_wait)
+            await link.call(FrameKind.ASSIGN, payload, self._context.operator.bid_wait)
 
     async def _send_revocation(self, link: Link, payload: bytes) -> None:
         """Send a revocation, which is not answered and may get lost."""
         with suppress(NoReplyError):
-            await link.cast(frames.REVOKE, payload)
+            await link.notify(FrameKind.REVOKE, payload)
 
     def _log_allocated(self, change: AllocationChange) -> None:
         allocation = change.changed.allocation
--- a/roadbend/bidding/bid_collector.py
+++ b/roadbend/bidding/bid_collector.py
@@ -7,8 +7,7 @@
 from roadbend.bidding.casa import Bid
 from roadbend.bidding.messages import BidRequest
 from roadbend.log import Log
-from roadbend.peers import frames
-from roadbend.peers.frames import FrameError
+from roadbend.peers.frames import GANGS_EXTENSION, FrameError, FrameKind
 from roadbend.peers.links import Link, NoReplyError, Peers
 from roadbend.placement.context import ControllerContext
 
@@ -32,22 +31,22 @@
         Peers that don't answer are left out, and so are, for a gang, those that don't know gangs.
         """
         if request.requester_response is None:
-            bids, kind = self._bid_service.bids(request), frames.REQUEST
-            gang_kind = frames.GANG_REQUEST
+            bids, kind = self._bid_service.bids(request), FrameKind.REQUEST
+            gang_kind = FrameKind.GANG_REQUEST
         else:
-            bids, kind = self._bid_service.reschedule_bids(request), frames.INFORM
-            gang_kind = frames.GANG_INFORM
+            bids, kind = self._bid_service.reschedule_bids(request), FrameKind.INFORM
+            gang_kind = FrameKind.GANG_INFORM
         gang, payload = request.spec.gang, request.pack()
         async with trio.open_nursery() as nursery:
             for link in self._peers.links.values():
                 if not gang:
                     nursery.start_soon(self._ask, link, kind, payload, bids)
-                elif link.known.speaks(frames.GANGS):
+                elif link.known.supports(GANGS_EXTENSION):
                     nursery.start_soon(self._ask, link, gang_kind, payload, bids)
         # While a partition's leadership changes, two controllers may bid for it.
         return list({bid.partition: bid for bid in bids}.values())
 
-    async def _ask(self, link: Link, kind: int, payload: bytes, bids: list[Bid]) -> None:
+    async def _ask(self, link: Link, kind: FrameKind, payload: bytes, bids: list[Bid]) -> None:
         """Add a peer's bids to `bids`."""
         try:
             reply = await link.call(kind, payload, self._context.operator.bid_wait)
--- a/roadbend/bidding/bid_service.py
+++ b/roadbend/bidding/bid_service.py
@@ -15,8 +15,7 @@
 from roadbend.bidding.messages import Assignment, BidRequest, Revocation
 from roadbend.bidding.promises import Promises
 from roadbend.bidding.responder import Responder
-from roadbend.peers import frames
-from roadbend.peers.frames import FrameError
+from roadbend.peers.frames import FrameError, FrameKind
 from roadbend.peers.links import Peers
 from roadbend.placement.context import ControllerContext
 from roadbend.placement.leader import PartitionLeader
@@ -44,12 +43,12 @@
 
     def register(self, peers: Peers) -> None:
         """Have the frames of the bidding handled here."""
-        peers.handlers[frames.REQUEST] = self._on_request
-        peers.handlers[frames.ASSIGN] = self._on_assign
-        peers.handlers[frames.REVOKE] = self._on_revoke
-        peers.handlers[frames.INFORM] = self._on_inform
-        peers.handlers[frames.GANG_REQUEST] = self._on_gang_request
-        peers.handlers[frames.GANG_INFORM] = self._on_gang_inform
+        peers.handlers[FrameKind.REQUEST] = self._on_request
+        peers.handlers[FrameKind.ASSIGN] = self._on_assign
+        peers.handlers[FrameKind.REVOKE] = self._on_revoke
+        peers.handlers[FrameKind.INFORM] = self._on_inform
+        peers.handlers[FrameKind.GANG_REQUEST] = self._on_gang_request
+        peers.handlers[FrameKind.GANG_INFORM] = self._on_gang_inform
 
     def responder(self, partition: str) -> Responder:
         """Return the responder of a partition that this controller leads."""
