--- a/roadbend/autoscaler/scale_in.py
+++ b/roadbend/autoscaler/scale_in.py
@@ -42,8 +42,8 @@
         self._returned[leader.partition] = now
         for name in names:
             # Marked before the call: nothing is started on it while the answer is out.
-            if leader.machines[name].draining is None:
-                leader.machines[name].draining = "returned"
+            if leader.machines[name].lifecycle.draining is None:
+                leader.machines[name].lifecycle.draining = "returned"
         names = [name for name in names if name not in leader.by_machine()]
         if not names:
             return
@@ -68,10 +68,10 @@
         names = []
         for machine in leader.machines.values():
             failed = len(machine.failures) >= self._context.operator.error_limit
-            if failed and machine.draining is None:
-                machine.draining = "sick"
+            if failed and machine.lifecycle.draining is None:
+                machine.lifecycle.draining = "sick"
                 log.info("machine-quarantined", partition=leader.partition, machine=machine.id)
-            if machine.draining is not None and not _is_busy(leader, machine):
+            if machine.lifecycle.draining is not None and not _is_busy(leader, machine):
                 names.append(machine.id)
         return names
 
@@ -83,10 +83,10 @@
         idle = [
             (machine.id, machine.empty_since, self._warm_places(leader, machine, model))
             for machine in leader.machines.values()
-            if machine.draining is None
-            and machine.token_confirmed
+            if machine.lifecycle.draining is None
+            and machine.token.confirmed
             and machine.empty_since is not None
-            and machine.reclaim_at is None
+            and machine.lifecycle.reclaim_at is None
             and not _is_busy(leader, machine)
         ]
         idle.sort(key=lambda row: row[1])
@@ -138,5 +138,5 @@
         machine.id in leader.by_machine()
         or machine.unrecorded_tasks
         or machine.id in leader.in_flight
-        or machine.fencing
+        or machine.lifecycle.fencing
     )
--- a/roadbend/controller.py
+++ b/roadbend/controller.py
@@ -277,7 +277,11 @@
             now = clock.now()
             for partition, leader in list(self.leaders.items()):
                 last = max(
-                    (m.last_heartbeat_at for m in leader.machines.values() if m.last_heartbeat_at),
+                    (
+                        m.contact.last_heartbeat_at
+                        for m in leader.machines.values()
+                        if m.contact.last_heartbeat_at
+                    ),
                     default=leader.leadership.acquired_at,
                 )
                 heard = any(
--- a/roadbend/fakes/test_fakes.py
+++ b/roadbend/fakes/test_fakes.py
@@ -313,11 +313,11 @@
         client = Client(w.network.port("node-0"), worker.address)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(run)
-            before = heard.position
+            before = heard.contact.position
             await trio.sleep(8)
             # Reports arrive from the deaf only; commands reach the mute and those whose reports are
             # held back.
-            assert (heard.position > before) == (trouble == "deaf")
+            assert (heard.contact.position > before) == (trouble == "deaf")
             got = True
             try:
                 await client.request("GET", "/inspect", within=timedelta(seconds=1))
--- a/roadbend/fleet/direct_commands.py
+++ b/roadbend/fleet/direct_commands.py
@@ -64,7 +64,7 @@
         if target is None:
             return
         body = messages.direct_command(
-            leader.heartbeats.token(target), target.position.epoch, orders
+            leader.heartbeats.token(target), target.contact.position.epoch, orders
         )
         client = Client(self._net, target.address, most=1, keep=0)
         try:
@@ -94,7 +94,7 @@
         what became of it, the machine's token is raised, so that the order is refused should it
         arrive later (`machines.Direct`)."""
         machine = leader.machines.get(name)
-        if machine is None or machine.incarnation >= MAX_INCARNATIONS:
+        if machine is None or machine.token.incarnation >= MAX_INCARNATIONS:
             return
         async with self._direct:
             now, recorded = clock.now(), leader.by_machine().get(name, {})
@@ -111,17 +111,17 @@
             if (
                 not rows
                 or leader.machines.get(name) is not machine
-                or not machine.token_confirmed
+                or not machine.token.confirmed
                 or not leader.usable(machine, now, self._context.settings.heartbeat_interval * 2.2)
                 or election.leadership(leader.partition) != leader.leadership
                 or not election.may_start(now)
             ):
                 return
-            epoch = machine.position.epoch
+            epoch = machine.contact.position.epoch
             for key, attempt in rows:
-                machine.direct[key] = DirectStart(attempt.number, epoch)
-            machine.unchanged_version = None
-            machine.lease_started_at = now
+                machine.token.direct_starts[key] = DirectStart(attempt.number, epoch)
+            machine.last_evaluation.invalidate()
+            machine.contact.lease_started_at = now
             orders = [StartTask(*key, attempt.number) for key, attempt in rows]
             body = messages.direct_command(leader.heartbeats.token(machine), epoch, orders)
             client, heartbeat = Client(self._net, machine.address, most=1, keep=0), None
@@ -134,14 +134,17 @@
                 elif status in (400, 409):
                     # Nothing was executed, nor will be.
                     for key, attempt in rows:
-                        if key in machine.direct and machine.direct[key].attempt == attempt.number:
-                            del machine.direct[key]
+                        if (
+                            key in machine.token.direct_starts
+                            and machine.token.direct_starts[key].attempt == attempt.number
+                        ):
+                            del machine.token.direct_starts[key]
                     return
             except (NoAnswerError, MalformedError) as error:
                 log.debug("direct-command-lost", machine=name, error=error)
         if heartbeat is not None and heartbeat.machine == name:
             for key, attempt in rows:
-                row = machine.direct.get(key)
+                row = machine.token.direct_starts.get(key)
                 if row is not None and row.attempt == attempt.number:
                     row.acknowledged_position = heartbeat.position
             return
@@ -155,9 +158,11 @@
         report's answer brings the token, a held order to start would still be carried out, perhaps
         after a user was told that the job is cancelled."""
         for _ in range(FENCE_TRIES):
-            if leader.machines.get(machine.id) is not machine or machine.token_confirmed:
+            if leader.machines.get(machine.id) is not machine or machine.token.confirmed:
                 return
-            body = messages.direct_command(leader.heartbeats.token(machine), machine.position.epoch)
+            body = messages.direct_command(
+                leader.heartbeats.token(machine), machine.contact.position.epoch
+            )
             client = Client(self._net, machine.address, most=1, keep=0)
             try:
                 async with self._direct:
--- a/roadbend/fleet/failure_detector.py
+++ b/roadbend/fleet/failure_detector.py
@@ -112,7 +112,7 @@
         for name in leader.machines.keys() | index.keys():
             machine = leader.machines.get(name)
             # What counts is not that it reports, but that it hears us.
-            last = machine.acknowledged_at if machine is not None else None
+            last = machine.contact.acknowledged_at if machine is not None else None
             if last is None:
                 overdue = self._silence(since, now) > operator.find_owner
             else:
@@ -123,9 +123,11 @@
             if listed is not None and listed.status == "failed":
                 overdue = True
             recalled = (
-                machine is not None and machine.reclaim_at is not None and now > machine.reclaim_at
+                machine is not None
+                and machine.lifecycle.reclaim_at is not None
+                and now > machine.lifecycle.reclaim_at
             )
-            suspected = machine is not None and machine.suspected
+            suspected = machine is not None and machine.contact.suspected
             if (
                 overdue
                 or suspected
@@ -137,7 +139,7 @@
         self._reachability.note(leader, index.keys(), now)
         # The longest silent first, and only so many at once.
         ages = {
-            name: m.acknowledged_at or since if (m := leader.machines.get(name)) else since
+            name: m.contact.acknowledged_at or since if (m := leader.machines.get(name)) else since
             for name in silent
         }
         for name in sorted(silent, key=ages.__getitem__):
@@ -160,7 +162,7 @@
         counts from further back, or shows a lower token than it has carried, it has begun anew."""
         machine = leader.machines.get(name)
         before = (
-            (machine.position, machine.incarnation, machine.token_confirmed)
+            (machine.contact.position, machine.token.incarnation, machine.token.confirmed)
             if machine is not None
             else None
         )
@@ -178,9 +180,9 @@
             if (
                 machine is not None
                 and leader.machines.get(name) is machine
-                and machine.incarnation == before[1]
+                and machine.token.incarnation == before[1]
             ):
-                machine.suspected = False
+                machine.contact.suspected = False
                 if (
                     heartbeat.position <= before[0]
                     or before[2]
@@ -202,7 +204,7 @@
             return
         machine = leader.machines.get(name)
         if machine is not None:
-            machine.suspected = False
+            machine.contact.suspected = False
             if self._was_heard_meanwhile(machine, probe):
                 return
         if self._context.election.leadership(leader.partition) != leader.leadership:
@@ -221,13 +223,13 @@
             address = machine.address if machine else (listed.address if listed else "")
             failed = listed is not None and listed.status == "failed"
             began = clock.now()
-            heard = machine.acknowledged_at if machine else None
+            heard = machine.contact.acknowledged_at if machine else None
             answered = bool(address) and not failed and await self._inspect(leader, name, address)
             took = clock.now() - began
         return _Probe(name, answered, failed, took, heard, heard or leader.leadership.acquired_at)
 
     def _was_heard_meanwhile(self, machine: Machine, probe: _Probe) -> bool:
-        if machine.acknowledged_at != probe.heard:
+        if machine.contact.acknowledged_at != probe.heard:
             return True
         return (
             probe.heard is not None
@@ -240,13 +242,13 @@
         """Whether a machine that did not answer may only be out of our reach."""
         recalled = (
             machine is not None
-            and machine.reclaim_at is not None
-            and clock.now() > machine.reclaim_at
+            and machine.lifecycle.reclaim_at is not None
+            and clock.now() > machine.lifecycle.reclaim_at
         )
         if probe.failed or recalled:
             return False
-        if machine is not None and machine.last_heartbeat_at is not None:
-            if machine.last_heartbeat_at - probe.last > timedelta(seconds=4):
+        if machine is not None and machine.contact.last_heartbeat_at is not None:
+            if machine.contact.last_heartbeat_at - probe.last > timedelta(seconds=4):
                 # Deaf: its reports reach us, our answers don't reach it. It runs what it has until
                 # its lease ends; then it is replaced.
                 return (
@@ -264,7 +266,7 @@
         """Deletes a machine; says whether it is proven gone."""
         if machine is not None:
             # From here on no order goes to it, so the deletion can't overtake one.
-            machine.fencing = True
+            machine.lifecycle.fencing = True
         try:
             await self._deletions.delete(name)
         except CloudBusyError as error:
@@ -276,7 +278,7 @@
                 error=str(error)[:60],
             )
             if machine is not None:
-                machine.fencing = False
+                machine.lifecycle.fencing = False
             return False
         except (NoAnswerError, NoCapacityError) as error:
             log.info(
@@ -288,7 +290,7 @@
             if machine is not None:
                 # The deletion may still be carried out: should it report again, it gets nothing
                 # new.
-                machine.draining, machine.fencing = "fence", False
+                machine.lifecycle.draining, machine.lifecycle.fencing = "fence", False
             return False
         log.info("machine-fenced", partition=leader.partition, machine=name)
         leader.gone(name, "deleted")
@@ -298,17 +300,18 @@
         """No deletion to be had: the worker's own lease is the proof, where it is one."""
         now, s, margin = clock.now(), self._context.settings, self._context.operator.state_margin
         machine = leader.machines.get(name)
-        if machine is not None and machine.token_confirmed:
+        if machine is not None and machine.token.confirmed:
             # It has carried our token, so only our answers count, the last one at `lease_from`.
             sure = (
-                machine.lease_started_at is not None
-                and now > machine.lease_started_at + s.lease * (1 + 2 * clock.DRIFT) + margin
+                machine.contact.lease_started_at is not None
+                and now
+                > machine.contact.lease_started_at + s.lease * (1 + 2 * clock.DRIFT) + margin
             )
         else:
             # A former owner renews for cancel_within - lease at most after we took over.
             last = (
-                machine.lease_started_at
-                if machine and machine.lease_started_at
+                machine.contact.lease_started_at
+                if machine and machine.contact.lease_started_at
                 else leader.leadership.acquired_at
             )
             sure = now > max(
--- a/roadbend/fleet/heartbeat_evaluation.py
+++ b/roadbend/fleet/heartbeat_evaluation.py
@@ -60,10 +60,10 @@
     what it proves."""
     recorded, stops, ended = expected.recorded, expected.stops, expected.ended
     current = heartbeat.token == token
-    machine.token_confirmed = machine.token_confirmed or current
+    machine.token.confirmed = machine.token.confirmed or current
     machine.address = heartbeat.address
     if heartbeat.notice is not None:
-        machine.reclaim_at = now + timedelta(seconds=heartbeat.notice)
+        machine.lifecycle.reclaim_at = now + timedelta(seconds=heartbeat.notice)
     orders: list[WorkerOrder] = []
     seen: dict[TaskKey, ObservedTask] = {}
     machine.unrecorded_tasks = 0
@@ -98,9 +98,9 @@
         elif current and not wanted and machine.settled(key, attempt.number, heartbeat, current):
             ended.note(key, Termination(attempt.number, machine.id, False, "absent"))
     machine.tasks = seen
-    machine.direct = {
+    machine.token.direct_starts = {
         key: row
-        for key, row in machine.direct.items()
+        for key, row in machine.token.direct_starts.items()
         if key in recorded and recorded[key][1].number == row.attempt
     }
     return orders
@@ -110,7 +110,7 @@
     """Whether a recorded task is still to run on its machine."""
     job = expected.jobs.get(key[0])
     held = job is not None and ranges.has(job.allocation.get(expected.partition, ()), key[1])
-    leaving = machine.draining is not None or machine.reclaim_at is not None
+    leaving = machine.lifecycle.draining is not None or machine.lifecycle.reclaim_at is not None
     return held and key not in expected.stops and not leaving
 
 
--- a/roadbend/fleet/machines.py
+++ b/roadbend/fleet/machines.py
@@ -1,4 +1,4 @@
-"""A partition's machines as their owner knows them, and which of their reports are taken in."""
+"""Machines of a partition as its leader knows them, and which of their heartbeats are admitted."""
 
 from dataclasses import dataclass, field
 from datetime import datetime, timedelta
@@ -6,10 +6,19 @@
 from roadbend.fleet.messages import (
     NO_HEARTBEAT_YET,
     HeartbeatPosition,
+    TaskState,
     UnreadTasks,
     WorkerHeartbeat,
 )
 from roadbend.fleet.terminations import TaskKey
+from roadbend.wire_values import INTEGER_LIMIT
+
+# A worker whose heartbeat was answered sends the next one within this share of the interval, and
+# within this time of a change; one whose answer was lost waits 4 s and tries another controller.
+HEARTBEAT_JITTER = 1.25
+ANSWERED_WITHIN = timedelta(seconds=0.7)
+# Greater than the epoch of any heartbeat.
+NO_EPOCH = INTEGER_LIMIT
 
 
 @dataclass
@@ -17,128 +26,191 @@
     """A task as the machine last showed it."""
 
     attempt: int
-    state: str
+    state: TaskState | str
+    # Since when it has been in this state.
     since: datetime
     running_since: datetime | None = None
 
 
 @dataclass
 class DirectStart:
-    """An order to start that went straight to the machine. It may be carried out late, so that the
-    absence or the end of its attempt proves nothing before it is known what became of it: answered,
-    with the machine's count then; or fenced, by a token that the machine must show first, since
-    with it the order is refused."""
+    """A direct command to start an attempt.
+
+    It may be carried out late, so that absence or end of the attempt proves nothing before it is
+    known what became of the command: answered, with the machine's position then; or fenced, by a
+    token that the machine must show first, since with it the command is refused.
+    """
 
     attempt: int
     epoch: int
     acknowledged_position: HeartbeatPosition | None = None
     fenced: bool = False
 
+    def is_settled(self, heartbeat: WorkerHeartbeat, current: bool) -> bool:
+        """Whether what a heartbeat shows of the attempt is final; `current`: it has our token."""
+        if heartbeat.epoch > self.epoch:
+            return True
+        if self.fenced:
+            return current
+        acknowledged = self.acknowledged_position
+        return acknowledged is not None and heartbeat.position > acknowledged
 
-@dataclass
-class Machine:
-    """A machine of a partition, as its owner knows it."""
 
-    id: str
-    address: str
-    machine_type: str
-    zone: str
-    spot: bool
+@dataclass(slots=True)
+class HeartbeatContact:
+    """What heartbeats tell of contact with a machine, and when its lease began."""
+
+    # Of the newest heartbeat admitted.
     position: HeartbeatPosition = NO_HEARTBEAT_YET
     last_heartbeat_at: datetime | None = None
-    # Its lease counts from no later than this: when the last report came that is or may be
-    # answered with 200, for a lease counts from when that report was sent; or when the last direct
-    # order to start went out, for a machine that had just begun anew would carry it out.
+    # The lease counts from no later than this: when the last heartbeat came that is or may be
+    # answered with 200, for a lease counts from when that heartbeat was sent; or when the last
+    # direct start went out, for a machine that had just restarted would carry it out.
     lease_started_at: datetime | None = None
-    # When something last showed that an answer of ours reached it. A machine that reports without
-    # hearing us looks healthy by `reported` alone.
+    # When something last showed that an answer of ours reached the machine. One that sends
+    # heartbeats without receiving our answers looks healthy by `last_heartbeat_at` alone.
     acknowledged_at: datetime | None = None
-    # It has carried our token: former owners' orders can't reach it any more.
-    token_confirmed: bool = False
-    # Hired in this term and not seen before: it takes work from its first report on.
-    newly_created: bool = False
-    # How often the machine was seen to begin anew; part of its token, so that lives are told apart.
-    incarnation: int = 0
-    # A report came that was not newer than the last: a late copy, or a machine that began anew.
+    # A heartbeat came that was not newer than the last: a late copy, or the machine restarted.
     suspected: bool = False
-    # The tasks as the last report had them, and the count of recorded changes then, if all was in
-    # order.
-    reported_tasks: UnreadTasks | None = None
-    unchanged_version: int | None = None
-    # What the records leave free on it, and the mark of the records that this was worked out from.
-    free: tuple[int, float, float, float] | None = None
-    reclaim_at: datetime | None = None
-    tasks: dict[TaskKey, ObservedTask] = field(default_factory=dict)
-    draining: str | None = None
-    fencing: bool = False
-    images: dict[str, float] = field(default_factory=dict)
-    failures: dict[str, datetime] = field(default_factory=dict)
-    empty_since: datetime | None = None
-    unrecorded_tasks: int = 0
-    direct: dict[TaskKey, DirectStart] = field(default_factory=dict)
 
     def fresh(self, now: datetime, silent_after: timedelta) -> bool:
+        """Whether an answer of ours reached the machine within this time."""
         return self.acknowledged_at is not None and now - self.acknowledged_at < silent_after
 
-    def admit(self, heartbeat: WorkerHeartbeat, token: int, now: datetime) -> bool:
-        """Takes a report in if it is newer than all before it and may come from the life of the
-        machine that we know. The one place where the machine's count moves on: what is read of this
-        report later holds only as long as `is_latest`. Else the machine itself has to be asked."""
-        if heartbeat.position <= self.position or self.token_confirmed and heartbeat.token < token:
-            self.suspected = True
-            return False
-        self.take_in(heartbeat.position, now)
-        return True
-
     def take_in(self, position: HeartbeatPosition, now: datetime) -> None:
-        """The count of a newer report; it is, or may be, answered."""
+        """Advance to a newer heartbeat, which is, or may be, answered."""
         self.position = position
         self.lease_started_at = now
 
     def is_latest(self, heartbeat: WorkerHeartbeat) -> bool:
-        """Whether nothing newer of the machine has been taken in than this report."""
+        """Whether nothing newer of the machine has been admitted than this heartbeat."""
         return self.position == heartbeat.position
 
     def note_heartbeat(self, now: datetime, heartbeat_interval: timedelta) -> None:
-        """A worker that got its answer comes back after a report's time; one that didn't waits 4 s
-        and tries another controller first."""
+        """Note when a heartbeat came, and infer whether the one before it was answered."""
         last, self.last_heartbeat_at = self.last_heartbeat_at, now
-        if last is None or now - last < heartbeat_interval * 1.25 + timedelta(seconds=0.7):
+        if last is None or now - last < heartbeat_interval * HEARTBEAT_JITTER + ANSWERED_WITHIN:
             self.acknowledged_at = now
 
+
+@dataclass(slots=True)
+class MachineToken:
+    """How far a machine follows our fencing token, and which direct starts may be under way."""
+
+    # It has carried our token: former leaders' orders can't reach it any more.
+    confirmed: bool = False
+    # Created in this term and not seen before: it takes work from its first heartbeat on.
+    newly_created: bool = False
+    # How often the machine was seen to restart, and how often it was fenced; part of the token, so
+    # that incarnations are told apart.
+    incarnation: int = 0
+    direct_starts: dict[TaskKey, DirectStart] = field(default_factory=dict)
+
+    def advance(self) -> None:
+        """Go on to the next incarnation, whose token the machine has to confirm first.
+
+        Direct starts that are under way carry a lower token, so they are fenced.
+        """
+        self.incarnation += 1
+        self.confirmed = self.newly_created = False
+        for start in self.direct_starts.values():
+            start.fenced = True
+
+
+@dataclass(slots=True)
+class MachineLifecycle:
+    """Why a machine is leaving, if it is."""
+
+    # When the cloud reclaims it, if it has given notice.
+    reclaim_at: datetime | None = None
+    # Why it is being drained.
+    draining: str | None = None
+    # Its deletion is under way: no order goes to it, so that the deletion can't overtake one.
+    fencing: bool = False
+
+
+@dataclass(slots=True)
+class HeartbeatEvaluationCache:
+    """The last evaluated heartbeat, by which one that says the same is answered unread."""
+
+    reported_tasks: UnreadTasks | None = None
+    # Count of changes to the machine's records then; None: the next heartbeat is read in full.
+    unchanged_version: int | None = None
+
+    def invalidate(self) -> None:
+        """Have the next heartbeat read in full, because what it is answered may have changed."""
+        self.unchanged_version = None
+
+
+@dataclass
+class Machine:
+    """A machine of a partition, as the partition's leader knows it."""
+
+    id: str
+    address: str
+    machine_type: str
+    zone: str
+    spot: bool
+    contact: HeartbeatContact = field(default_factory=HeartbeatContact)
+    token: MachineToken = field(default_factory=MachineToken)
+    lifecycle: MachineLifecycle = field(default_factory=MachineLifecycle)
+    last_evaluation: HeartbeatEvaluationCache = field(default_factory=HeartbeatEvaluationCache)
+    # What the records leave free on it, and the version of the records that it was computed from.
+    free: tuple[int, float, float, float] | None = None
+    tasks: dict[TaskKey, ObservedTask] = field(default_factory=dict)
+    # Sizes of the images that it is thought to have, in GB, the most recently used one last.
+    images: dict[str, float] = field(default_factory=dict)
+    # Jobs of which a task failed here, and when it last did.
+    failures: dict[str, datetime] = field(default_factory=dict)
+    empty_since: datetime | None = None
+    unrecorded_tasks: int = 0
+
+    def admit(self, heartbeat: WorkerHeartbeat, token: int, now: datetime) -> bool:
+        """Admit a heartbeat that is newer than all before it and of the known incarnation.
+
+        The one place where the machine's position moves on: what is read of this heartbeat later
+        holds only as long as `contact.is_latest`. Where it is not admitted, the machine itself has
+        to be asked.
+        """
+        contact = self.contact
+        if (
+            heartbeat.position <= contact.position
+            or self.token.confirmed
+            and heartbeat.token < token
+        ):
+            contact.suspected = True
+            return False
+        contact.take_in(heartbeat.position, now)
+        return True
+
     def settled(
         self, key: TaskKey, attempt: int, heartbeat: WorkerHeartbeat, current: bool
     ) -> bool:
-        """Whether what a report shows of an attempt is the last word, as far as direct orders
-        go."""
-        row = self.direct.get(key)
-        if row is None or row.attempt != attempt or heartbeat.epoch > row.epoch:
+        """Whether what a heartbeat shows of an attempt is final, as far as direct starts go."""
+        start = self.token.direct_starts.get(key)
+        if start is None or start.attempt != attempt:
             return True
-        if row.fenced:
-            return current
-        return (
-            row.acknowledged_position is not None and heartbeat.position > row.acknowledged_position
-        )
+        return start.is_settled(heartbeat, current)
 
     def fence(self) -> None:
-        """Nobody knows what became of a direct order: from now on a higher token goes out, and
-        nothing more is started here before the machine shows it."""
-        self.incarnation += 1
-        self.token_confirmed = self.newly_created = False
-        self.reported_tasks = self.unchanged_version = None
-        for row in self.direct.values():
-            row.fenced = True
+        """Raise the token, because nobody knows what became of a direct start.
+
+        Nothing more is started here before the machine shows the new token.
+        """
+        self.token.advance()
+        self.last_evaluation = HeartbeatEvaluationCache()
 
     def restart(self, position: HeartbeatPosition) -> None:
-        self.position, self.incarnation = position, self.incarnation + 1
-        self.token_confirmed = self.newly_created = self.suspected = False
-        for row in self.direct.values():
-            row.fenced, row.epoch = True, 1 << 64
+        """Begin a new incarnation, which counts its heartbeats anew from this position."""
+        self.contact.position, self.contact.suspected = position, False
+        self.token.advance()
+        for start in self.token.direct_starts.values():
+            start.epoch = NO_EPOCH
         self.tasks, self.images, self.unrecorded_tasks = {}, {}, 0
-        self.reported_tasks = self.unchanged_version = None
+        self.last_evaluation = HeartbeatEvaluationCache()
 
     def note_image(self, image: str, gb: float, cache_gb: float) -> None:
-        """Most recently used images stay."""
+        """Note that an image was used; the most recently used images stay in the cache."""
         self.images.pop(image, None)
         self.images[image] = gb
         while len(self.images) > 1 and sum(self.images.values()) > cache_gb:
@@ -147,12 +219,12 @@
 
 @dataclass
 class StopOrder:
-    """A task that we want stopped, and why."""
+    """The decision to stop an attempt, and why."""
 
     attempt: int
     grace: timedelta
     reason: str
     decided_at: datetime
     machine: str
-    # When the answer to a report last carried the kill.
+    # When the answer to a heartbeat last carried the order.
     sent_at: datetime | None = None
--- a/roadbend/fleet/test_machine_incarnations.py
+++ b/roadbend/fleet/test_machine_incarnations.py
@@ -65,9 +65,9 @@
             await trio.sleep(3)
         leader = w.controllers["node-0"].leaders["east"]
         for body in copies:
-            before = leader.machines[name].last_heartbeat_at
+            before = leader.machines[name].contact.last_heartbeat_at
             assert (await w.call(0, "POST", "/hello", body))[0] == 503
-            assert leader.machines[name].last_heartbeat_at == before
+            assert leader.machines[name].contact.last_heartbeat_at == before
         # To a node that does not own the partition, the newest of them counts once, the others not
         # at all.
         fleet = w.controllers["node-1"].fleet
@@ -100,7 +100,8 @@
         w.cloud.reboot(name)
         assert await w.until(
             lambda: (
-                leader.machines[name].incarnation == 1 and leader.machines[name].token_confirmed
+                leader.machines[name].token.incarnation == 1
+                and leader.machines[name].token.confirmed
             ),
             20,
         )
@@ -111,7 +112,9 @@
         assert {home for _, _, home in w.board.starts} == {name}
         await trio.sleep(30)
         assert w.board.running("run-000003") and name in w.cloud.machines
-        assert leader.machines[name].incarnation <= 2, "copies must not make it look anew for ever"
+        assert leader.machines[name].token.incarnation <= 2, (
+            "copies must not make it look anew for ever"
+        )
 
 
 async def test_a_deaf_machine_gets_nothing_new_and_is_replaced_on_proof():
--- a/roadbend/fleet/test_machines.py
+++ b/roadbend/fleet/test_machines.py
@@ -86,16 +86,16 @@
         return machine.settled(KEY, 70, seen, current)
 
     assert settled(5)
-    machine.direct[KEY] = DirectStart(70, 1)
+    machine.token.direct_starts[KEY] = DirectStart(70, 1)
     assert not settled(5) and settled(1, epoch=2)
     # Answered: what was sent before that answer proves nothing yet.
-    machine.direct[KEY].acknowledged_position = (1, 7)
+    machine.token.direct_starts[KEY].acknowledged_position = (1, 7)
     assert not settled(6) and not settled(7) and settled(8)
     # Never answered: the machine must show the higher token first.
-    machine.direct[KEY].acknowledged_position = None
-    incarnation = machine.incarnation
+    machine.token.direct_starts[KEY].acknowledged_position = None
+    incarnation = machine.token.incarnation
     machine.fence()
-    assert machine.incarnation == incarnation + 1 and not machine.token_confirmed
+    assert machine.token.incarnation == incarnation + 1 and not machine.token.confirmed
     assert settled(9) and not settled(9, current=False)
 
 
@@ -194,16 +194,23 @@
 
 def test_a_report_that_is_not_newer_is_not_taken_in_and_renews_nothing():
     machine = Machine("m-1", "m-1:1", "g2", "east", False)
-    assert machine.admit(heartbeat(sequence=5), TERM, NOW) and machine.lease_started_at == NOW
+    assert (
+        machine.admit(heartbeat(sequence=5), TERM, NOW) and machine.contact.lease_started_at == NOW
+    )
     later = NOW + timedelta(seconds=9)
     for sequence in (5, 4):
-        machine.suspected = False
-        assert not machine.admit(heartbeat(sequence=sequence), TERM, later) and machine.suspected
-    assert machine.is_latest(heartbeat(sequence=5)) and machine.lease_started_at == NOW
+        machine.contact.suspected = False
+        assert (
+            not machine.admit(heartbeat(sequence=sequence), TERM, later)
+            and machine.contact.suspected
+        )
+    assert (
+        machine.contact.is_latest(heartbeat(sequence=5)) and machine.contact.lease_started_at == NOW
+    )
     # A lower token than the machine has carried: it began anew, or the copy is of a former life.
-    machine.token_confirmed = True
+    machine.token.confirmed = True
     assert not machine.admit(heartbeat(token=TERM - 1, sequence=9), TERM, later)
-    assert machine.admit(heartbeat(sequence=6), TERM, later) and not machine.is_latest(
+    assert machine.admit(heartbeat(sequence=6), TERM, later) and not machine.contact.is_latest(
         heartbeat(sequence=5)
     )
 
--- a/roadbend/fleet/zone_reachability.py
+++ b/roadbend/fleet/zone_reachability.py
@@ -34,7 +34,9 @@
         since, before = self._cut.get(leader.partition, (now, frozenset()))
         heartbeat = self._context.settings.heartbeat_interval
         known = leader.machines.keys() | recorded | before
-        silent = known - {m.id for m in leader.machines.values() if m.fresh(now, heartbeat * 2.2)}
+        silent = known - {
+            m.id for m in leader.machines.values() if m.contact.fresh(now, heartbeat * 2.2)
+        }
         settled = now - leader.leadership.acquired_at > heartbeat * 3
         if (
             settled
@@ -55,8 +57,8 @@
         """How many machines are silent, of how many, and whether all silent ones are spot among
         others."""
         after = self._context.settings.heartbeat_interval * 1.3
-        known = [m for m in leader.machines.values() if m.acknowledged_at is not None]
-        quiet = [m for m in known if now - m.acknowledged_at > after]
+        known = [m for m in leader.machines.values() if m.contact.acknowledged_at is not None]
+        quiet = [m for m in known if now - m.contact.acknowledged_at > after]
         return len(quiet), len(known), all(m.spot for m in quiet) and not all(m.spot for m in known)
 
     def common_cause(self, leader: PartitionLeader, name: str, now: datetime) -> bool:
@@ -81,8 +83,8 @@
         mine = leader.machines.get(name)
         if (
             mine is None
-            or mine.acknowledged_at is None
-            or now - mine.acknowledged_at > s.lease * 1.3
+            or mine.contact.acknowledged_at is None
+            or now - mine.contact.acknowledged_at > s.lease * 1.3
         ):
             # Its lease has ended long since: its tasks are gone anyway.
             return False
--- a/roadbend/placement/heartbeats.py
+++ b/roadbend/placement/heartbeats.py
@@ -36,7 +36,7 @@
         so that what a former life said, however late it comes, is told from what this one says."""
         leader = self._leader
         return leader.leadership.term << records.INCARNATION_BITS | (
-            machine.incarnation if machine is not None else 0
+            machine.token.incarnation if machine is not None else 0
         )
 
     def answer_unchanged(self, data: Any, now: datetime) -> int | None:
@@ -46,21 +46,27 @@
         leader = self._leader
         name = messages.sender_machine(data)
         machine = leader.machines.get(name) if name is not None else None
-        if machine is None or machine.unchanged_version is None:
+        if machine is None:
+            return None
+        contact, last_evaluation = machine.contact, machine.last_evaluation
+        if last_evaluation.unchanged_version is None:
             return None
         token = self.token(machine)
         position = messages.unchanged_position(
             data,
-            previous=machine.position,
+            previous=contact.position,
             token=token,
-            reported_tasks=machine.reported_tasks,
+            reported_tasks=last_evaluation.reported_tasks,
             address=machine.address,
         )
         machine_versions = leader.context.view.machine_versions.get(leader.partition, {})
-        if position is None or machine_versions.get(machine.id, 0) != machine.unchanged_version:
+        if (
+            position is None
+            or machine_versions.get(machine.id, 0) != last_evaluation.unchanged_version
+        ):
             return None
-        machine.take_in(position, now)
-        machine.note_heartbeat(now, leader.context.settings.heartbeat_interval)
+        contact.take_in(position, now)
+        contact.note_heartbeat(now, leader.context.settings.heartbeat_interval)
         return token
 
     async def handle(self, heartbeat: WorkerHeartbeat) -> tuple[int, list[WorkerOrder]] | None:
@@ -97,7 +103,7 @@
                     heartbeat.zone,
                     heartbeat.spot,
                 )
-                machine.newly_created = (
+                machine.token.newly_created = (
                     heartbeat.machine in leader.rented
                     and heartbeat.epoch == 1
                     and not heartbeat.tasks
@@ -115,14 +121,14 @@
             if not machine.admit(heartbeat, self.token(machine), now):
                 # A late copy, or a machine that began anew: only the machine itself can tell.
                 return None
-            had_notice, was_ours = machine.reclaim_at is not None, machine.token_confirmed
+            had_notice, was_ours = machine.lifecycle.reclaim_at is not None, machine.token.confirmed
             before = leader.ended.changes
-            machine.note_heartbeat(now, leader.context.settings.heartbeat_interval)
+            machine.contact.note_heartbeat(now, leader.context.settings.heartbeat_interval)
             orders = self._orders(machine, heartbeat, now)
-            news = fresh or leader.ended.changes != before or machine.token_confirmed != was_ours
-            if machine.token_confirmed and not was_ours:
-                machine.acknowledged_at = now
-            if machine.reclaim_at is not None and not had_notice:
+            news = fresh or leader.ended.changes != before or machine.token.confirmed != was_ours
+            if machine.token.confirmed and not was_ours:
+                machine.contact.acknowledged_at = now
+            if machine.lifecycle.reclaim_at is not None and not had_notice:
                 log.info(
                     "machine-reclaim-announced",
                     partition=leader.partition,
@@ -136,7 +142,7 @@
                 return self.token(machine), orders
             leader.wake_up.set()
             want = leader.steps_begun + 1
-        incarnation = machine.incarnation
+        incarnation = machine.token.incarnation
         with trio.move_on_after(ANSWER_WAIT.total_seconds()):
             while leader.steps_ended < want:
                 await leader.step_ended.wait()
@@ -155,30 +161,30 @@
         return (
             leader.context.election.leadership(leader.partition) == leader.leadership
             and leader.machines.get(machine.id) is machine
-            and machine.incarnation == incarnation
-            and machine.is_latest(heartbeat)
+            and machine.token.incarnation == incarnation
+            and machine.contact.is_latest(heartbeat)
         )
 
     def _note_unchanged(
         self, machine: Machine, heartbeat: WorkerHeartbeat, orders: list[WorkerOrder]
     ) -> None:
         leader = self._leader
-        machine.reported_tasks = heartbeat.reported_tasks
+        machine.last_evaluation.reported_tasks = heartbeat.reported_tasks
         recorded = leader.by_machine().get(machine.id, {})
         still = (
             not orders
-            and machine.token_confirmed
-            and machine.reclaim_at is None
+            and machine.token.confirmed
+            and machine.lifecycle.reclaim_at is None
             # What no record names is judged anew with every report.
             and machine.unrecorded_tasks == 0
             and machine.tasks.keys() == recorded.keys()
         )
         if still and not any(key in leader.ended for key in recorded):
-            machine.unchanged_version = leader.context.view.machine_versions.get(
+            machine.last_evaluation.unchanged_version = leader.context.view.machine_versions.get(
                 leader.partition, {}
             ).get(machine.id, 0)
         else:
-            machine.unchanged_version = None
+            machine.last_evaluation.invalidate()
 
     def _orders(
         self, machine: Machine, heartbeat: WorkerHeartbeat, now: datetime
@@ -188,7 +194,7 @@
         for key, (_, attempt) in recorded.items():
             if leader.live(key[0]) is None:
                 leader._stop_useless(key, attempt, now)
-        may_start = leader.context.election.may_start(now) and not machine.fencing
+        may_start = leader.context.election.may_start(now) and not machine.lifecycle.fencing
         jobs = {key[0]: job for key in recorded if (job := leader.live(key[0])) is not None}
         expected = heartbeat_evaluation.MachineExpectation(
             leader.partition,
@@ -215,7 +221,7 @@
                 "machine-restarted",
                 partition=leader.partition,
                 machine=machine.id,
-                incarnation=machine.incarnation + 1,
+                incarnation=machine.token.incarnation + 1,
             )
             machine.restart(position)
         leader.wake_up.set()
@@ -223,7 +229,7 @@
     def _evacuate(self, machine: Machine, recorded: MachineAttempts, now: datetime) -> None:
         """A spot notice: let tasks run as long as it pays, then save and go."""
         leader = self._leader
-        left = (machine.reclaim_at or now) - now
+        left = (machine.lifecycle.reclaim_at or now) - now
         for key, (_, attempt) in recorded.items():
             job = leader.live(key[0])
             if job is None or key in leader.stops:
--- a/roadbend/placement/leader.py
+++ b/roadbend/placement/leader.py
@@ -193,15 +193,16 @@
         return cpus, gpus, memory
 
     def usable(self, machine: Machine, now: datetime, silent: timedelta) -> bool:
+        lifecycle, token = machine.lifecycle, machine.token
         return (
-            machine.draining is None
-            and machine.reclaim_at is None
-            and not machine.fencing
+            lifecycle.draining is None
+            and lifecycle.reclaim_at is None
+            and not lifecycle.fencing
             and machine.unrecorded_tasks == 0
             # Until a machine has carried our token it may be a late copy of a report that we see;
             # one that we hired in this term and that reports for the first time is no such thing.
-            and (machine.token_confirmed or machine.newly_created)
-            and machine.fresh(now, silent)
+            and (token.confirmed or token.newly_created)
+            and machine.contact.fresh(now, silent)
             and len(machine.failures) < self.context.operator.error_limit
         )
 
@@ -213,7 +214,7 @@
         self.stops[key] = StopOrder(attempt.number, grace, why, now, attempt.machine)
         machine = self.machines.get(attempt.machine)
         if machine is not None:
-            machine.unchanged_version = None
+            machine.last_evaluation.invalidate()
 
     def _stop_useless(self, key: TaskKey, attempt: Attempt, now: datetime) -> None:
         stop = self.stops.get(key)
@@ -421,7 +422,7 @@
             for key, (_, attempt) in self.by_machine().get(machine, {}).items():
                 self.ended.note(key, Termination(attempt.number, machine, False, cause))
             if machine in self.machines:
-                self.machines[machine].unchanged_version = None
+                self.machines[machine].last_evaluation.invalidate()
             if cause == "deleted":
                 self.machines.pop(machine, None)
                 self.rented.discard(machine)
--- a/roadbend/recovery/adoption.py
+++ b/roadbend/recovery/adoption.py
@@ -132,5 +132,5 @@
         self._pace.succeeded()
         machine = self._leader.machines.get(held.machine)
         if machine is not None:
-            machine.unchanged_version = None
+            machine.last_evaluation.invalidate()
         self._let_go(held, str(held.decision))
--- a/roadbend/recovery/judgement.py
+++ b/roadbend/recovery/judgement.py
@@ -50,10 +50,10 @@
         others = self._held.others(held)
         stays = (
             machine is not None
-            and machine.token_confirmed
-            and machine.draining is None
-            and machine.reclaim_at is None
-            and not machine.fencing
+            and machine.token.confirmed
+            and machine.lifecycle.draining is None
+            and machine.lifecycle.reclaim_at is None
+            and not machine.lifecycle.fencing
         )
         return Facts(
             records_read=_is_after(self._around.records_read(), held.since),
--- a/roadbend/recovery/machines.py
+++ b/roadbend/recovery/machines.py
@@ -70,7 +70,7 @@
         if name in leader.context.deleted:
             return Presence.GONE
         machine = leader.machines.get(name)
-        if machine is not None and machine.token_confirmed:
+        if machine is not None and machine.token.confirmed:
             return Presence.HEARD
         row = inventory.rows.get(name)
         if row is None:
@@ -86,7 +86,7 @@
         differing, matching = [], 0
         for name, rows in leader.by_machine().items():
             machine = leader.machines.get(name)
-            if machine is not None and machine.token_confirmed and self._matches(machine, rows):
+            if machine is not None and machine.token.confirmed and self._matches(machine, rows):
                 matching += len(rows)
             else:
                 differing.append(name)
--- a/roadbend/recovery/partition.py
+++ b/roadbend/recovery/partition.py
@@ -151,7 +151,7 @@
 
     def note_heartbeat(self, machine: Machine, heartbeat: WorkerHeartbeat, now: datetime) -> None:
         """Drops what a current report no longer shows."""
-        if not machine.token_confirmed:
+        if not machine.token.confirmed:
             return
         if machine.id not in self._heard:
             self._heard.add(machine.id)
--- a/roadbend/recovery/test_recovery.py
+++ b/roadbend/recovery/test_recovery.py
@@ -314,10 +314,10 @@
         partition.held.add(HeldAttempt("run-000009", 0, 7, machine.id, now, False))
         heartbeat = WorkerHeartbeat(machine.id, "", "g2", "east", False, 1, 1, 0, None, (), [])
         # An older token proves presence only.
-        machine.token_confirmed = False
+        machine.token.confirmed = False
         partition.note_heartbeat(machine, heartbeat, now)
         assert len(partition.held) == 1
-        machine.token_confirmed = True
+        machine.token.confirmed = True
         partition.note_heartbeat(machine, heartbeat, now)
         assert len(partition.held) == 0
 
--- a/roadbend/test_growth.py
+++ b/roadbend/test_growth.py
@@ -426,7 +426,7 @@
                 return any(
                     (leader := controller.leaders.get("east")) is not None
                     and all(
-                        m in leader.machines and leader.machines[m].token_confirmed
+                        m in leader.machines and leader.machines[m].token.confirmed
                         for m in machines
                     )
                     for name, controller in w.controllers.items()
--- a/roadbend/test_ran_twice.py
+++ b/roadbend/test_ran_twice.py
@@ -216,17 +216,20 @@
         await controller.fleet.commands._start_directly(
             leader, machine, [(TaskKey(*TASK), attempt)]
         )
-        assert len(worker.orders) == before and TASK not in leader.machines[machine].direct
+        assert (
+            len(worker.orders) == before
+            and TASK not in leader.machines[machine].token.direct_starts
+        )
         leader.ended.withdraw(TASK, machine)
         w.state.restore()
         await trio.sleep(3)
         # One that goes out may be carried out by a machine that has just begun anew.
         known = leader.machines[machine]
-        known.lease_started_at, now = clock.ORIGIN, clock.now()
+        known.contact.lease_started_at, now = clock.ORIGIN, clock.now()
         await controller.fleet.commands._start_directly(
             leader, machine, [(TaskKey(*TASK), attempt)]
         )
-        assert known.lease_started_at >= now
+        assert known.contact.lease_started_at >= now
 
 
 async def test_the_end_of_an_attempt_on_another_machine_ends_nothing_here():
