--- a/roadbend/recovery/adoption.py
+++ b/roadbend/recovery/adoption.py
@@ -22,19 +22,19 @@
 
 
 class Adoption:
-    """Puts held attempts into an owner's transactions. `let_go` is called with each that was
+    """Puts held attempts into an owner's transactions. `release` is called with each that was
     written, and why it is no longer held."""
 
     def __init__(
         self,
         leader: PartitionLeader,
-        held: HeldAttempts,
+        held_attempts: HeldAttempts,
         judgement: Judgement,
         pace: AdaptiveBound,
-        let_go: Callable[[HeldAttempt, str], None],
+        release: Callable[[HeldAttempt, str], None],
     ) -> None:
-        self._leader, self._held, self._judgement = leader, held, judgement
-        self._pace, self._let_go = pace, let_go
+        self._leader, self._held_attempts, self._judgement = leader, held_attempts, judgement
+        self._pace, self._release = pace, release
         # Those in the transaction that was last put together, until it is confirmed.
         self._unconfirmed: set[tuple[str, int]] = set()
 
@@ -46,7 +46,7 @@
             self._unconfirmed = set()
         due = [
             held
-            for held in self._held.all()
+            for held in self._held_attempts.all()
             if held.decision in (Decision.ADOPT, Decision.RECORD_DONE)
             and self._judgement.decide(held, now) is held.decision
         ]
@@ -76,7 +76,7 @@
                 return False
             transaction.charge(job.spec.team, job.spec.resources, 1)
         transaction.set_slice(piece)
-        self._need_held(transaction, job, held.index)
+        self._hold_task(transaction, job, held.index)
         self._unconfirmed.add((held.job, held.index))
         transaction.after.append(partial(self._adopted, held))
         return True
@@ -109,7 +109,7 @@
             self._leader, transaction, job.spec.team, resources, 1, record_keys
         )
 
-    def _need_held(self, transaction: TransactionBuilder, job: Job, index: int) -> None:
+    def _hold_task(self, transaction: TransactionBuilder, job: Job, index: int) -> None:
         """The partition holds the task from here on, on the job's stamp. Where another partition
         held it, that partition's slice is a condition too: it may have recorded a start a moment
         ago."""
@@ -133,4 +133,4 @@
         machine = self._leader.machines.get(held.machine)
         if machine is not None:
             machine.last_evaluation.invalidate()
-        self._let_go(held, str(held.decision))
+        self._release(held, str(held.decision))
--- /dev/null
+++ b/roadbend/recovery/attempt_holder.py
@@ -0,0 +1,123 @@
+"""Holds the unrecorded attempts of one partition, and has each of them decided about."""
+
+from __future__ import annotations
+
+from datetime import datetime
+from typing import TYPE_CHECKING
+
+from roadbend.fleet.machines import Machine
+from roadbend.fleet.messages import TaskStatus, WorkerHeartbeat
+from roadbend.log import Log
+from roadbend.recovery.judgement import Judgement
+from roadbend.recovery.machines import ATTEMPT_TERM_BITS
+from roadbend.recovery.unrecorded import Decision, HeldAttempt, HeldAttempts
+
+if TYPE_CHECKING:
+    from roadbend.placement.leader import PartitionLeader
+
+log = Log("recovery")
+
+
+class AttemptHolder:
+    """Keeps a partition's machines from stopping attempts that the records may have lost."""
+
+    def __init__(
+        self, leader: PartitionLeader, held_attempts: HeldAttempts, judgement: Judgement
+    ) -> None:
+        self._leader, self._held_attempts, self._judgement = leader, held_attempts, judgement
+
+    def keeps(self, machine: Machine, task: TaskStatus, now: datetime) -> bool:
+        """Tell whether an unrecorded attempt is left alone, and hold it until that is decided."""
+        held = self._held_attempts.get(task.job, task.task_index, task.attempt, machine.id)
+        if held is not None:
+            held.shows_done = held.shows_done or task.cause == "done"
+            if task.state == "ended" and not held.shows_done:
+                self._held_attempts.remove(held)
+                return False
+            return held.decision is not Decision.STOP
+        if not self._may_be_lost(task):
+            return False
+        held = HeldAttempt(
+            job=task.job,
+            index=task.task_index,
+            attempt=task.attempt,
+            machine=machine.id,
+            since=now,
+            shows_done=task.state == "ended",
+        )
+        if not self._held_attempts.add(held):
+            return False
+        log.info("attempt-held", **self._log_fields(held))
+        return True
+
+    def _may_be_lost(self, task: TaskStatus) -> bool:
+        """Tell whether the records may have lost an attempt that they don't name.
+
+        They have not if they name another attempt of the task, or know it to be over.
+        """
+        context = self._leader.context
+        if task.state == "ended" and task.cause != "done":
+            return False
+        if task.job in context.cancellations.jobs:
+            return False
+        job = context.view.jobs.get(task.job)
+        if job is None:
+            return task.state != "ended"
+        return not self._judgement.is_superseded(job, task.task_index)
+
+    def drop_absent(self, machine: Machine, heartbeat: WorkerHeartbeat) -> None:
+        """Release what a machine's current heartbeat no longer shows."""
+        if not len(self._held_attempts):
+            return
+        shown = {(task.job, task.task_index, task.attempt) for task in heartbeat.tasks}
+        for held in self._held_attempts.all():
+            if held.machine == machine.id and (held.job, held.index, held.attempt) not in shown:
+                self.release(held, "gone")
+
+    def decide_all(self, now: datetime) -> None:
+        """Decide anew about every attempt that is held."""
+        for held in self._held_attempts.all():
+            if held.machine not in self._leader.machines:
+                self.release(held, "machine gone")
+                continue
+            before, held.decision = held.decision, self._judgement.decide(held, now)
+            if held.decision is before:
+                continue
+            log.info("held-attempt-decided", **self._log_fields(held), decision=held.decision)
+            if held.decision in (Decision.ADOPT, Decision.RECORD_DONE):
+                self._leader.wake_up.set()
+
+    def find_lost_write(self) -> HeldAttempt | None:
+        """Return an attempt that proves that the state store lost a write, if there is one.
+
+        It belongs to a live job, is of a former term, and no record names its task: an order never
+        goes out before its record is written.
+        """
+        term = self._leader.leadership.term
+        for held in self._held_attempts.all():
+            if self._leader.live(held.job) is not None and held.attempt >> ATTEMPT_TERM_BITS < term:
+                return held
+        return None
+
+    def release(self, held: HeldAttempt, reason: str) -> None:
+        """Cease to hold an attempt: it is recorded, or gone."""
+        leader = self._leader
+        self._held_attempts.remove(held)
+        leader.context.observer.recovery_settled(
+            leader.partition,
+            leader.leadership.term,
+            f"{held.job}/{held.index}",
+            held.machine,
+            reason,
+            held.since,
+        )
+        log.info("attempt-released", **self._log_fields(held), reason=reason)
+
+    def _log_fields(self, held: HeldAttempt) -> dict[str, str | int]:
+        return {
+            "partition": self._leader.partition,
+            "job": held.job,
+            "index": held.index,
+            "attempt": held.attempt,
+            "machine": held.machine,
+        }
--- a/roadbend/recovery/surroundings.py
+++ b/roadbend/recovery/environment.py
@@ -11,15 +11,15 @@
 
 
 @dataclass(frozen=True)
-class Surroundings:
-    """A controller, as the recovery of a partition sees it."""
+class RecoveryEnvironment:
+    """A controller, as the recovery of a partition sees it. Instants are steady."""
 
     settings: RecoverySettings
     inventory: CloudInventory
     # When the records were last read, and since when every live peer was heard.
-    records_read: Callable[[], datetime | None]
-    peers_heard: Callable[[], datetime | None]
+    records_read_at: Callable[[], datetime | None]
+    peers_heard_since: Callable[[], datetime | None]
     # Whether a job may be given machines.
     gate_is_open: Callable[[str], bool]
-    # Told once when machines show that the state service lost writes.
+    # Told once, with the partition, when machines show that the state store lost writes.
     note_lost_writes: Callable[[str], None]
--- a/roadbend/recovery/judgement.py
+++ b/roadbend/recovery/judgement.py
@@ -8,7 +8,7 @@
 
 from roadbend.fleet.machines import Machine
 from roadbend.placement import free_capacity
-from roadbend.recovery.surroundings import Surroundings
+from roadbend.recovery.environment import RecoveryEnvironment
 from roadbend.recovery.unrecorded import (
     Bounds,
     Decision,
@@ -31,23 +31,23 @@
     def __init__(
         self,
         leader: PartitionLeader,
-        around: Surroundings,
-        held: HeldAttempts,
+        environment: RecoveryEnvironment,
+        held_attempts: HeldAttempts,
         machines_known: Callable[[datetime], bool],
     ) -> None:
-        self._leader, self._around, self._held = leader, around, held
+        self._leader, self._environment, self._held_attempts = leader, environment, held_attempts
         self._machines_known = machines_known
 
     def decide(self, held: HeldAttempt, now: datetime) -> Decision:
         """What is done about an attempt now."""
-        settings = self._around.settings
+        settings = self._environment.settings
         bounds = Bounds(settings.answer_most, settings.late_write)
         return decide(self._facts(held, now), bounds)
 
     def _facts(self, held: HeldAttempt, now: datetime) -> Facts:
         leader = self._leader
         job, machine = leader.live(held.job), leader.machines.get(held.machine)
-        others = self._held.others(held)
+        others = self._held_attempts.others(held)
         stays = (
             machine is not None
             and machine.token.confirmed
@@ -56,8 +56,8 @@
             and not machine.lifecycle.fencing
         )
         return Facts(
-            records_read=_is_after(self._around.records_read(), held.since),
-            peers_heard=_is_after(self._around.peers_heard(), held.since),
+            records_read=_is_after(self._environment.records_read_at(), held.since),
+            peers_heard=_is_after(self._environment.peers_heard_since(), held.since),
             superseded=job is not None and self.is_superseded(job, held.index),
             job_lives=job is not None,
             job_over=True if held.job in leader.context.cancellations.jobs else held.job_over,
--- a/roadbend/recovery/test_recovery.py
+++ b/roadbend/recovery/test_recovery.py
@@ -263,7 +263,7 @@
         assert len(recorded_attempts(w.state)) == 2
 
 
-async def test_the_bound_on_gathering_does_not_make_machines_known():
+async def test_the_bound_on_gathering_does_not_makemachines_known():
     """After it an attempt was adopted though a machine that was not heard might have it too."""
     async with running(job(1, legs=2, yard="east", **SERVICE)) as w:
         stop_all(w)
@@ -272,8 +272,8 @@
         await trio.sleep(11)
         partition = w.controllers["node-0"].leaders["east"].recovery
         assert partition.phase.name != "gathering"
-        assert not partition._machines_known(clock.now())
-        assert partition._machines_known(partition._leases_over())
+        assert not partition.machines_known(clock.now())
+        assert partition.machines_known(partition.leases_over())
 
 
 async def test_the_gate_is_shut_again_where_another_part_learns_of_lost_writes():
@@ -300,7 +300,7 @@
         waiting = Job("run-000002", controller.view.jobs["run-000001"].spec, clock.wall())
         waiting = waiting.with_partition("east", ((0, 3),))
         assert leader.queue.unplaced(waiting) == ((0, 3),)
-        leader.recovery.held.add(held)
+        leader.recovery.held_attempts.add(held)
         assert leader.queue.unplaced(waiting) == ((0, 1), (2, 3))
         assert leader.queue.unplaced(waiting.as_gang()) == ()
         assert controller.context.recovery.holds_back("run-000002")
@@ -311,15 +311,15 @@
         leader = w.controllers["node-0"].leaders["east"]
         (machine,) = [m for m in leader.machines.values() if m.tasks]
         partition, now = leader.recovery, clock.now()
-        partition.held.add(HeldAttempt("run-000009", 0, 7, machine.id, now, False))
+        partition.held_attempts.add(HeldAttempt("run-000009", 0, 7, machine.id, now, False))
         heartbeat = WorkerHeartbeat(machine.id, "", "g2", "east", False, 1, 1, 0, None, (), [])
         # An older token proves presence only.
         machine.token.confirmed = False
         partition.note_heartbeat(machine, heartbeat, now)
-        assert len(partition.held) == 1
+        assert len(partition.held_attempts) == 1
         machine.token.confirmed = True
         partition.note_heartbeat(machine, heartbeat, now)
-        assert len(partition.held) == 0
+        assert len(partition.held_attempts) == 0
 
 
 async def test_a_submission_is_conditional_on_the_mark_of_an_unrecorded_job():
