--- a/roadbend/autoscaler/cloud.py
+++ b/roadbend/autoscaler/cloud.py
@@ -116,7 +116,7 @@
 
     def share(self, others: list[float]) -> None:
         self._bucket.measure()
-        self._bucket.lend(others)
+        self._bucket.borrow(others)
 
     async def _turn(self, rank: int) -> None:
         self._waiting[rank] += 1
@@ -150,7 +150,7 @@
         if status == 503 and isinstance(answer, dict) and answer.get("error") == "no capacity":
             raise NoCapacityError
         if status == 429:
-            self._bucket.drain()
+            self._bucket.empty()
         if status in (429, 503):
             raise CloudBusyError(str(status))
         if status != 200:
--- a/roadbend/partitions/records.py
+++ b/roadbend/partitions/records.py
@@ -4,12 +4,12 @@
 may wait for long, not even in an outage of the state store.
 """
 
+from collections.abc import Sequence
 from datetime import timedelta
-from typing import Any
 
 import trio
 
-from roadbend.store.client import StateStoreClient, commit
+from roadbend.store.client import Change, StateStoreClient, commit
 from roadbend.store.record_reader import RecordReader
 from roadbend.store.record_view import RecordView
 
@@ -27,7 +27,7 @@
     async def write(
         self,
         conditions: dict[str, int],
-        changes: list[dict[str, Any]],
+        changes: Sequence[Change],
         *,
         within: timedelta,
     ) -> None:
--- a/roadbend/placement/transaction.py
+++ b/roadbend/placement/transaction.py
@@ -7,7 +7,7 @@
 from roadbend.partitions.leadership import Leadership
 from roadbend.settings import PlatformSettings
 from roadbend.store import keys, records
-from roadbend.store.client import delete, put
+from roadbend.store.client import Change, delete, put
 from roadbend.store.record_view import RecordView
 from roadbend.store.records import Job, QuotaRecord, Resources, SliceShard, weigh
 
@@ -36,7 +36,7 @@
         )
         self._value = settings.value_bytes
         self.conditions: dict[str, int] = {keys.term_key(partition): leadership.mod_revision}
-        self.changes: dict[str, dict] = {}
+        self.changes: dict[str, Change] = {}
         self.slices: dict[str, SliceShard] = {}
         self.teams: dict[str, QuotaRecord] = {}
         # Attempts that this transaction takes out of the records, and what changes in the teams'
--- a/roadbend/recovery/service.py
+++ b/roadbend/recovery/service.py
@@ -19,6 +19,7 @@
 from roadbend.recovery.unrecorded import HeldAttempt
 from roadbend.store import keys
 from roadbend.store.client import (
+    Change,
     ConflictError,
     LeaseEndedError,
     RefusedError,
@@ -307,7 +308,7 @@
         return bool(partition.found) or partition.cold and bool(self._inherited)
 
     async def _write(
-        self, partition: PartitionRecovery, rows: list[dict], conditions: dict[str, int]
+        self, partition: PartitionRecovery, rows: list[Change], conditions: dict[str, int]
     ) -> bool:
         """One small transaction, on the term's stamp."""
         leader = partition.leader
--- a/roadbend/store/__init__.py
+++ b/roadbend/store/__init__.py
@@ -1,2 +1,1 @@
-"""The state service: its client, the budget of requests, the view of the records, the read
-barrier."""
+"""The state store: its client, the request budget, the record view, and the read barrier."""
--- a/roadbend/store/client.py
+++ b/roadbend/store/client.py
@@ -1,205 +1,225 @@
-"""The state service's client. Refused means certainly not carried out; NoAnswer means nobody
-knows."""
+"""The state store's client, and transactions repeated until the answer is definite."""
 
 import random
+from collections.abc import Mapping, Sequence
 from datetime import timedelta
 from typing import Any
-from urllib.parse import quote
 
 from roadbend import clock
-from roadbend.errors import RoadbendError
 from roadbend.http.client import Client, NoAnswerError
 from roadbend.retry import Backoff
+from roadbend.store import messages
+from roadbend.store.errors import (
+    ConflictError,
+    LeaseEndedError,
+    Operation,
+    RefusedError,
+    TooLargeError,
+    UnavailableError,
+)
+from roadbend.store.messages import (
+    Answer,
+    Change,
+    ChangeLog,
+    CompareAndSwap,
+    Delete,
+    Listing,
+    Put,
+    StoredRecord,
+    VersionedValue,
+)
 from roadbend.store.request_budget import RequestBudget
 
-
-class RefusedError(RoadbendError):
-    """Not executed: an outage, or over the limits."""
-
-
-class LeaseEndedError(RoadbendError):
-    """The lease has ended."""
-
-
-class ConflictError(RoadbendError):
-    """A condition of the transaction does not hold."""
-
-    def __init__(self, failed: list[str]):
-        super().__init__(",".join(failed))
-        self.failed = failed
-
-
-def _whole(value: Any) -> int:
-    if not isinstance(value, int) or isinstance(value, bool) or value < 0:
-        raise NoAnswerError("nonsense: not a whole number")
-    return value
+__all__ = [
+    "Change",
+    "ConflictError",
+    "LeaseEndedError",
+    "RefusedError",
+    "StateStoreClient",
+    "TooLargeError",
+    "UnavailableError",
+    "commit",
+    "delete",
+    "put",
+]
+
+REQUEST_TIMEOUT = timedelta(seconds=1.5)
+# How much of an answer an error shows.
+SHOWN_CHARACTERS = 120
+# The waits between tries of one transaction.
+FIRST_WAIT, LONGEST_WAIT = timedelta(milliseconds=40), timedelta(milliseconds=500)
 
 
 class StateStoreClient:
-    """The interface of the state service."""
+    """The interface of the state store.
+
+    Every request may raise RefusedError, which means that it was not carried out, and
+    NoAnswerError, which means that nobody knows. Requests that are not urgent wait until the
+    request budget permits them.
+    """
 
     def __init__(
         self,
         client: Client,
         budget: RequestBudget,
-        within: timedelta = timedelta(seconds=1.5),
+        within: timedelta = REQUEST_TIMEOUT,
         rng: random.Random | None = None,
-    ):
-        self._client = client
+    ) -> None:
+        """Make a client; `within` is how long an answer is waited for."""
         self.rng = rng or random.Random()
+        self._client = client
         self._budget = budget
         self._within = within
 
     async def ready(self) -> None:
-        """Until the budget would let a change go out at once."""
+        """Wait until the budget would let a change go out at once."""
         await self._budget.ready()
 
-    async def _call(
-        self,
-        method: str,
-        target: str,
-        body: Any = None,
-        *,
-        writes: int = 0,
-        urgent: bool = False,
-        first: bool = False,
-    ):
-        await self._budget.take(writes, urgent, first)
-        status, answer = await self._client.request(method, target, body, within=self._within)
-        if status == 429:
-            self._budget.push_back(writes > 0)
-            raise RefusedError("429")
-        if status == 503:
-            raise RefusedError("503")
-        return status, answer
-
-    async def get(self, key: str) -> tuple[Any, int] | None:
-        # Somebody waits for it: a user asks after a job that is over.
-        status, answer = await self._call("GET", f"/keys/{quote(key, safe='/%')}", urgent=True)
-        if status == 404:
-            return None
-        if status != 200 or not isinstance(answer, dict) or "value" not in answer:
-            raise NoAnswerError(f"nonsense: {status}")
-        return answer["value"], _whole(answer.get("stamp"))
-
-    async def read_all(self, prefix: str) -> tuple[list[tuple[str, Any, int]], int]:
-        """All of it, and the revision from which to follow (the first page's, so nothing is
-        missed)."""
-        rows, after, revision = [], "", None
+    async def get(self, key: str) -> VersionedValue | None:
+        """Read one key; None if there is none.
+
+        It is urgent: a user waits for it, who asks about a job that is over.
+        """
+        answer = await self._request(
+            Operation.GET, "GET", messages.key_target(key), keys=(key,), urgent=True
+        )
+        return messages.read_value(answer)
+
+    async def read_all(self, prefix: str) -> Listing:
+        """Read all keys with a prefix.
+
+        The revision is the first page's, so that who follows from there misses nothing.
+        """
+        records: list[StoredRecord] = []
+        after, revision = "", None
         while True:
-            target = f"/keys?starts={quote(prefix, safe='')}&most=500"
-            if after:
-                target += f"&after={quote(after, safe='')}"
-            status, answer = await self._call("GET", target)
-            if (
-                status != 200
-                or not isinstance(answer, dict)
-                or not isinstance(answer.get("entries"), list)
-            ):
-                raise NoAnswerError(f"nonsense: {status}")
+            target = messages.list_target(prefix, after)
+            answer = await self._request(Operation.LIST, "GET", target, keys=(prefix,))
+            page, more = messages.read_page(answer)
             if revision is None:
-                revision = _whole(answer.get("ledger"))
-            for row in answer["entries"]:
-                if not isinstance(row, dict) or not isinstance(row.get("path"), str):
-                    raise NoAnswerError("nonsense: entry")
-                rows.append((row["path"], row.get("value"), _whole(row.get("stamp"))))
-            if not answer.get("more"):
-                return rows, revision
-            if not answer["entries"]:
-                raise NoAnswerError("nonsense: more of nothing")
-            after = rows[-1][0]
-
-    async def follow(self, prefix: str, after: int) -> tuple[list[dict], int] | None:
-        """What changed after a revision; None when that revision is too old."""
-        status, answer = await self._call(
-            "GET", f"/follow?starts={quote(prefix, safe='')}&after={after}&holdMs=0", urgent=True
-        )
-        if status == 410:
-            return None
-        if status != 200 or not isinstance(answer, dict):
-            raise NoAnswerError(f"nonsense: {status}")
-        events = answer.get("log") or []
-        if not isinstance(events, list) or not all(isinstance(e, dict) for e in events):
-            raise NoAnswerError("nonsense: log")
-        return events, _whole(answer.get("ledger"))
+                revision = messages.read_revision(answer)
+            records += page
+            if not more:
+                return Listing(records, revision)
+            after = records[-1].key
+
+    async def follow(self, prefix: str, after: int) -> ChangeLog | None:
+        """Read what changed after a revision; None if the change log no longer goes back so far."""
+        target = messages.follow_target(prefix, after)
+        answer = await self._request(Operation.FOLLOW, "GET", target, keys=(prefix,), urgent=True)
+        return messages.read_change_log(answer)
 
     async def compare_and_swap(
-        self,
-        conditions: dict[str, int],
-        changes: list[dict],
-        urgent: bool = False,
-        first: bool = False,
+        self, conditions: Mapping[str, int], changes: Sequence[Change], *, urgent: bool = False
     ) -> int:
-        body = {"when": [{"path": k, "stamp": v} for k, v in conditions.items()], "apply": changes}
-        status, answer = await self._call(
-            "POST", "/multi", body, writes=len(changes), urgent=urgent, first=first
+        """Carry out changes if all conditions hold, mod revisions by key; return the revision.
+
+        Raises ConflictError, LeaseEndedError or TooLargeError if certainly nothing was changed.
+        """
+        transaction = CompareAndSwap.of(conditions, changes)
+        answer = await self._request(
+            Operation.COMPARE_AND_SWAP,
+            "POST",
+            messages.COMPARE_AND_SWAP_TARGET,
+            transaction.to_map(),
+            keys=transaction.keys,
+            writes=len(changes),
+            urgent=urgent,
         )
-        if status == 200 and isinstance(answer, dict):
-            return _whole(answer.get("ledger"))
-        if status == 409 and isinstance(answer, dict):
-            raise ConflictError([str(k) for k in answer.get("failed") or []])
-        if status == 400 and isinstance(answer, dict) and answer.get("error") == "no such lease":
-            raise LeaseEndedError("write")
-        if status == 400:
-            # Nothing else that we send is malformed: a value, or the whole, is larger than the
-            # service takes now.
-            raise TooLargeError(str(answer)[:120])
-        raise NoAnswerError(f"nonsense: {status} {answer!r}"[:200])
+        return _read_swapped(answer)
 
     async def lease(self, ttl: timedelta) -> int:
-        status, answer = await self._call(
-            "POST", "/leases", {"ttlMs": round(ttl.total_seconds() * 1000)}, urgent=True
+        """Get a new lease, which expires if it is not renewed in time; return its id."""
+        answer = await self._request(
+            Operation.GRANT_LEASE,
+            "POST",
+            messages.LEASES_TARGET,
+            messages.lease_request(ttl),
+            urgent=True,
         )
-        if status != 200 or not isinstance(answer, dict):
-            raise NoAnswerError(f"nonsense: {status}")
-        return _whole(answer.get("permit"))
+        return messages.read_lease(answer)
 
     async def renew(self, lease_id: int) -> None:
-        status, _ = await self._call("POST", f"/leases/{lease_id}/renew", {}, urgent=True)
-        if status == 404:
-            raise LeaseEndedError("renew")
-        if status != 200:
-            raise NoAnswerError(f"nonsense: {status}")
-
+        """Renew a lease; raises LeaseEndedError if it has expired."""
+        answer = await self._request(
+            Operation.RENEW_LEASE, "POST", messages.renew_target(lease_id), {}, urgent=True
+        )
+        if answer.status == messages.NOT_FOUND:
+            raise LeaseEndedError("renew", Operation.RENEW_LEASE)
+        if answer.status != messages.OK:
+            raise answer.malformed(str(answer.status))
 
-def put(key: str, value: Any, lease_id: int | None = None) -> dict:
-    row = {"write": key, "value": value}
-    if lease_id is not None:
-        row["permit"] = lease_id
-    return row
+    async def _request(
+        self,
+        operation: Operation,
+        method: str,
+        target: str,
+        body: Any = None,
+        *,
+        keys: tuple[str, ...] = (),
+        writes: int = 0,
+        urgent: bool = False,
+    ) -> Answer:
+        """Send a request once the budget permits it."""
+        await self._budget.take(writes, urgent=urgent)
+        status, answer = await self._client.request(method, target, body, within=self._within)
+        if status == messages.TOO_MANY_REQUESTS:
+            self._budget.push_back(writing=writes > 0)
+        if status in (messages.TOO_MANY_REQUESTS, messages.UNAVAILABLE):
+            raise RefusedError(str(status), operation, keys)
+        return Answer(operation, keys, status, answer)
 
 
-def delete(key: str) -> dict:
-    return {"delete": key}
+def _read_swapped(answer: Answer) -> int:
+    """Return the revision at which a transaction was carried out, or raise why it was not."""
+    if answer.status == messages.OK and isinstance(answer.body, dict):
+        return messages.read_revision(answer)
+    if answer.status == messages.CONFLICT and isinstance(answer.body, dict):
+        raise ConflictError(messages.read_failed_keys(answer))
+    if messages.says_no_such_lease(answer):
+        raise LeaseEndedError("write", answer.operation, answer.keys)
+    if answer.status == messages.BAD_REQUEST:
+        # Nothing else that we send is malformed: a value, or the whole, is larger than the state
+        # store takes now.
+        raise TooLargeError(str(answer.body)[:SHOWN_CHARACTERS], answer.operation, answer.keys)
+    raise answer.malformed(f"{answer.status} {answer.body!r}"[:SHOWN_CHARACTERS])
 
 
-class UnavailableError(RoadbendError):
-    """The state service gave no definite answer in time."""
+def put(key: str, value: Any, lease_id: int | None = None) -> Change:
+    """Return the change that writes a key; with a lease the key is deleted when that expires."""
+    return Put(key, value, lease_id)
 
 
-class TooLargeError(UnavailableError):
-    """Certainly not carried out, and the same would not be later."""
+def delete(key: str) -> Change:
+    """Return the change that deletes a key."""
+    return Delete(key)
 
 
 async def commit(
     state: StateStoreClient,
-    conditions: dict[str, int],
-    changes: list[dict],
+    conditions: Mapping[str, int],
+    changes: Sequence[Change],
     *,
     within: timedelta,
     urgent: bool = False,
-    first: bool = False,
 ) -> int:
-    """Repeats one transaction until the answer is definite. Its conditions make that safe: once it
-    has been applied they no longer hold. So a Conflict after an unanswered try may be our own
-    success, and a caller that gets one always reads the records again before it goes on."""
+    """Repeat one transaction until the answer is definite; return the revision.
+
+    The conditions make that safe: once it has been carried out they no longer hold. So a
+    ConflictError after a try without an answer may be our own success, and a caller that gets one
+    always reads the records again before it goes on.
+
+    Raises ConflictError, LeaseEndedError or TooLargeError for a definite no, and UnavailableError
+    if there is no definite answer in time.
+    """
     deadline = clock.now() + within
-    waits = Backoff(timedelta(milliseconds=40), timedelta(milliseconds=500), state.rng)
+    waits = Backoff(FIRST_WAIT, LONGEST_WAIT, state.rng)
     while True:
         try:
-            return await state.compare_and_swap(conditions, changes, urgent, first)
+            return await state.compare_and_swap(conditions, changes, urgent=urgent)
         except (RefusedError, NoAnswerError) as error:
             wait = waits.next()
             if clock.now() + wait >= deadline:
-                raise UnavailableError(str(error)) from None
+                keys = tuple(change.key for change in changes)
+                raise UnavailableError(str(error), Operation.COMPARE_AND_SWAP, keys) from None
         await clock.pause(wait)
--- a/roadbend/store/mod_revisions.py
+++ b/roadbend/store/mod_revisions.py
@@ -21,12 +21,16 @@
 
     def is_news(self, key: str, mod_revision: int) -> bool:
         """Return whether a change of a key is newer than all that are known of it."""
-        return mod_revision > self._live.get(key, 0) and mod_revision > self._deleted.get(key, 0)
+        if mod_revision <= self._live.get(key, 0):
+            return False
+        # Most of the time nothing was deleted lately.
+        return not self._deleted or mod_revision > self._deleted.get(key, 0)
 
     def put(self, key: str, mod_revision: int) -> None:
         """Note that a key was written."""
         self._live[key] = mod_revision
-        self._deleted.pop(key, None)
+        if self._deleted:
+            self._deleted.pop(key, None)
 
     def delete(self, key: str, mod_revision: int) -> bool:
         """Note that a key was deleted; return whether it was known to be live."""
--- a/roadbend/store/record_reader.py
+++ b/roadbend/store/record_reader.py
@@ -1,4 +1,4 @@
-"""Reading the records: keeps a controller's view of them fresh."""
+"""Keeps a controller's record view fresh, and the read barrier."""
 
 from datetime import datetime
 
@@ -15,71 +15,85 @@
 
 log = Log("store")
 
+# Of the reads that fail one after the other, these and every hundredth are logged.
+LOGGED_FAILURES = (1, 10)
+LOGGED_EVERY = 100
+
 
 class RecordReader:
-    """Keeps the view fresh. One read serves everyone who waits when it begins."""
+    """Reads what changed in the state store; one read serves everyone who waits when it begins."""
 
-    def __init__(self, view: RecordView, state: StateStoreClient, operator: OperatorSettings):
+    def __init__(
+        self, view: RecordView, state: StateStoreClient, operator: OperatorSettings
+    ) -> None:
         self.view = view
+        # When the last read that was answered was sent: the view holds all that was written before.
+        self.contact: datetime | None = None
+        # How many reads in a row have failed.
+        self.refusals = 0
         self._state = state
         self._operator = operator
         self._wanted = trio.Event()
+        # Reads are numbered from 1; the last that began, and the last that was answered.
         self._begun = 0
         self._ended = 0
-        self._turn = trio.Condition()
-        # The sending time of the last read that was answered: the view holds all that was written
-        # before.
-        self.contact: datetime | None = None
-        self.refusals = 0
+        self._answered = trio.Condition()
 
     async def read_barrier(self) -> None:
-        """Returns when a read has ended that began after this call; the caller sets the time
-        limit."""
-        want = self._begun + 1
+        """Wait until a read has ended that began after this call.
+
+        It waits as long as that takes; the caller sets the time limit.
+        """
+        number = self._begun + 1
         self._wanted.set()
-        async with self._turn:
-            while self._ended < want:
-                await self._turn.wait()
+        async with self._answered:
+            while self._ended < number:
+                await self._answered.wait()
 
     async def run(self) -> None:
-        pause, waits = (
-            clock.ZERO,
-            Backoff(self._operator.sync_gap, self._operator.sync_every, self._state.rng),
-        )
+        """Read whenever somebody waits, with a gap between reads, and at least every so often."""
+        extra_wait = clock.ZERO
+        operator = self._operator
+        backoff = Backoff(operator.sync_gap, operator.sync_every, self._state.rng)
+        idle_s = max(0.0, (operator.sync_every - operator.sync_gap).total_seconds())
         while True:
-            with trio.move_on_after(
-                max(0.0, (self._operator.sync_every - self._operator.sync_gap).total_seconds())
-            ):
+            with trio.move_on_after(idle_s):
                 await self._wanted.wait()
-            await clock.pause(self._operator.sync_gap + pause)
+            await clock.pause(operator.sync_gap + extra_wait)
             self._wanted = trio.Event()
             self._begun += 1
-            mine, sent = self._begun, clock.now()
+            number, sent = self._begun, clock.now()
             try:
                 await self._read()
             except (RefusedError, NoAnswerError) as error:
-                self.refusals += 1
-                if self.refusals in (1, 10) or self.refusals % 100 == 0:
-                    log.error(
-                        "state-store-unavailable", error=str(error)[:80], failures=self.refusals
-                    )
-                pause = waits.next()
+                self._note_failure(error)
+                extra_wait = backoff.next()
                 continue
-            if self.refusals > 1:
-                log.info("state-store-recovered", after_failures=self.refusals)
-            waits.reset()
-            pause, self.refusals, self.contact = clock.ZERO, 0, sent
-            async with self._turn:
-                self._ended = max(self._ended, mine)
-                self._turn.notify_all()
+            self._note_success(sent)
+            backoff.reset()
+            extra_wait = clock.ZERO
+            async with self._answered:
+                self._ended = max(self._ended, number)
+                self._answered.notify_all()
+
+    def _note_failure(self, error: Exception) -> None:
+        self.refusals += 1
+        if self.refusals in LOGGED_FAILURES or self.refusals % LOGGED_EVERY == 0:
+            log.error("state-store-unavailable", error=str(error)[:80], failures=self.refusals)
+
+    def _note_success(self, sent: datetime) -> None:
+        if self.refusals > 1:
+            log.info("state-store-recovered", after_failures=self.refusals)
+        self.refusals, self.contact = 0, sent
 
     async def _read(self) -> None:
+        """Read what changed since the last read, or everything if there was none lately enough."""
         if self.view.loaded:
-            news = await self._state.follow(keys.LIVE, self.view.revision)
-            if news is not None:
-                self.view.events(*news)
+            change_log = await self._state.follow(keys.LIVE, self.view.revision)
+            if change_log is not None:
+                self.view.events(change_log.events, change_log.revision)
                 return
             log.info("change-log-compacted", revision=self.view.revision)
-        rows, revision = await self._state.read_all(keys.LIVE)
-        self.view.load(rows, revision)
-        log.info("records-loaded", count=len(rows), revision=revision)
+        listing = await self._state.read_all(keys.LIVE)
+        self.view.load(listing.records, listing.revision)
+        log.info("records-loaded", count=len(listing.records), revision=listing.revision)
--- a/roadbend/store/record_view.py
+++ b/roadbend/store/record_view.py
@@ -6,15 +6,15 @@
 """
 
 import threading
-from collections.abc import Callable
+from collections.abc import Callable, Collection, Iterable
 from typing import Any
 
-from roadbend.http.client import NoAnswerError
 from roadbend.log import Log
 from roadbend.store import keys
 from roadbend.store.attempt_index import MachineAttempts
 from roadbend.store.job_slice import JobSlice
 from roadbend.store.live_records import LiveRecords
+from roadbend.store.messages import Change, ChangeEvent, Put, StoredRecord
 from roadbend.store.mod_revisions import ModRevisions
 
 __all__ = ["JobSlice", "MachineAttempts", "RecordView"]
@@ -71,7 +71,7 @@
             self.version += 1
         self._tell(key)
 
-    def applied(self, changes: list[dict], revision: int) -> None:
+    def applied(self, changes: Iterable[Change], revision: int) -> None:
         """Take in the changes of our own transaction, which was carried out at a revision.
 
         An answer that comes after the log has passed that revision is old news: applying it could
@@ -79,35 +79,33 @@
         """
         if revision <= self.revision:
             return
-        for row in changes:
-            if "write" in row:
-                if row["write"].startswith(keys.LIVE):
-                    self.put(row["write"], row["value"], revision)
-            elif row["delete"].startswith(keys.LIVE):
-                self.drop(row["delete"], revision)
-
-    def events(self, rows: list[dict], revision: int) -> None:
+        for change in changes:
+            if not change.key.startswith(keys.LIVE):
+                continue
+            if isinstance(change, Put):
+                self.put(change.key, change.value, revision)
+            else:
+                self.drop(change.key, revision)
+
+    def events(self, events: Iterable[ChangeEvent], revision: int) -> None:
         """Take in a piece of the change log that ends at a revision."""
-        for row in rows:
-            mod_revision = row.get("stamp")
-            if not isinstance(mod_revision, int):
-                raise NoAnswerError("nonsense: stamp")
-            if isinstance(row.get("write"), str):
-                self.put(row["write"], row.get("value"), mod_revision)
-            elif isinstance(row.get("delete"), str):
-                self.drop(row["delete"], mod_revision)
+        for event in events:
+            if isinstance(event, StoredRecord):
+                self.put(*event)
+            else:
+                self.drop(*event)
         with self.lock:
             self.revision = max(self.revision, revision)
             self._mod_revisions.forget_deleted(self.revision)
 
-    def load(self, rows: list[tuple[str, Any, int]], revision: int) -> None:
-        """Take in everything read anew: key, value and mod revision of each live record.
+    def load(self, records: Collection[StoredRecord], revision: int) -> None:
+        """Take in everything read anew, as listed at a revision.
 
         What is not listed, and not newer than the listing, has been deleted.
         """
-        for key, value, mod_revision in rows:
-            self.put(key, value, mod_revision)
-        listed = {key for key, _, _ in rows}
+        for record in records:
+            self.put(record.key, record.value, record.mod_revision)
+        listed = {record.key for record in records}
         for key in self._mod_revisions.unlisted(listed, revision):
             self.drop(key, revision)
         with self.lock:
--- a/roadbend/store/test_store.py
+++ b/roadbend/store/test_store.py
@@ -15,7 +15,24 @@
 from roadbend.intake.messages import read_submission
 from roadbend.settings import OperatorSettings
 from roadbend.store import keys
-from roadbend.store.client import ConflictError, StateStoreClient, commit, delete, put
+from roadbend.store.client import (
+    ConflictError,
+    LeaseEndedError,
+    RefusedError,
+    StateStoreClient,
+    commit,
+    delete,
+    put,
+)
+from roadbend.store.errors import MalformedAnswerError, Operation, Outcome, TooLargeError
+from roadbend.store.messages import (
+    Answer,
+    ChangeLog,
+    CompareAndSwap,
+    DeletedRecord,
+    StoredRecord,
+    read_change_log,
+)
 from roadbend.store.record_reader import RecordReader
 from roadbend.store.record_view import RecordView
 from roadbend.store.records import Attempt, Job, QuotaRecord, Resources, SliceShard
@@ -83,7 +100,7 @@
         nursery.start_soon(reader.run)
         await reader.read_barrier()
         desk.service.compare_and_swap(
-            {"apply": [put(keys.term_key("east"), {"n": 4, "node": "b"})]}
+            {"apply": [put(keys.term_key("east"), {"n": 4, "node": "b"}).to_map()]}
         )
         await reader.read_barrier()
         assert view.terms["east"].number == 4
@@ -100,19 +117,29 @@
     view = RecordView()
     view.load([], 0)
     key = keys.term_key("east")
-    view.events(
-        [{"write": key, "value": {"n": 1, "node": "a"}, "stamp": 5}, {"delete": key, "stamp": 6}], 6
-    )
+    view.events([StoredRecord(key, {"n": 1, "node": "a"}, 5), DeletedRecord(key, 6)], 6)
     view.applied([put(key, {"n": 1, "node": "a"})], 5)
     assert "east" not in view.terms
     view.applied([put(key, {"n": 2, "node": "a"})], 9)
-    view.events([{"delete": key, "stamp": 8}], 9)
+    view.events([DeletedRecord(key, 8)], 9)
     assert view.terms["east"].number == 2
     view.applied([delete(key)], 11)
-    view.events([{"write": key, "value": {"n": 2, "node": "a"}, "stamp": 9}], 10)
+    view.events([StoredRecord(key, {"n": 2, "node": "a"}, 9)], 10)
     assert "east" not in view.terms
 
 
+def changes_after(service: FakeStateService, revision: int) -> ChangeLog:
+    """Read what the service's log has after a revision, as the client does."""
+    rows = [row for _, row in service.log if row["stamp"] > revision]
+    found = read_change_log(answer({"ledger": service.revision, "log": rows}, Operation.FOLLOW))
+    assert found is not None
+    return found
+
+
+def answer(body, operation=Operation.GET, status=200) -> Answer:
+    return Answer(operation, ("r/",), status, body)
+
+
 async def test_a_view_fed_in_any_order_ends_like_the_service():
     rng = random.Random(5)
     service, view = FakeStateService(clock=lambda: 0.0), RecordView()
@@ -120,12 +147,12 @@
     for _ in range(300):
         key = keys.term_key(f"p{rng.randrange(6)}")
         row = delete(key) if rng.random() < 0.3 else put(key, {"n": rng.randrange(99), "node": "a"})
-        revision = service.compare_and_swap({"apply": [row]}).body["ledger"]
+        revision = service.compare_and_swap({"apply": [row.to_map()]}).body["ledger"]
         if rng.random() < 0.5:
             view.applied([row], revision)
         if rng.random() < 0.3:
-            view.events([e for _, e in service.log if e["stamp"] > view.revision], service.revision)
-    view.events([e for _, e in service.log if e["stamp"] > view.revision], service.revision)
+            view.events(*changes_after(service, view.revision))
+    view.events(*changes_after(service, view.revision))
     want = {keys.term_key(partition): term.number for partition, term in view.terms.items()}
     assert want == {key: row[0]["n"] for key, row in service.keys.items()}
 
@@ -177,3 +204,64 @@
     for _ in range(50):
         await budget.take(1, True)
     assert trio.current_time() == began
+
+
+def test_a_transaction_is_sent_as_the_protocol_says():
+    transaction = CompareAndSwap.of(
+        {"a/b": 0, "c": 7}, [put("a/b", {"x": 1}, 7), put("c", None), delete("c/d")]
+    )
+    assert transaction.to_map() == {
+        "when": [{"path": "a/b", "stamp": 0}, {"path": "c", "stamp": 7}],
+        "apply": [
+            {"write": "a/b", "value": {"x": 1}, "permit": 7},
+            {"write": "c", "value": None},
+            {"delete": "c/d"},
+        ],
+    }
+    assert transaction.keys == ("a/b", "c", "c/d")
+
+
+def test_the_change_log_is_taken_in_up_to_what_cannot_be_read():
+    rows = [
+        {"write": keys.term_key("east"), "value": {"n": 1, "node": "a"}, "stamp": 1},
+        {"renamed": "r/term/west", "stamp": 2},
+        {"write": keys.term_key("north"), "value": {"n": 1, "node": "a"}},
+    ]
+    view, found = RecordView(), read_change_log(answer({"ledger": 3, "log": rows}))
+    assert found is not None
+    with pytest.raises(MalformedAnswerError, match="nonsense: stamp") as caught:
+        view.events(*found)
+    assert caught.value.outcome is Outcome.UNKNOWN and caught.value.keys == ("r/",)
+    assert view.terms.keys() == {"east"} and view.revision == 0
+    assert read_change_log(answer(None, Operation.FOLLOW, 410)) is None
+
+
+class Refusing:
+    """A connection to a state store that gives the same answer to everything."""
+
+    def __init__(self, status, body):
+        self.answer = status, body
+
+    async def request(self, _method, _target, _body=None, *, within):
+        return self.answer
+
+
+@pytest.mark.parametrize(
+    "status, body, kind, outcome",
+    [
+        (429, None, RefusedError, Outcome.TRY_LATER),
+        (503, {"error": "trouble"}, RefusedError, Outcome.TRY_LATER),
+        (409, {"failed": ["r/job/x"], "ledger": 4}, ConflictError, Outcome.NOT_CARRIED_OUT),
+        (400, {"error": "no such lease"}, LeaseEndedError, Outcome.NOT_CARRIED_OUT),
+        (400, {"error": "too large"}, TooLargeError, Outcome.NOT_CARRIED_OUT),
+        (200, {"ledger": True}, MalformedAnswerError, Outcome.UNKNOWN),
+        (500, None, MalformedAnswerError, Outcome.UNKNOWN),
+    ],
+)
+async def test_an_error_says_what_failed_and_what_is_known_of_it(status, body, kind, outcome):
+    state = StateStoreClient(Refusing(status, body), RequestBudget(1000, 1000, 1))
+    with pytest.raises(kind) as caught:
+        await state.compare_and_swap({"r/job/x": 0}, [put("r/job/x", 1)])
+    error = caught.value
+    assert type(error) is kind and error.outcome is outcome
+    assert (error.operation, error.keys) == (Operation.COMPARE_AND_SWAP, ("r/job/x",))
--- a/roadbend/test_growth.py
+++ b/roadbend/test_growth.py
@@ -398,7 +398,9 @@
             late = {
                 "when": [{"path": keys.controller_key("node-0"), "stamp": mod_revision}],
                 "apply": [
-                    put(keys.controller_key("node-0"), {"boot": controller.incarnation}, lease_id)
+                    put(
+                        keys.controller_key("node-0"), {"boot": controller.incarnation}, lease_id
+                    ).to_map()
                 ],
             }
             assert w.state.compare_and_swap(late).status != 200
--- a/roadbend/test_ran_twice.py
+++ b/roadbend/test_ran_twice.py
@@ -17,7 +17,7 @@
 from roadbend.placement import ends
 from roadbend.placement.transaction import TransactionBuilder
 from roadbend.settings import Team
-from roadbend.store.client import ConflictError
+from roadbend.store.client import ConflictError, delete, put
 from roadbend.store.record_view import RecordView
 from roadbend.store.records import Attempt, Resources, SliceShard
 
@@ -280,13 +280,13 @@
     for order in ((taking, giving), (giving, taking)):
         view = RecordView()
         view.put(wide.key, wide.to_value(), 5)
-        view.applied([{"write": row.key, "value": row.to_value()} for row in order], 9)
+        view.applied([put(row.key, row.to_value()) for row in order], 9)
         work = view.job_slices["east"]["run-000001"]
         assert work.attempts == wide.attempts and view.usage["east"]["red"] == (2, 2)
         assert view.attempts_by_machine["east"].keys() == {"m-1", "m-2"}
         assert [work.shard_of(index, 102) for index in (0, 200)] == [0, 1]
         # It is in one record now, and gone with that one.
-        view.applied([{"delete": taking.key}], 10)
+        view.applied([delete(taking.key)], 10)
         assert work.attempts == giving.attempts and view.attempts_by_machine["east"].keys() == {
             "m-1"
         }
--- a/roadbend/test_scenarios.py
+++ b/roadbend/test_scenarios.py
@@ -387,7 +387,7 @@
             put(keys.slice_key("east", name, 0), piece.to_value()),
             put(keys.team_key("red"), {"east": [cpus, max(gpus, 2)]}),
         ]
-        assert w.state.compare_and_swap({"apply": rows}).status == 200
+        assert w.state.compare_and_swap({"apply": [row.to_map() for row in rows]}).status == 200
         w.board.lengths[name] = 5.0
         await trio.sleep(4)
         w.start(0)
