--- a/roadbend/controller/controller.py
+++ b/roadbend/controller/controller.py
@@ -9,7 +9,7 @@
 
 from roadbend.autoscaler.cloud import Cloud
 from roadbend.autoscaler.service import Autoscaler
-from roadbend.bidding.requester import Requester
+from roadbend.bidding.service import Bidding
 from roadbend.controller.availability import Availability
 from roadbend.controller.cancellations import CancellationPropagation, ConfirmedCancellations
 from roadbend.controller.heartbeats import PeerExchange
@@ -23,6 +23,7 @@
 from roadbend.http.server import Request, Response, Server
 from roadbend.intake.limit import AdaptiveLimit
 from roadbend.intake.users import JobApi
+from roadbend.listen_address import listen_address
 from roadbend.log import Log
 from roadbend.partitions.election import LeaderElection
 from roadbend.peers import frames
@@ -47,15 +48,13 @@
 # heartbeats.
 STALE_INTERVALS = 2.5
 STALE_MARGIN = timedelta(seconds=4)
-# How many requesters ask for bids at the same time.
-REQUESTERS = 4
 
 
 class Controller:
     """A controller: its parts, wired together."""
 
     # What the controller understands beyond version 2 of the frames; its incarnation ends with it.
-    DIALECT = frames.GANGS
+    EXTENSIONS = frames.GANGS_EXTENSION
 
     def __init__(
         self,
@@ -65,7 +64,7 @@
         rng: random.Random,
         incarnation: str | None = None,
     ) -> None:
-        self.incarnation = (incarnation or secrets.token_hex(6)) + self.DIALECT
+        self.incarnation = (incarnation or secrets.token_hex(6)) + self.EXTENSIONS
         self._net = net
         self._budget = RequestBudget(
             settings.state_rps,
@@ -83,7 +82,7 @@
         leaders: dict[str, PartitionLeader] = {}
         self.fleet = Fleet(self.context, net, self.cloud, self.peers, leaders)
         self.autoscaler = Autoscaler(self.context, self.cloud, self.fleet, leaders, rng)
-        self.requester = Requester(self.context, self.peers, leaders, self.autoscaler.closed, rng)
+        self.bidding = Bidding(self.context, self.peers, leaders, self.autoscaler.closed, rng)
         self._partition_leaders = PartitionLeaders(
             self.context, self.fleet, self.autoscaler, leaders
         )
@@ -92,7 +91,7 @@
         self._availability = Availability(self.context, self.peers)
         self._router = self._make_router(cancellations)
         self._server = self._make_server(settings)
-        self.peers.handlers[frames.PING] = self._exchange.on_call
+        self.peers.handlers[frames.FrameKind.HEARTBEAT] = self._exchange.on_call
         self.view.watchers.append(self._partition_leaders.on_record)
         self.election.changed.append(self._partition_leaders.on_leadership)
         # What else runs as long as the controller does, such as recovery where it is switched on.
@@ -140,7 +139,7 @@
         )
         users = JobApi(
             self.context,
-            self.requester.submit,
+            self.bidding.requester.submit,
             cancellations.add,
             propagation.propagate,
             self._availability.state_refuses_only_us,
@@ -212,8 +211,10 @@
         )
         async with trio.open_nursery() as nursery:
             self._partition_leaders.start_in(nursery)
-            await nursery.start(self._net.listen, self.settings.listen, self._server.serve)
-            await nursery.start(self._net.listen, self.settings.back, self.peers.serve)
+            with listen_address("client_listen"):
+                await nursery.start(self._net.listen, self.settings.listen, self._server.serve)
+            with listen_address("back"):
+                await nursery.start(self._net.listen, self.settings.back, self.peers.serve)
             for link in self.peers.links.values():
                 nursery.start_soon(link.run, self._exchange)
             self._start_work(nursery)
@@ -232,7 +233,4 @@
         nursery.start_soon(self.fleet.failure_detector.watch, nursery)
         nursery.start_soon(reachability.watch)
         nursery.start_soon(share_rates, self.peers, self._budget, self.cloud)
-        nursery.start_soon(self.requester.run_rebid)
-        nursery.start_soon(self.requester.run_reoffer)
-        for _ in range(REQUESTERS):
-            nursery.start_soon(self.requester.run_worker)
+        self.bidding.start(nursery)
--- a/roadbend/recovery/machines.py
+++ b/roadbend/recovery/machines.py
@@ -67,10 +67,10 @@
 
     def _presence(self, name: str) -> Presence:
         leader, inventory = self._leader, self._inventory
-        if name in leader.context.deleted:
+        if name in leader.context.deleted_machines.ids:
             return Presence.GONE
         machine = leader.machines.get(name)
-        if machine is not None and machine.token_confirmed:
+        if machine is not None and machine.token.confirmed:
             return Presence.HEARD
         row = inventory.rows.get(name)
         if row is None:
@@ -86,13 +86,13 @@
         differing, matching = [], 0
         for name, rows in leader.by_machine().items():
             machine = leader.machines.get(name)
-            if machine is not None and machine.token_confirmed and self._matches(machine, rows):
+            if machine is not None and machine.token.confirmed and self._matches(machine, rows):
                 matching += len(rows)
             else:
                 differing.append(name)
         found = self._compare_machines(differing, held)
         self._compare_at = clock.now() + max(
-            COMPARE_EVERY, leader.context.rest(clock.now() - began)
+            COMPARE_EVERY, leader.context.reuse_window(clock.now() - began)
         )
         return replace(found, matching=found.matching + matching)
 
--- a/roadbend/test_growth.py
+++ b/roadbend/test_growth.py
@@ -13,7 +13,7 @@
 from roadbend.autoscaler.cloud import Cloud
 from roadbend.autoscaler.policy import Timing, wanted
 from roadbend.autoscaler.test_autoscaler import choices
-from roadbend.bidding import requester
+from roadbend.bidding import bid_service
 from roadbend.fakes.submission import job
 from roadbend.fakes.world import world
 from roadbend.http.client import NoAnswerError
@@ -428,7 +428,7 @@
                 return any(
                     (leader := controller.leaders.get("east")) is not None
                     and all(
-                        m in leader.machines and leader.machines[m].token_confirmed
+                        m in leader.machines and leader.machines[m].token.confirmed
                         for m in machines
                     )
                     for name, controller in w.controllers.items()
@@ -495,14 +495,14 @@
     fell behind."""
     async with world(count=1) as w:
         context = w.controllers["node-0"].context
-        whole = context.rest(timedelta(milliseconds=50))
+        whole = context.reuse_window(timedelta(milliseconds=50))
         assert set(context.election.leaderships) == {"east"}
         quarter = replace(context, settings=replace(context.settings, cpu=0.25))
-        assert quarter.rest(timedelta(milliseconds=50)) == whole * 4
+        assert quarter.reuse_window(timedelta(milliseconds=50)) == whole * 4
         context.election.leaderships["west"] = replace(
             context.election.leaderships["east"], partition="west"
         )
-        assert context.rest(timedelta(milliseconds=50)) == whole * 2
+        assert context.reuse_window(timedelta(milliseconds=50)) == whole * 2
         del context.election.leaderships["west"]
 
 
@@ -542,7 +542,7 @@
     # A job that no partition can start is offered everywhere well before that, its turn among
     # others counted.
     assert (
-        requester.LONG_WAIT + 4 * OperatorSettings().reoffer_every + OperatorSettings().cool_down
+        bid_service.LONG_WAIT + 4 * OperatorSettings().reoffer_every + OperatorSettings().cool_down
         < timedelta(seconds=60)
     )
 
