--- a/roadbend/cli.py
+++ b/roadbend/cli.py
@@ -1,5 +1,9 @@
 """The command line. Exit status: 0 all well, 2 bad arguments or settings."""
 
+# What a command does not need is not imported: checking settings and printing help take no
+# controller, and a controller without extensions takes none of theirs.
+# ruff: noqa: PLC0415
+
 from __future__ import annotations
 
 import argparse
@@ -11,7 +15,7 @@
 from collections.abc import Callable
 from functools import partial
 from pathlib import Path
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
 from roadbend import __version__, log
 from roadbend.settings import OperatorSettings, PlatformSettings, SettingsError, load
@@ -20,17 +24,21 @@
     from roadbend.controller import Controller
 
     # Switches something on in a controller that has not started yet.
-    Extension = Callable[[Controller], Any]
+    Extension = Callable[[Controller], object]
 
 # Commands of operators beside starting a controller: the module has a `main(argv)`, and is imported
 # only when it is asked for.
 SUBCOMMANDS = {"recovery": "roadbend.recovery.commands"}
 # The exit status for bad settings; `argparse` ends with the same for bad arguments.
 BAD_SETTINGS = 2
+# Layouts make and drop many small objects that are in no cycle: looking for cycles is left to every
+# 50,000th.
+GC_THRESHOLDS = (50_000, 20, 20)
 OPERATOR_FILE = Path(__file__).resolve().parent.parent / "deploy" / "roadbend.sexp"
 
 
 def parser() -> argparse.ArgumentParser:
+    """Describe the options of a start."""
     out = argparse.ArgumentParser(
         prog="roadbend", description="A cluster scheduler whose controllers bid for jobs."
     )
@@ -62,13 +70,17 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Starts a controller, or carries out a subcommand; gives the exit status."""
+    """Start a controller, or carry out a subcommand, and return the exit status.
+
+    `argv` is by default what the process was given.
+    """
     argv = sys.argv[1:] if argv is None else argv
     if argv and argv[0] in SUBCOMMANDS:
-        return importlib.import_module(SUBCOMMANDS[argv[0]]).main(argv[1:])
+        subcommand: Callable[[list[str]], int] = importlib.import_module(SUBCOMMANDS[argv[0]]).main
+        return subcommand(argv[1:])
     arguments = parser().parse_args(argv)
     if arguments.compile:
-        _import_controller()
+        importlib.import_module("roadbend.controller")
         load_extensions(arguments.recovery, arguments.tracing)
         return 0
     if arguments.config is None:
@@ -106,7 +118,10 @@
 
 
 def load_extensions(recovery: Path | None, tracing: Path | None) -> list[Extension]:
-    """What is switched on beside the core. What is off is not imported."""
+    """Return what is switched on beside the core, with its settings.
+
+    Raises `SettingsError`.
+    """
     extensions: list[Extension] = []
     if recovery is not None:
         from roadbend.recovery import service, settings
@@ -121,23 +136,21 @@
     return extensions
 
 
-def _import_controller() -> None:
-    """Imported late: checking settings and printing help need none of it."""
-    import roadbend.controller  # noqa: F401
-
-
 def _run(
     settings: PlatformSettings, operator: OperatorSettings, extensions: list[Extension]
 ) -> None:
+    """Run a controller until the process is killed.
+
+    Raises `SettingsError`, in a group, for an address that can't be listened on.
+    """
     import trio
 
     from roadbend.controller import Controller
     from roadbend.http.net import Net
 
-    # Layouts make and drop many small objects that are in no cycle: looking for cycles is left to
-    # every 50,000th, and what was imported is never looked at again.
+    # What was imported is never looked at again.
     gc.freeze()
-    gc.set_threshold(50_000, 20, 20)
+    gc.set_threshold(*GC_THRESHOLDS)
     gc.enable()
 
     async def start() -> None:
--- a/run.py
+++ b/run.py
@@ -1,7 +1,8 @@
 """Starts a controller; everything is done by roadbend.cli.
 
 `python3 -S run.py`: nothing outside the standard library, `target/deps` and this folder is used, so
-the interpreter need not look for site packages."""
+the interpreter need not look for site packages.
+"""
 
 import gc
 import sys
