--- a/roadbend/recovery/records.py
+++ b/roadbend/recovery/records.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from datetime import timedelta
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
 from roadbend import clock
 from roadbend.log import Log
@@ -13,6 +13,7 @@
 from roadbend.recovery.unrecorded import HeldAttempt
 from roadbend.store import keys
 from roadbend.store.client import (
+    Change,
     ConflictError,
     LeaseEndedError,
     UnavailableError,
@@ -96,7 +97,7 @@
     async def _write(
         self,
         partition: PartitionRecovery,
-        rows: list[dict[str, Any]],
+        rows: list[Change],
         conditions: dict[str, int],
     ) -> bool:
         """Carry out one small transaction under the leader's term; tell whether it was."""
