--- a/roadbend/autoscaler/scale_in.py
+++ b/roadbend/autoscaler/scale_in.py
@@ -6,6 +6,7 @@
 from roadbend.autoscaler import policy
 from roadbend.autoscaler.cloud import MAX_NAMES, Cloud, Still
 from roadbend.fleet.machines import Machine
+from roadbend.fleet.terminations import TerminationEvidence
 from roadbend.log import Log
 from roadbend.placement import free_capacity
 from roadbend.placement.context import ControllerContext
@@ -55,7 +56,7 @@
             machines=",".join(names),
         )
         for name in names:
-            leader.gone(name, "deleted")
+            leader.gone(name, TerminationEvidence.DELETED)
 
     def _is_worth_a_call(self, leader: PartitionLeader, names: list[str], now: datetime) -> bool:
         """A few at a time would take a call each."""
--- a/roadbend/autoscaler/service.py
+++ b/roadbend/autoscaler/service.py
@@ -19,6 +19,7 @@
 from roadbend.autoscaler.scale_in import ScaleIn
 from roadbend.autoscaler.warm_pool import WarmPool
 from roadbend.fleet.service import Fleet
+from roadbend.fleet.terminations import TerminationEvidence
 from roadbend.http.client import NoAnswerError
 from roadbend.http.server import MalformedError
 from roadbend.log import Log
@@ -303,7 +304,7 @@
             await self._cloud.delete(late, still=self._still(leader))
             for name in late:
                 boots.pop(name, None)
-                leader.gone(name, "deleted")
+                leader.gone(name, TerminationEvidence.DELETED)
 
     def _timed(self, leader: PartitionLeader, queue: list[PendingTasks]) -> list[policy.Timing]:
         out, wall, operator = [], clock.wall(), self._context.operator
--- a/roadbend/fleet/failure_detector.py
+++ b/roadbend/fleet/failure_detector.py
@@ -13,6 +13,7 @@
 from roadbend.fleet.cloud_inventory import CloudInventory
 from roadbend.fleet.deletions import Deletions
 from roadbend.fleet.machines import Machine
+from roadbend.fleet.terminations import TerminationEvidence
 from roadbend.fleet.zone_reachability import ZoneReachability
 from roadbend.http.client import Client, NoAnswerError
 from roadbend.http.net import Net
@@ -293,7 +294,7 @@
                 machine.lifecycle.draining, machine.lifecycle.fencing = "fence", False
             return False
         log.info("machine-fenced", partition=leader.partition, machine=name)
-        leader.gone(name, "deleted")
+        leader.gone(name, TerminationEvidence.DELETED)
         return True
 
     def _expire(self, leader: PartitionLeader, name: str) -> None:
@@ -320,4 +321,4 @@
             )
         if sure and leader.by_machine().get(name):
             log.info("worker-lease-expired", partition=leader.partition, machine=name)
-            leader.gone(name, "lease")
+            leader.gone(name, TerminationEvidence.LEASE)
--- a/roadbend/fleet/heartbeat_evaluation.py
+++ b/roadbend/fleet/heartbeat_evaluation.py
@@ -1,9 +1,10 @@
-"""What a machine's latest report proves, and what it is answered.
+"""Evaluation of a machine's latest heartbeat: what it proves, and which orders it is answered with.
 
-Proof that a task is gone comes only from a report that carries this owner's token and is newer than
-all before it: such a report was sent after the response to the last one was resolved, so no order
-of ours, nor of a former owner, is still on its way to the worker. An older token proves presence
-only."""
+Evidence that an attempt is terminated comes only from a heartbeat that carries this leader's token
+and is newer than all before it: such a heartbeat was sent after the response to the last one was
+resolved, so no order of ours, nor of a former leader, is still on its way to the worker. An older
+token proves presence only.
+"""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -21,20 +22,24 @@
     WorkerHeartbeat,
     WorkerOrder,
 )
-from roadbend.fleet.terminations import TaskKey, Termination, Terminations
+from roadbend.fleet.terminations import TaskKey, Termination, TerminationEvidence, Terminations
 from roadbend.log import Log
 from roadbend.store import ranges
 from roadbend.store.record_view import MachineAttempts
 from roadbend.store.records import Attempt, Job
 
 log = Log("fleet")
-# How much longer than its grace a task may save.
+# How much longer than its grace period a task may save.
 SAVE_MARGIN = timedelta(seconds=1)
 
 
+def _keeps_nothing(_task: TaskStatus) -> bool:
+    return False
+
+
 @dataclass
 class MachineExpectation:
-    """What an owner has recorded on a machine and decided about it, as a report is read."""
+    """What a leader has recorded on a machine and decided about it, as a heartbeat is evaluated."""
 
     partition: str
     # The recorded attempts, and the jobs of those that are neither over nor cancelled.
@@ -46,7 +51,7 @@
     # The attempt of a task that the partition's records name on any machine.
     recorded_attempt: Callable[[TaskKey], Attempt | None]
     # Whether a task that no record names is left alone for now.
-    keeps_unrecorded: Callable[[TaskStatus], bool] = lambda task: False
+    keeps_unrecorded: Callable[[TaskStatus], bool] = _keeps_nothing
 
 
 def read(
@@ -56,69 +61,114 @@
     expected: MachineExpectation,
     now: datetime,
 ) -> list[WorkerOrder]:
-    """Gives the orders for the response to a machine's latest report. Notes in `expected.ended`
-    what it proves."""
-    recorded, stops, ended = expected.recorded, expected.stops, expected.ended
+    """Return the orders for the response to a machine's latest heartbeat.
+
+    Notes in `expected.ended` what it proves, and in `machine` what it shows.
+    """
     current = heartbeat.token == token
-    machine.token.confirmed = machine.token.confirmed or current
-    machine.address = heartbeat.address
-    if heartbeat.notice is not None:
-        machine.lifecycle.reclaim_at = now + timedelta(seconds=heartbeat.notice)
-    orders: list[WorkerOrder] = []
-    seen: dict[TaskKey, ObservedTask] = {}
-    machine.unrecorded_tasks = 0
+    _note_machine(machine, heartbeat, current, now)
+    evaluation = _Evaluation(machine, heartbeat, current, expected, now, [], {})
     for task in heartbeat.tasks:
+        evaluation.evaluate_shown(task)
+    for key, (job_slice, attempt) in expected.recorded.items():
+        # An attempt that is known to be terminated is not ordered again, though the records name it
+        # yet.
+        if key not in evaluation.seen and key not in expected.ended:
+            evaluation.evaluate_absent(key, job_slice.job, attempt)
+    machine.tasks = evaluation.seen
+    _forget_direct_starts(machine, expected.recorded)
+    return evaluation.orders
+
+
+@dataclass(slots=True)
+class _Evaluation:
+    """One heartbeat as it is evaluated, with what has come of it so far."""
+
+    machine: Machine
+    heartbeat: WorkerHeartbeat
+    # Whether the heartbeat carries our token.
+    current: bool
+    expected: MachineExpectation
+    now: datetime
+    orders: list[WorkerOrder]
+    # The recorded attempts that the heartbeat shows, ended ones included.
+    seen: dict[TaskKey, ObservedTask]
+
+    def evaluate_shown(self, task: TaskStatus) -> None:
+        """Evaluate a task that the heartbeat shows."""
+        machine, expected = self.machine, self.expected
         key = TaskKey(task.job, task.task_index)
-        entry = recorded.get(key)
+        entry = expected.recorded.get(key)
         if entry is None or entry[1].number != task.attempt:
             order = _order_for_unrecorded(machine, task, expected)
             if order is not None:
-                orders.append(order)
-            continue
-        seen[key] = _see(machine, task, now)
+                self.orders.append(order)
+            return
+        self.seen[key] = observed = _observe(machine, key, task, self.now)
         if task.state == TaskState.ENDED:
-            if machine.settled(key, task.attempt, heartbeat, current):
-                _note_end(machine, task, current, ended)
-            continue
-        if key in ended:
-            ended.withdraw(key, machine.id)
-        stop = stops.get(key)
+            if machine.settled(key, task.attempt, self.heartbeat, self.current):
+                _note_end(machine, key, task, self.current, expected.ended)
+            return
+        if key in expected.ended:
+            expected.ended.withdraw(key, machine.id)
+        stop = expected.stops.get(key)
         if stop is not None and stop.attempt == task.attempt:
-            orders.append(_kill(task, stop, now - seen[key].since))
-            stop.sent_at = now
-    for key, (job_slice, attempt) in recorded.items():
-        if key in seen or key in ended:
-            # An attempt that is proven gone is not ordered again, though the records name it yet.
-            continue
+            self.orders.append(_stop(task, stop, self.now - observed.since))
+            stop.sent_at = self.now
+
+    def evaluate_absent(self, key: tuple[str, int], job: str, attempt: Attempt) -> None:
+        """Evaluate a recorded attempt that the heartbeat does not show."""
+        machine, expected = self.machine, self.expected
         wanted = _is_wanted(machine, key, expected)
         if wanted and expected.may_start:
             # Write-ahead has been done. Repeating an order is harmless: the worker ignores what it
             # holds, and this attempt has not been forgotten while it is in the records.
-            orders.append(StartTask(job_slice.job, key[1], attempt.number))
-        elif current and not wanted and machine.settled(key, attempt.number, heartbeat, current):
-            ended.note(key, Termination(attempt.number, machine.id, False, "absent"))
-    machine.tasks = seen
+            self.orders.append(StartTask(job, key[1], attempt.number))
+        elif (
+            self.current
+            and not wanted
+            and machine.settled(key, attempt.number, self.heartbeat, self.current)
+        ):
+            evidence = TerminationEvidence.ABSENT
+            expected.ended.note(key, Termination(attempt.number, machine.id, False, evidence))
+
+
+def _note_machine(
+    machine: Machine, heartbeat: WorkerHeartbeat, current: bool, now: datetime
+) -> None:
+    """Note what a heartbeat says of the machine as a whole."""
+    machine.token.confirmed = machine.token.confirmed or current
+    machine.address = heartbeat.address
+    if heartbeat.notice is not None:
+        machine.lifecycle.reclaim_at = now + timedelta(seconds=heartbeat.notice)
+    machine.unrecorded_tasks = 0
+
+
+def _forget_direct_starts(machine: Machine, recorded: MachineAttempts) -> None:
+    """Forget direct starts of attempts that the records do not name here any more."""
     machine.token.direct_starts = {
-        key: row
-        for key, row in machine.token.direct_starts.items()
-        if key in recorded and recorded[key][1].number == row.attempt
+        key: start
+        for key, start in machine.token.direct_starts.items()
+        if key in recorded and recorded[key][1].number == start.attempt
     }
-    return orders
 
 
-def _is_wanted(machine: Machine, key: TaskKey, expected: MachineExpectation) -> bool:
+def _is_wanted(machine: Machine, key: tuple[str, int], expected: MachineExpectation) -> bool:
     """Whether a recorded task is still to run on its machine."""
     job = expected.jobs.get(key[0])
     held = job is not None and ranges.has(job.allocation.get(expected.partition, ()), key[1])
-    leaving = machine.lifecycle.draining is not None or machine.lifecycle.reclaim_at is not None
+    lifecycle = machine.lifecycle
+    leaving = lifecycle.draining is not None or lifecycle.reclaim_at is not None
     return held and key not in expected.stops and not leaving
 
 
 def _order_for_unrecorded(
     machine: Machine, task: TaskStatus, expected: MachineExpectation
 ) -> WorkerOrder | None:
-    """A task that is not in the records (any more): its end has been recorded, or it never should
-    have been, or the records have lost it."""
+    """Return the order for a task that is not in the records, None to leave it alone.
+
+    Its end has been recorded, or it never should have been there, or the records have lost it.
+    """
     if expected.keeps_unrecorded(task):
         machine.unrecorded_tasks += 1
         return None
@@ -140,9 +190,9 @@
     return StopTask(task.job, task.task_index, task.attempt)
 
 
-def _see(machine: Machine, task: TaskStatus, now: datetime) -> ObservedTask:
-    """A task as shown now, with since when it has been so."""
-    before = machine.tasks.get((task.job, task.task_index))
+def _observe(machine: Machine, key: TaskKey, task: TaskStatus, now: datetime) -> ObservedTask:
+    """Return a task as shown now, with since when it has been so."""
+    before = machine.tasks.get(key)
     known = before if before and before.attempt == task.attempt else None
     running_since = known.running_since if known else None
     if task.state in (TaskState.RUNNING, TaskState.FLUSHING) and running_since is None:
@@ -151,17 +201,22 @@
     return ObservedTask(task.attempt, task.state, since, running_since)
 
 
-def _note_end(machine: Machine, task: TaskStatus, current: bool, ended: Terminations) -> None:
-    """`done` stays true however old the report; any other end needs the proof of a current one."""
-    key = TaskKey(task.job, task.task_index)
+def _note_end(
+    machine: Machine, key: TaskKey, task: TaskStatus, current: bool, ended: Terminations
+) -> None:
+    """Note an end that a heartbeat shows.
+
+    `done` stays true however old the heartbeat is; any other end is proven by a current one only.
+    """
     if task.cause == EndCause.DONE:
         ended.note(key, Termination(task.attempt, machine.id, True, EndCause.DONE))
     elif current:
-        ended.note(key, Termination(task.attempt, machine.id, False, task.cause or "ended"))
+        cause = task.cause or TerminationEvidence.ENDED
+        ended.note(key, Termination(task.attempt, machine.id, False, cause))
 
 
-def _kill(task: TaskStatus, stop: StopOrder, shown_for: timedelta) -> StopTask:
-    """A task that saves for longer than it was given is ended by a kill without grace."""
+def _stop(task: TaskStatus, stop: StopOrder, shown_for: timedelta) -> StopTask:
+    """Return the order to stop a task, without grace if it saves for longer than it was given."""
     stuck = task.state == TaskState.FLUSHING and shown_for > stop.grace + SAVE_MARGIN
     grace = clock.ZERO if stuck else stop.grace
     return StopTask(task.job, task.task_index, task.attempt, grace)
--- a/roadbend/fleet/machines.py
+++ b/roadbend/fleet/machines.py
@@ -48,7 +48,7 @@
 
     def is_settled(self, heartbeat: WorkerHeartbeat, current: bool) -> bool:
         """Whether what a heartbeat shows of the attempt is final; `current`: it has our token."""
-        if heartbeat.epoch > self.epoch:
+        if heartbeat.position.epoch > self.epoch:
             return True
         if self.fenced:
             return current
@@ -104,7 +104,7 @@
     # How often the machine was seen to restart, and how often it was fenced; part of the token, so
     # that incarnations are told apart.
     incarnation: int = 0
-    direct_starts: dict[TaskKey, DirectStart] = field(default_factory=dict)
+    direct_starts: dict[tuple[str, int], DirectStart] = field(default_factory=dict)
 
     def advance(self) -> None:
         """Go on to the next incarnation, whose token the machine has to confirm first.
@@ -173,10 +173,8 @@
         to be asked.
         """
         contact = self.contact
-        if (
-            heartbeat.position <= contact.position
-            or self.token.confirmed
-            and heartbeat.token < token
+        if heartbeat.position <= contact.position or (
+            self.token.confirmed and heartbeat.token < token
         ):
             contact.suspected = True
             return False
@@ -184,7 +182,7 @@
         return True
 
     def settled(
-        self, key: TaskKey, attempt: int, heartbeat: WorkerHeartbeat, current: bool
+        self, key: tuple[str, int], attempt: int, heartbeat: WorkerHeartbeat, current: bool
     ) -> bool:
         """Whether what a heartbeat shows of an attempt is final, as far as direct starts go."""
         start = self.token.direct_starts.get(key)
--- a/roadbend/fleet/messages.py
+++ b/roadbend/fleet/messages.py
@@ -95,8 +95,7 @@
     machine_type: str
     zone: str
     spot: bool
-    epoch: int
-    sequence: int
+    position: HeartbeatPosition
     # The highest fencing token that the worker has seen.
     token: int
     # Seconds until the cloud reclaims the machine, if it has said so.
@@ -105,11 +104,6 @@
     # The tasks as they came, to compare the next heartbeat with.
     reported_tasks: UnreadTasks
 
-    @property
-    def position(self) -> HeartbeatPosition:
-        """Return its position among all heartbeats of its worker."""
-        return HeartbeatPosition(self.epoch, self.sequence)
-
 
 @dataclass(frozen=True)
 class StartTask:
@@ -183,8 +177,9 @@
         machine_type=text(data.get("rig"), "rig"),
         zone=text(data.get("yard"), "yard"),
         spot=flag(data.get("loaners"), "loaners"),
-        epoch=whole(data.get("stint"), "stint"),
-        sequence=whole(data.get("tick"), "tick"),
+        position=HeartbeatPosition(
+            whole(data.get("stint"), "stint"), whole(data.get("tick"), "tick")
+        ),
         token=whole(data.get("baton"), "baton"),
         notice=None if notice is None else min(number(notice, "recallS"), MAX_NOTICE_S),
         tasks=tasks,
--- a/roadbend/fleet/terminations.py
+++ b/roadbend/fleet/terminations.py
@@ -1,13 +1,16 @@
-"""Attempts that are proven gone while their records still name them.
+"""Attempts that are known to be terminated while their records still name them.
 
 Two things must never happen to such an attempt: it is not ordered to start again, since the next
 attempt may begin elsewhere as soon as the end is recorded; and its end is not recorded once a later
-report shows it alive. Everyone who orders a start asks here first."""
+heartbeat shows it alive. Everyone who orders a start asks here first.
+"""
 
 from collections.abc import Callable, Iterable, Iterator
 from dataclasses import dataclass
+from enum import StrEnum
 from typing import NamedTuple
 
+from roadbend.fleet.messages import EndCause
 from roadbend.log import Log
 
 log = Log("fleet")
@@ -20,23 +23,42 @@
     task_index: int
 
 
+class TerminationEvidence(StrEnum):
+    """What proves that an attempt is terminated, where its machine gave no cause of its end.
+
+    docs/meetings.md, "When an attempt counts as gone", says when each of them holds.
+    """
+
+    # A current heartbeat showed it ended, and no cause.
+    ENDED = "ended"
+    # A current heartbeat lacked it.
+    ABSENT = "absent"
+    # The cloud confirmed the deletion of its machine.
+    DELETED = "deleted"
+    # The lease of its worker expired.
+    LEASE = "lease"
+
+
 @dataclass(frozen=True)
 class Termination:
-    """A proof that an attempt is gone from its machine. `cause` is what proves it: the end that the
-    machine reported, `absent` from a current report, `deleted`, or `lease`."""
+    """Evidence that an attempt is not running on its machine any more.
+
+    `cause` is the cause of the end that the machine reported, or what else proves it. A worker may
+    report causes that are not known; they stay plain text.
+    """
 
     attempt: int
     machine: str
     done: bool
-    cause: str
+    cause: TerminationEvidence | EndCause | str
 
 
 class Terminations:
-    """The proofs that one owner has and that are not in the records yet, a task at a time."""
+    """The terminations that one leader knows of and that are not in the records yet, by task."""
 
     def __init__(self) -> None:
         self._ends: dict[TaskKey, Termination] = {}
-        # Grows with every proof that is noted or withdrawn.
+        # Grows with every termination that is noted or withdrawn.
         self.changes = 0
         # What a transaction records that is on its way, or of which nobody knows whether it was
         # carried out: it may be in the records already.
@@ -55,10 +77,11 @@
         return iter(list(self._ends))
 
     def items(self) -> list[tuple[TaskKey, Termination]]:
+        """Return a copy of all tasks with their terminations."""
         return list(self._ends.items())
 
     def note(self, key: tuple[str, int], end: Termination) -> None:
-        """The first proof stands, unless the task turns out to be done."""
+        """Note a termination; the first one of a task stands, unless the task turns out done."""
         known = self._ends.get(TaskKey(*key))
         if known is not None and (known.done or not end.done):
             return
@@ -74,18 +97,23 @@
         )
 
     def begin_transaction(self, keys: Iterable[tuple[str, int]]) -> None:
-        """These ends go out to be recorded: from now on they can't be withdrawn, for the next
-        attempt may begin elsewhere before we know that they were recorded."""
+        """Note which terminations go out to be recorded.
+
+        From now on they can't be withdrawn, for the next attempt may begin elsewhere before we know
+        that they were recorded.
+        """
         self._in_transaction = frozenset(keys)
 
     def end_transaction(self) -> None:
-        """The view shows what became of the transaction."""
+        """Note that the record view shows what became of the transaction."""
         self._in_transaction = frozenset()
 
     def withdraw(self, key: tuple[str, int], shown_by: str) -> None:
-        """A later report shows the attempt alive: whatever proved its end proves nothing. What is
-        done stays done, and what may be recorded already stays gone. The report may also be one
-        that was held back, of a session that is over by now."""
+        """Withdraw a termination, because a later heartbeat shows the attempt alive.
+
+        What is done stays done, and what may be recorded already stays terminated. The heartbeat
+        may also be one that was held back, of an epoch that is over by now.
+        """
         end = self._ends.get(TaskKey(*key))
         if end is None or end.done:
             return
@@ -105,5 +133,5 @@
         )
 
     def keep_only(self, is_recorded: Callable[[TaskKey, Termination], bool]) -> None:
-        """Drops what the records do not name any more."""
+        """Drop what the records do not name any more."""
         self._ends = {key: end for key, end in self._ends.items() if is_recorded(key, end)}
--- a/roadbend/placement/heartbeats.py
+++ b/roadbend/placement/heartbeats.py
@@ -105,7 +105,7 @@
                 )
                 machine.token.newly_created = (
                     heartbeat.machine in leader.rented
-                    and heartbeat.epoch == 1
+                    and heartbeat.position.epoch == 1
                     and not heartbeat.tasks
                 )
                 leader.rented.discard(heartbeat.machine)
--- a/roadbend/placement/leader.py
+++ b/roadbend/placement/leader.py
@@ -13,7 +13,7 @@
 
 from roadbend import clock
 from roadbend.fleet.machines import Machine, StopOrder
-from roadbend.fleet.terminations import TaskKey, Termination, Terminations
+from roadbend.fleet.terminations import TaskKey, Termination, TerminationEvidence, Terminations
 from roadbend.log import Log
 from roadbend.partitions.leadership import Leadership
 from roadbend.placement import ends, gangs, quotas, starts
@@ -413,7 +413,7 @@
 
     # Gone for certain.
 
-    def gone(self, machine: str, cause: str) -> None:
+    def gone(self, machine: str, cause: TerminationEvidence) -> None:
         """Proof from outside a report: the cloud's answer to a deletion, or a lease that ran
         out."""
         with self.lock:
@@ -421,7 +421,7 @@
                 self.ended.note(key, Termination(attempt.number, machine, False, cause))
             if machine in self.machines:
                 self.machines[machine].last_evaluation.invalidate()
-            if cause == "deleted":
+            if cause == TerminationEvidence.DELETED:
                 self.machines.pop(machine, None)
                 self.rented.discard(machine)
                 self.context.deleted_machines.add(machine)
--- a/roadbend/recovery/test_recovery.py
+++ b/roadbend/recovery/test_recovery.py
@@ -11,7 +11,7 @@
 from roadbend.fakes.submission import gang, job
 from roadbend.fakes.world import world
 from roadbend.fleet.machines import StopOrder
-from roadbend.fleet.messages import WorkerHeartbeat
+from roadbend.fleet.messages import HeartbeatPosition, WorkerHeartbeat
 from roadbend.recovery.partition import KILL_AGAIN
 from roadbend.recovery.service import install
 from roadbend.recovery.settings import RecoverySettings, load
@@ -312,7 +312,9 @@
         (machine,) = [m for m in leader.machines.values() if m.tasks]
         partition, now = leader.recovery, clock.now()
         partition.held.add(HeldAttempt("run-000009", 0, 7, machine.id, now, False))
-        heartbeat = WorkerHeartbeat(machine.id, "", "g2", "east", False, 1, 1, 0, None, (), [])
+        heartbeat = WorkerHeartbeat(
+            machine.id, "", "g2", "east", False, HeartbeatPosition(1, 1), 0, None, (), []
+        )
         # An older token proves presence only.
         machine.token.confirmed = False
         partition.note_heartbeat(machine, heartbeat, now)
--- a/roadbend/test_ran_twice.py
+++ b/roadbend/test_ran_twice.py
@@ -12,7 +12,7 @@
 from roadbend.fakes.submission import job
 from roadbend.fakes.world import World, settings_for, world
 from roadbend.fleet.messages import parse_heartbeat
-from roadbend.fleet.terminations import TaskKey, Termination
+from roadbend.fleet.terminations import TaskKey, Termination, TerminationEvidence
 from roadbend.partitions.leadership import Leadership
 from roadbend.placement import ends
 from roadbend.placement.transaction import TransactionBuilder
@@ -174,7 +174,7 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(heartbeat)
             await trio.sleep(0.05)
-            leader.gone(machine, "deleted")
+            leader.gone(machine, TerminationEvidence.DELETED)
         assert answers == [None]
 
 
