--- a/roadbend/test_scenarios.py
+++ b/roadbend/test_scenarios.py
@@ -309,7 +309,7 @@
         # Recorded as held by the full partition, as if drawn before the others were up.
         assert await w.submit(0, job(72, legs=2, dueS=60, crew="red"), 10) == 201
         for controller in w.controllers.values():
-            controller.requester.submit = lambda name: None
+            controller.bidding.requester.submit = lambda name: None
         key = keys.job_key("run-000072")
         value = {**w.state.value(key), "a": {"east": [[0, 2]]}}
         w.state.compare_and_swap({"apply": [{"write": key, "value": value}]})
@@ -387,7 +387,7 @@
             put(keys.slice_key("east", name, 0), piece.to_value()),
             put(keys.team_key("red"), {"east": [cpus, max(gpus, 2)]}),
         ]
-        assert w.state.compare_and_swap({"apply": rows}).status == 200
+        assert w.state.compare_and_swap({"apply": [row.to_map() for row in rows]}).status == 200
         w.board.lengths[name] = 5.0
         await trio.sleep(4)
         w.start(0)
