--- a/roadbend/bidding/messages.py
+++ b/roadbend/bidding/messages.py
@@ -44,13 +44,13 @@
 
     def pack(self) -> bytes:
         """Return the payload. Whether the job is a gang is told by the frame's kind."""
-        out = PayloadWriter().text(self.job).put("HI", self.requests, self.tasks)
-        _pack_spec(out, self.spec)
-        out.text(self.from_partition)
-        out.put("d", _seconds(self.requester_response))
-        out.put("d", _seconds(self.requester_average))
-        out.put("d", max(0.0, _seconds(self.waited)))
-        return out.payload()
+        writer = PayloadWriter().text(self.job).put("HI", self.requests, self.tasks)
+        _pack_spec(writer, self.spec)
+        writer.text(self.from_partition)
+        writer.put("d", _seconds(self.requester_response))
+        writer.put("d", _seconds(self.requester_average))
+        writer.put("d", max(0.0, _seconds(self.waited)))
+        return writer.payload()
 
     def as_gang(self) -> "BidRequest":
         """Return the same request for a gang."""
@@ -59,11 +59,11 @@
     @staticmethod
     def unpack(data: bytes) -> "BidRequest":
         """Read a payload."""
-        scan = PayloadReader(data)
-        job, (requests, tasks) = scan.text(), scan.read("HI")
-        spec = _unpack_spec(scan)
-        from_partition, (response, average, waited) = scan.text(), scan.read("ddd")
-        scan.expect_end()
+        reader = PayloadReader(data)
+        job, (requests, tasks) = reader.text(), reader.read("HI")
+        spec = _unpack_spec(reader)
+        from_partition, (response, average, waited) = reader.text(), reader.read("ddd")
+        reader.expect_end()
         return BidRequest(
             job=job,
             requests=requests,
@@ -76,28 +76,32 @@
         )
 
 
-def _pack_spec(out: PayloadWriter, spec: JobSpec) -> None:
-    out.text(spec.team).text(spec.job_class)
-    out.put("?BI", spec.service, spec.priority, spec.task_count)
-    out.put("ddd", spec.resources.cpus, spec.resources.gpus, spec.resources.memory)
-    out.put("h", ABSENT_LIST if spec.machine_types is None else len(spec.machine_types))
+def _pack_spec(writer: PayloadWriter, spec: JobSpec) -> None:
+    writer.text(spec.team).text(spec.job_class)
+    writer.put("?BI", spec.service, spec.priority, spec.task_count)
+    writer.put("ddd", spec.resources.cpus, spec.resources.gpus, spec.resources.memory)
+    writer.put("h", ABSENT_LIST if spec.machine_types is None else len(spec.machine_types))
     for machine_type in spec.machine_types or ():
-        out.text(machine_type)
-    out.optional_text(spec.zone).put("???", spec.together, spec.apart, spec.spot)
-    out.text(spec.image).put("d", spec.image_gb)
+        writer.text(machine_type)
+    writer.optional_text(spec.zone).put("???", spec.together, spec.apart, spec.spot)
+    writer.text(spec.image).put("d", spec.image_gb)
     for duration in (spec.expected_duration, spec.checkpoint, spec.save, spec.due):
-        out.put("d", _seconds(duration))
-
-
-def _unpack_spec(scan: PayloadReader) -> JobSpec:
-    team, job_class, (service, priority, task_count) = scan.text(), scan.text(), scan.read("?BI")
-    cpus, gpus, memory = (finite(value) for value in scan.read("ddd"))
-    count = scan.read_one("h")
-    machine_types = None if count < 0 else tuple(scan.text() for _ in range(count))
-    zone, (together, apart, spot) = scan.optional_text(), scan.read("???")
-    image, image_gb = scan.text(), finite(scan.read_one("d"))
-    expected_duration, checkpoint, save = (_duration(value) for value in scan.read("ddd"))
-    due = _optional_duration(scan.read_one("d"))
+        writer.put("d", _seconds(duration))
+
+
+def _unpack_spec(reader: PayloadReader) -> JobSpec:
+    team, job_class, (service, priority, task_count) = (
+        reader.text(),
+        reader.text(),
+        reader.read("?BI"),
+    )
+    cpus, gpus, memory = (finite(value) for value in reader.read("ddd"))
+    count = reader.read_one("h")
+    machine_types = None if count < 0 else tuple(reader.text() for _ in range(count))
+    zone, (together, apart, spot) = reader.optional_text(), reader.read("???")
+    image, image_gb = reader.text(), finite(reader.read_one("d"))
+    expected_duration, checkpoint, save = (_duration(value) for value in reader.read("ddd"))
+    due = _optional_duration(reader.read_one("d"))
     return JobSpec(
         team=team,
         job_class=job_class,
@@ -133,27 +137,27 @@
 
 def pack_bids(bids: Sequence[Bid]) -> bytes:
     """Return the payload of the answer to a request: the bids of a controller's partitions."""
-    out = PayloadWriter().put("H", len(bids))
+    writer = PayloadWriter().put("H", len(bids))
     for bid in bids:
-        out.text(bid.partition).text(bid.controller)
+        writer.text(bid.partition).text(bid.controller)
         for duration in (bid.job_time, bid.queue_time, bid.shadow_time):
-            out.put("d", duration.total_seconds())
-        out.put("II", min(bid.startable_now, MAX_TASKS), min(bid.capacity, MAX_TASKS))
-    return out.payload()
+            writer.put("d", duration.total_seconds())
+        writer.put("II", min(bid.startable_now, MAX_TASKS), min(bid.capacity, MAX_TASKS))
+    return writer.payload()
 
 
 def unpack_bids(data: bytes) -> list[Bid]:
     """Read the payload of the answer to a request."""
-    scan = PayloadReader(data)
-    bids = [_unpack_bid(scan) for _ in range(scan.read_one("H"))]
-    scan.expect_end()
+    reader = PayloadReader(data)
+    bids = [_unpack_bid(reader) for _ in range(reader.read_one("H"))]
+    reader.expect_end()
     return bids
 
 
-def _unpack_bid(scan: PayloadReader) -> Bid:
-    partition, controller = scan.text(), scan.text()
-    job_time, queue_time, shadow_time = (_duration(value) for value in scan.read("ddd"))
-    startable_now, capacity = scan.read("II")
+def _unpack_bid(reader: PayloadReader) -> Bid:
+    partition, controller = reader.text(), reader.text()
+    job_time, queue_time, shadow_time = (_duration(value) for value in reader.read("ddd"))
+    startable_now, capacity = reader.read("II")
     return Bid(
         partition=partition,
         controller=controller,
@@ -184,8 +188,8 @@
     @staticmethod
     def unpack(data: bytes) -> "Assignment":
         """Read a payload."""
-        scan = PayloadReader(data)
-        job, (mod_revision, length) = scan.text(), scan.read("QI")
+        reader = PayloadReader(data)
+        job, (mod_revision, length) = reader.text(), reader.read("QI")
         return Assignment(job, data[len(data) - length :] if length else b"", mod_revision)
 
 
@@ -202,7 +206,7 @@
     @staticmethod
     def unpack(data: bytes) -> "Revocation":
         """Read a payload."""
-        scan = PayloadReader(data)
-        job = scan.text()
-        scan.expect_end()
+        reader = PayloadReader(data)
+        job = reader.text()
+        reader.expect_end()
         return Revocation(job)
--- a/roadbend/controller/controller.py
+++ b/roadbend/controller/controller.py
@@ -9,7 +9,7 @@
 
 from roadbend.autoscaler.cloud import Cloud
 from roadbend.autoscaler.service import Autoscaler
-from roadbend.bidding.requester import Requester
+from roadbend.bidding.service import Bidding
 from roadbend.controller.availability import Availability
 from roadbend.controller.cancellations import CancellationPropagation, ConfirmedCancellations
 from roadbend.controller.heartbeats import PeerExchange
@@ -48,8 +48,6 @@
 # heartbeats.
 STALE_INTERVALS = 2.5
 STALE_MARGIN = timedelta(seconds=4)
-# How many requesters ask for bids at the same time.
-REQUESTERS = 4
 
 
 class Controller:
@@ -84,7 +82,7 @@
         leaders: dict[str, PartitionLeader] = {}
         self.fleet = Fleet(self.context, net, self.cloud, self.peers, leaders)
         self.autoscaler = Autoscaler(self.context, self.cloud, self.fleet, leaders, rng)
-        self.requester = Requester(self.context, self.peers, leaders, self.autoscaler.closed, rng)
+        self.bidding = Bidding(self.context, self.peers, leaders, self.autoscaler.closed, rng)
         self._partition_leaders = PartitionLeaders(
             self.context, self.fleet, self.autoscaler, leaders
         )
@@ -141,7 +139,7 @@
         )
         users = JobApi(
             self.context,
-            self.requester.submit,
+            self.bidding.requester.submit,
             cancellations.add,
             propagation.propagate,
             self._availability.state_refuses_only_us,
@@ -235,7 +233,4 @@
         nursery.start_soon(self.fleet.failure_detector.watch, nursery)
         nursery.start_soon(reachability.watch)
         nursery.start_soon(share_rates, self.peers, self._budget, self.cloud)
-        nursery.start_soon(self.requester.run_rebid)
-        nursery.start_soon(self.requester.run_reoffer)
-        for _ in range(REQUESTERS):
-            nursery.start_soon(self.requester.run_worker)
+        self.bidding.start(nursery)
--- a/roadbend/controller/reachability.py
+++ b/roadbend/controller/reachability.py
@@ -53,7 +53,11 @@
     def _is_silent(self, leader: PartitionLeader, now: datetime) -> bool:
         acquired_at = leader.leadership.acquired_at
         heard_at = max(
-            (m.last_heartbeat_at for m in leader.machines.values() if m.last_heartbeat_at),
+            (
+                m.contact.last_heartbeat_at
+                for m in leader.machines.values()
+                if m.contact.last_heartbeat_at
+            ),
             default=acquired_at,
         )
         return now - max(heard_at, acquired_at) > self._heartbeat_interval * SILENT_INTERVALS
--- a/roadbend/errors.py
+++ b/roadbend/errors.py
@@ -13,7 +13,7 @@
     Nobody knows. The request may have been carried out, or may be still; who sent it must find out
     before acting on either.
 
-A single exception: `store.client.TooLargeError` is a definite no, and yet derives from
+A single exception: `store.errors.TooLargeError` is a definite no, and yet derives from
 `UnavailableError`, since callers that can't send less treat both alike.
 
 Errors of Python and of libraries are raised as they are where nobody handles them, and turned into
--- a/roadbend/test_errors.py
+++ b/roadbend/test_errors.py
@@ -6,8 +6,11 @@
 
 import roadbend
 from roadbend.errors import PermanentError, RetryableError, RoadbendError, UnknownOutcomeError
+from roadbend.store.errors import StateStoreError
 
 GROUPS = (PermanentError, RetryableError, UnknownOutcomeError)
+# What is common to a service's errors, of several groups; never raised itself.
+COMMON_BASES = {StateStoreError}
 
 
 def error_classes():
@@ -22,6 +25,6 @@
 
 
 def test_every_error_class_derives_from_one_group():
-    found = set(error_classes()) - {RoadbendError, *GROUPS}
-    assert len(found) >= 17
+    found = set(error_classes()) - {RoadbendError, *GROUPS, *COMMON_BASES}
+    assert len(found) >= 18
     assert [c for c in found if sum(issubclass(c, group) for group in GROUPS) != 1] == []
--- a/roadbend/test_ran_twice.py
+++ b/roadbend/test_ran_twice.py
@@ -12,12 +12,12 @@
 from roadbend.fakes.submission import job
 from roadbend.fakes.world import World, settings_for, world
 from roadbend.fleet.messages import parse_heartbeat
-from roadbend.fleet.terminations import TaskKey, Termination
+from roadbend.fleet.terminations import TaskKey, Termination, TerminationEvidence
 from roadbend.partitions.leadership import Leadership
 from roadbend.placement import ends
 from roadbend.placement.transaction import TransactionBuilder
 from roadbend.settings import Team
-from roadbend.store.client import ConflictError
+from roadbend.store.client import ConflictError, delete, put
 from roadbend.store.record_view import RecordView
 from roadbend.store.records import Attempt, Resources, SliceShard
 
@@ -174,7 +174,7 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(heartbeat)
             await trio.sleep(0.05)
-            leader.gone(machine, "deleted")
+            leader.gone(machine, TerminationEvidence.DELETED)
         assert answers == [None]
 
 
@@ -216,17 +216,20 @@
         await controller.fleet.commands._start_directly(
             leader, machine, [(TaskKey(*TASK), attempt)]
         )
-        assert len(worker.orders) == before and TASK not in leader.machines[machine].direct
+        assert (
+            len(worker.orders) == before
+            and TASK not in leader.machines[machine].token.direct_starts
+        )
         leader.ended.withdraw(TASK, machine)
         w.state.restore()
         await trio.sleep(3)
         # One that goes out may be carried out by a machine that has just begun anew.
         known = leader.machines[machine]
-        known.lease_started_at, now = clock.ORIGIN, clock.now()
+        known.contact.lease_started_at, now = clock.ORIGIN, clock.now()
         await controller.fleet.commands._start_directly(
             leader, machine, [(TaskKey(*TASK), attempt)]
         )
-        assert known.lease_started_at >= now
+        assert known.contact.lease_started_at >= now
 
 
 async def test_the_end_of_an_attempt_on_another_machine_ends_nothing_here():
@@ -280,13 +283,13 @@
     for order in ((taking, giving), (giving, taking)):
         view = RecordView()
         view.put(wide.key, wide.to_value(), 5)
-        view.applied([{"write": row.key, "value": row.to_value()} for row in order], 9)
+        view.applied([put(row.key, row.to_value()) for row in order], 9)
         work = view.job_slices["east"]["run-000001"]
         assert work.attempts == wide.attempts and view.usage["east"]["red"] == (2, 2)
         assert view.attempts_by_machine["east"].keys() == {"m-1", "m-2"}
         assert [work.shard_of(index, 102) for index in (0, 200)] == [0, 1]
         # It is in one record now, and gone with that one.
-        view.applied([{"delete": taking.key}], 10)
+        view.applied([delete(taking.key)], 10)
         assert work.attempts == giving.attempts and view.attempts_by_machine["east"].keys() == {
             "m-1"
         }
