--- a/roadbend/autoscaler/cloud.py
+++ b/roadbend/autoscaler/cloud.py
@@ -1,229 +1,203 @@
-"""The cloud's client. Nonsense counts as no answer."""
+"""The cloud's client, within its limit of requests.
+
+An answer that is not what the protocol promises counts as no answer.
+"""
 
 from collections.abc import Callable
-from dataclasses import dataclass
 from datetime import timedelta
-from typing import Any
+from enum import IntEnum
+from typing import Any, TypeVar
 
 from roadbend import clock
+from roadbend.autoscaler.messages import (
+    LIST_PAGE_SIZE,
+    CreationRequest,
+    ListedMachine,
+    MachineType,
+    deletion_value,
+    read_catalog,
+    read_created,
+    read_list_page,
+)
 from roadbend.errors import RoadbendError
 from roadbend.http.client import Client, NoAnswerError
 from roadbend.http.server import MalformedError
-from roadbend.store.records import Resources
 from roadbend.store.request_budget import SharedTokenBucket
-from roadbend.wire_values import number, text
-
-# Most names that one deletion takes, and most machines that one request hires.
-MAX_NAMES = 100
-MAX_HIRED = 50
-# What goes first when calls are short; machines that must be gone don't wait at all.
-HIRE, RETURN, CATALOG, LIST = range(4)
-
-
-@dataclass(frozen=True)
-class MachineType:
-    """A machine type of the catalog."""
-
-    name: str
-    capacity: Resources
-    cache_gb: float
-    fetch_gb_per_s: float
-    price: float
-    spot_price: float
-    startup: timedelta
-    zones: tuple[str, ...]
-
-    def to_value(self) -> dict:
-        return {
-            "name": self.name,
-            "vcpus": self.capacity.cpus,
-            "gpus": self.capacity.gpus,
-            "memoryGb": self.capacity.memory,
-            "cacheGb": self.cache_gb,
-            "pullGbPerS": self.fetch_gb_per_s,
-            "price": self.price,
-            "lowPrice": self.spot_price,
-            "startupS": self.startup.total_seconds(),
-            "yards": list(self.zones),
-        }
-
-
-def read_machine_types(rows: Any) -> dict[str, MachineType]:
-    if not isinstance(rows, list):
-        raise MalformedError("catalog: expected a list")
-    machine_types = {}
-    for row in rows:
-        if not isinstance(row, dict) or not isinstance(row.get("yards"), list):
-            raise MalformedError("catalog: expected maps with yards")
-        machine_type = MachineType(
-            text(row.get("name"), "name"),
-            Resources(
-                number(row.get("vcpus"), "vcpus"),
-                number(row.get("gpus"), "gpus"),
-                number(row.get("memoryGb"), "memoryGb"),
-            ),
-            number(row.get("cacheGb"), "cacheGb"),
-            max(1e-6, number(row.get("pullGbPerS"), "pullGbPerS")),
-            number(row.get("price"), "price"),
-            number(row.get("lowPrice"), "lowPrice"),
-            timedelta(seconds=min(86400.0, number(row.get("startupS"), "startupS"))),
-            tuple(text(zone, "yards") for zone in row["yards"]),
-        )
-        machine_types[machine_type.name] = machine_type
-    return machine_types
 
+# Most machines that one request deletes, and that one creates.
+MAX_DELETIONS = 100
+MAX_CREATIONS = 50
+REQUEST_TIMEOUT = timedelta(seconds=5)
+# The share of the cloud's limit that all controllers use together, and the seconds' worth of their
+# shares that may come in a burst.
+USED_SHARE_OF_LIMIT = 0.9
+BURST_SECONDS = 1.5
+# The share of the requests that reading the list may take, and how often it is read at the most.
+LIST_SHARE = 0.25
+MIN_LIST_INTERVAL_SECONDS = 4.0
+# How long a request waits for its turn at the least, and how much longer for each step of priority.
+TURN_WAIT = timedelta(milliseconds=1)
+TURN_WAIT_PER_PRIORITY = timedelta(milliseconds=20)
+
+HTTP_OK, HTTP_TOO_MANY_REQUESTS, HTTP_UNAVAILABLE = 200, 429, 503
+
+Message = TypeVar("Message")
 
-@dataclass(frozen=True)
-class Listed:
-    """A machine in the cloud's list."""
 
-    id: str
-    address: str
-    machine_type: str
-    zone: str
-    spot: bool
-    status: str
-    age: timedelta
+class RequestPriority(IntEnum):
+    """What goes first when requests are short.
+
+    Urgent deletions, of machines that must be gone, don't wait at all.
+    """
+
+    CREATE = 0
+    DELETE = 1
+    CATALOG = 2
+    LIST = 3
 
 
 class NoCapacityError(RoadbendError):
-    """No such machine is to be had now."""
+    """The cloud has no machine of the kind in the zone now."""
 
 
 class CloudBusyError(RoadbendError):
-    """Over the limit, the cloud is out, or the reason has passed: not executed."""
+    """Not executed: over the limit, the cloud is out, or the precondition no longer held."""
 
 
-# Whether there is still reason for a call, asked right before it goes out: it may have waited for
-# its turn, and the process may have stood still meanwhile while another controller took the
-# partition over.
-Still = Callable[[], bool]
+# Asked right before a request goes out, whether there is still reason for it: it may have waited
+# for its turn, and the process may have paused meanwhile while another controller acquired the
+# partition.
+Precondition = Callable[[], bool]
 
 
 class Cloud:
-    """The cloud's interface, within its limit of calls."""
+    """The cloud's interface, within this controller's share of the limit of requests."""
 
-    def __init__(self, client: Client, rps: float, sharers: int):
+    def __init__(self, client: Client, rps: float, sharers: int) -> None:
+        """Share `rps` requests per second among `sharers` controllers."""
         self._client = client
-        self.sharers, self.rps = max(1, sharers), rps
+        self._sharers, self._rps = max(1, sharers), rps
         # Everyone has an equal share; what others say they don't use may be borrowed.
-        self._bucket = SharedTokenBucket(rps * 0.9, self.sharers, 1.5)
-        self._waiting = [0, 0, 0, 0]
+        self._bucket = SharedTokenBucket(rps * USED_SHARE_OF_LIMIT, self._sharers, BURST_SECONDS)
+        self._waiting = [0] * len(RequestPriority)
 
     @property
     def used(self) -> float:
+        """Requests per second that this controller uses."""
         return self._bucket.used
 
     def share(self, others: list[float]) -> None:
+        """Borrow what other controllers, given what each of them uses, leave of their shares."""
         self._bucket.measure()
         self._bucket.lend(others)
 
-    async def _turn(self, rank: int) -> None:
-        self._waiting[rank] += 1
-        try:
-            while True:
-                wait = self._bucket.wait(1)
-                if wait <= clock.ZERO and not any(self._waiting[:rank]):
-                    return
-                await clock.pause(wait + timedelta(milliseconds=1 + 20 * rank))
-        finally:
-            self._waiting[rank] -= 1
+    async def read_catalog(self) -> dict[str, MachineType]:
+        """Return the machine types by name, at the current prices.
+
+        Raises NoAnswerError and CloudBusyError.
+        """
+        answer = await self._request("GET", "/catalog", priority=RequestPriority.CATALOG)
+        return _read(read_catalog, answer)
 
-    async def _call(
+    async def create_machines(
+        self, request: CreationRequest, precondition: Precondition | None = None
+    ) -> list[str]:
+        """Create up to as many machines as asked for; return their ids.
+
+        Raises NoCapacityError if there are none, CloudBusyError if the request was not executed,
+        and NoAnswerError if it may have been: repeating it tells which machines it created.
+        """
+        answer = await self._request(
+            "POST",
+            "/machines",
+            request.to_value(),
+            priority=RequestPriority.CREATE,
+            precondition=precondition,
+        )
+        return _read(read_created, answer)
+
+    async def delete_machines(
+        self, ids: list[str], urgent: bool = False, precondition: Precondition | None = None
+    ) -> None:
+        """Delete machines; return when all of them are gone.
+
+        Where it raises NoAnswerError or CloudBusyError, none is proven gone.
+        """
+        for first in range(0, len(ids), MAX_DELETIONS):
+            await self._request(
+                "POST",
+                "/machines/delete",
+                deletion_value(ids[first : first + MAX_DELETIONS]),
+                priority=RequestPriority.DELETE,
+                urgent=urgent,
+                precondition=precondition,
+            )
+
+    async def list_machines(self) -> list[ListedMachine]:
+        """Return all machines that the cloud lists. Raises NoAnswerError and CloudBusyError."""
+        machines: list[ListedMachine] = []
+        target = f"/machines?most={LIST_PAGE_SIZE}"
+        while True:
+            after = f"&after={machines[-1].id}" if machines else ""
+            page = _read(read_list_page, await self._request("GET", target + after))
+            machines += page.machines
+            if not page.has_more or not page.machines:
+                return machines
+
+    def list_interval(self, machines: int) -> timedelta:
+        """Return how often the list of so many machines is read.
+
+        Each controller reads several pages: they take their share of the requests together.
+        """
+        pages = 1 + machines // LIST_PAGE_SIZE
+        interval = pages * self._sharers / (LIST_SHARE * self._rps)
+        return timedelta(seconds=max(MIN_LIST_INTERVAL_SECONDS, interval))
+
+    async def _request(
         self,
         method: str,
         target: str,
         body: Any = None,
         *,
-        rank: int = LIST,
+        priority: RequestPriority = RequestPriority.LIST,
         urgent: bool = False,
-        still: Still | None = None,
+        precondition: Precondition | None = None,
     ) -> Any:
         if not urgent:
-            await self._turn(rank)
-        if still is not None and not still():
+            await self._wait_for_turn(priority)
+        if precondition is not None and not precondition():
             raise CloudBusyError("no longer")
         self._bucket.spend(1)
-        status, answer = await self._client.request(
-            method, target, body, within=timedelta(seconds=5)
-        )
-        if status == 503 and isinstance(answer, dict) and answer.get("error") == "no capacity":
+        status, answer = await self._client.request(method, target, body, within=REQUEST_TIMEOUT)
+        if status == HTTP_OK:
+            return answer
+        if (
+            status == HTTP_UNAVAILABLE
+            and isinstance(answer, dict)
+            and answer.get("error") == "no capacity"
+        ):
             raise NoCapacityError
-        if status == 429:
+        if status == HTTP_TOO_MANY_REQUESTS:
             self._bucket.drain()
-        if status in (429, 503):
+        if status in (HTTP_TOO_MANY_REQUESTS, HTTP_UNAVAILABLE):
             raise CloudBusyError(str(status))
-        if status != 200:
-            raise NoAnswerError(f"status {status}")
-        return answer
+        raise NoAnswerError(f"status {status}")
 
-    async def catalog(self) -> dict[str, MachineType]:
-        answer = await self._call("GET", "/catalog", rank=CATALOG)
+    async def _wait_for_turn(self, priority: RequestPriority) -> None:
+        """Wait until the limit permits a request and no other of higher priority waits."""
+        self._waiting[priority] += 1
         try:
-            machine_types = read_machine_types(
-                answer.get("rigs") if isinstance(answer, dict) else None
-            )
-        except MalformedError as error:
-            raise NoAnswerError(f"nonsense: {error}") from None
-        if not machine_types:
-            raise NoAnswerError("nonsense: empty catalog")
-        return machine_types
-
-    async def rent(
-        self,
-        name: str,
-        machine_type: str,
-        zone: str,
-        spot: bool,
-        count: int,
-        still: Still | None = None,
-    ) -> list[str]:
-        body = {"hire": name, "rig": machine_type, "yard": zone, "loaners": spot, "howMany": count}
-        answer = await self._call("POST", "/machines", body, rank=HIRE, still=still)
-        rows = answer.get("hitches") if isinstance(answer, dict) else None
-        if not isinstance(rows, list) or not all(isinstance(row, str) for row in rows):
-            raise NoAnswerError("nonsense: hire")
-        return rows
-
-    async def delete(
-        self, names: list[str], urgent: bool = False, still: Still | None = None
-    ) -> None:
-        """Returns when all of them are gone; where it raises, none is proven gone."""
-        for at in range(0, len(names), MAX_NAMES):
-            body = {"hitches": names[at : at + MAX_NAMES]}
-            await self._call(
-                "POST", "/machines/delete", body, rank=RETURN, urgent=urgent, still=still
-            )
+            while True:
+                wait = self._bucket.wait(1)
+                if wait <= clock.ZERO and not any(self._waiting[:priority]):
+                    return
+                await clock.pause(wait + TURN_WAIT + TURN_WAIT_PER_PRIORITY * priority)
+        finally:
+            self._waiting[priority] -= 1
 
-    def list_pause(self, machines: int) -> timedelta:
-        """How often the list is read, of several pages at every controller: for a quarter of the
-        calls."""
-        pages = 1 + machines // 500
-        return timedelta(seconds=max(4.0, pages * self.sharers / (0.25 * self.rps)))
 
-    async def machines(self) -> list[Listed]:
-        rows, after = [], ""
-        while True:
-            target = "/machines?most=500" + (f"&after={after}" if after else "")
-            answer = await self._call("GET", target)
-            page = answer.get("hitches") if isinstance(answer, dict) else None
-            if not isinstance(page, list):
-                raise NoAnswerError("nonsense: machines")
-            try:
-                for row in page:
-                    rows.append(
-                        Listed(
-                            text(row["id"], "id"),
-                            str(row.get("address") or ""),
-                            text(row["rig"], "rig"),
-                            text(row["yard"], "yard"),
-                            row.get("loaners") is True,
-                            text(row["status"], "status"),
-                            timedelta(seconds=number(row["ageS"], "ageS")),
-                        )
-                    )
-            except (MalformedError, KeyError, TypeError, AttributeError) as error:
-                raise NoAnswerError(f"nonsense: {error}") from None
-            if not answer.get("more") or not page:
-                return rows
-            after = rows[-1].id
+def _read(reader: Callable[[Any], Message], answer: Any) -> Message:
+    try:
+        return reader(answer)
+    except MalformedError as error:
+        raise NoAnswerError(f"nonsense: {error}") from None
--- a/roadbend/autoscaler/policy.py
+++ b/roadbend/autoscaler/policy.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from datetime import datetime, timedelta
 
-from roadbend.autoscaler.cloud import MachineType
+from roadbend.autoscaler.messages import MachineType
 from roadbend.placement.forecast import NEVER, MachineTimeline, ScheduleProjection, StartCandidates
 from roadbend.placement.free_capacity import FreeCapacity, allowed, min_resources
 from roadbend.placement.queue_order import PendingTasks
--- a/roadbend/autoscaler/scale_in.py
+++ b/roadbend/autoscaler/scale_in.py
@@ -4,7 +4,7 @@
 
 from roadbend import clock
 from roadbend.autoscaler import policy
-from roadbend.autoscaler.cloud import MAX_NAMES, Cloud, Still
+from roadbend.autoscaler.cloud import MAX_DELETIONS, Cloud, Precondition
 from roadbend.fleet.machines import Machine
 from roadbend.log import Log
 from roadbend.placement import free_capacity
@@ -31,14 +31,14 @@
         now: datetime,
         model: Job | None,
         surplus: int,
-        still: Still,
+        still: Precondition,
     ) -> None:
         """`model`: the service that warm room is kept for, of which `surplus` places may go.
         `still`: whether the partition is still ours when the call goes out."""
         names = self._faulty(leader) + self._unneeded(leader, now, model, surplus)
         if not names or not self._is_worth_a_call(leader, names, now):
             return
-        names = names[:MAX_NAMES]
+        names = names[:MAX_DELETIONS]
         self._returned[leader.partition] = now
         for name in names:
             # Marked before the call: nothing is started on it while the answer is out.
@@ -47,7 +47,7 @@
         names = [name for name in names if name not in leader.by_machine()]
         if not names:
             return
-        await self._cloud.delete(names, still=still)
+        await self._cloud.delete_machines(names, precondition=still)
         log.info(
             "machines-deleted",
             partition=leader.partition,
@@ -60,7 +60,7 @@
     def _is_worth_a_call(self, leader: PartitionLeader, names: list[str], now: datetime) -> bool:
         """A few at a time would take a call each."""
         last = self._returned.get(leader.partition, clock.ORIGIN)
-        return len(names) >= MAX_NAMES // 4 or now - last >= GATHER
+        return len(names) >= MAX_DELETIONS // 4 or now - last >= GATHER
 
     def _faulty(self, leader: PartitionLeader) -> list[str]:
         """Machines that are being drained and hold nothing any more; those on which the tasks of
--- a/roadbend/autoscaler/service.py
+++ b/roadbend/autoscaler/service.py
@@ -8,12 +8,18 @@
 from roadbend import clock
 from roadbend.autoscaler import policy
 from roadbend.autoscaler.cloud import (
-    MAX_HIRED,
+    MAX_CREATIONS,
     Cloud,
     CloudBusyError,
-    Listed,
     NoCapacityError,
-    Still,
+    Precondition,
+)
+from roadbend.autoscaler.messages import (
+    CreationRequest,
+    ListedMachine,
+    MachineKind,
+    catalog_value,
+    is_same_but_for_spot_prices,
     read_machine_types,
 )
 from roadbend.autoscaler.scale_in import ScaleIn
@@ -98,7 +104,7 @@
         while True:
             self.adopt_catalog()
             try:
-                machine_types = await self._cloud.catalog()
+                machine_types = await self._cloud.read_catalog()
                 self._context.machine_types = machine_types
                 await self._keep_catalog(machine_types)
                 # Until it is in the records, a controller that starts in a cloud outage would not
@@ -114,12 +120,8 @@
         view = self._context.view
         if not view.loaded:
             return
-        value = [machine_type.to_value() for machine_type in machine_types.values()]
-
-        def lasting(rows):
-            return [{k: v for k, v in row.items() if k != "lowPrice"} for row in rows]
-
-        if view.catalog is not None and lasting(view.catalog) == lasting(value):
+        value = catalog_value(machine_types.values())
+        if view.catalog is not None and is_same_but_for_spot_prices(view.catalog, value):
             return
         rows = [put(keys.CATALOG_KEY, value)]
         conditions = {keys.CATALOG_KEY: view.catalog_mod_revision}
@@ -138,16 +140,16 @@
                 await clock.pause(LIST_SOON)
                 continue
             try:
-                rows = await self._cloud.machines()
+                rows = await self._cloud.list_machines()
                 self._fleet.inventory.take(rows)
                 self._sort_listed(rows)
             except (NoAnswerError, CloudBusyError, NoCapacityError) as error:
                 log.debug("machine-list-unavailable", error=str(error)[:60])
             except Exception:
                 log.crash("machine-list-failed")
-            await clock.pause(self._cloud.list_pause(len(self._fleet.inventory.rows)))
+            await clock.pause(self._cloud.list_interval(len(self._fleet.inventory.rows)))
 
-    def _sort_listed(self, rows: list[Listed]) -> None:
+    def _sort_listed(self, rows: list[ListedMachine]) -> None:
         """Strays: machines of our partitions that we don't know. They are used when they report,
         and returned when they never do."""
         now = clock.now()
@@ -300,7 +302,7 @@
                 machines=",".join(late[:5]),
                 count=len(late),
             )
-            await self._cloud.delete(late, still=self._still(leader))
+            await self._cloud.delete_machines(late, precondition=self._still(leader))
             for name in late:
                 boots.pop(name, None)
                 leader.gone(name, "deleted")
@@ -353,7 +355,7 @@
         With one a round, and rounds that take longer the more machines there are, a part of more
         than a thousand machines was minutes late."""
         for _ in range(MAX_REQUESTS):
-            asked = min(count, MAX_HIRED)
+            asked = min(count, MAX_CREATIONS)
             got = await self._rent(leader, machine_type, spot, asked)
             count -= got
             if got < asked or count <= 0:
@@ -371,9 +373,8 @@
         waits = Backoff(timedelta(milliseconds=300), timedelta(seconds=10), self._rng)
         for _ in range(6):
             try:
-                got = await self._cloud.rent(
-                    name, machine_type, partition, spot, count, self._still(leader)
-                )
+                request = CreationRequest(name, MachineKind(machine_type, spot), partition, count)
+                got = await self._cloud.create_machines(request, self._still(leader))
                 break
             except NoCapacityError:
                 self._refuse(key)
@@ -405,7 +406,7 @@
             self.refused.pop(key, None)
         return len(got)
 
-    def _still(self, leader: PartitionLeader) -> Still:
+    def _still(self, leader: PartitionLeader) -> Precondition:
         """Machines are hired and given back for a partition only while it is ours: a new owner may
         have put work on what we found empty before we stood still."""
         election = self._context.election
--- a/roadbend/autoscaler/test_autoscaler.py
+++ b/roadbend/autoscaler/test_autoscaler.py
@@ -6,7 +6,7 @@
 
 from roadbend import clock
 from roadbend.autoscaler import policy
-from roadbend.autoscaler.cloud import read_machine_types
+from roadbend.autoscaler.messages import read_machine_types
 from roadbend.autoscaler.policy import Timing
 from roadbend.autoscaler.service import MAX_REQUESTS, Autoscaler
 from roadbend.fakes.world import MACHINE_TYPE
--- a/roadbend/bidding/scale_out.py
+++ b/roadbend/bidding/scale_out.py
@@ -6,7 +6,8 @@
 
 from roadbend import clock
 from roadbend.autoscaler import policy as autoscaling
-from roadbend.autoscaler.cloud import MAX_HIRED, MachineType
+from roadbend.autoscaler.cloud import MAX_CREATIONS
+from roadbend.autoscaler.messages import MachineType
 from roadbend.bidding.messages import BidRequest
 from roadbend.placement.leader import PartitionLeader
 from roadbend.placement.queue_order import PendingTasks
@@ -81,7 +82,7 @@
         machine = autoscaling.empty_room("", option, leader.partition)
         # As many as one request creates; where the cloud has fewer it says so, and the type is
         # closed here.
-        return ScaleOutOffer(option.machine_type, machine.count(job.spec.resources) * MAX_HIRED)
+        return ScaleOutOffer(option.machine_type, machine.count(job.spec.resources) * MAX_CREATIONS)
 
     def startup_for(self, job: Job) -> float | None:
         """Return the seconds until the cheapest machine for a job would be up; None for none."""
--- a/roadbend/fleet/cloud_inventory.py
+++ b/roadbend/fleet/cloud_inventory.py
@@ -1,6 +1,6 @@
 """The cloud's list of our machines, as last read."""
 
-from roadbend.autoscaler.cloud import Listed
+from roadbend.autoscaler.messages import ListedMachine
 
 # Machines remembered as having been listed once, beside those that are listed now.
 MAX_REMEMBERED = 16_384
@@ -10,13 +10,13 @@
     """What the cloud last listed, and what it once listed and lists no more."""
 
     def __init__(self) -> None:
-        self.rows: dict[str, Listed] = {}
+        self.rows: dict[str, ListedMachine] = {}
         # How often a list was read.
         self.reads = 0
         # In the order in which they were first listed.
         self._was_listed: dict[str, None] = {}
 
-    def take(self, rows: list[Listed]) -> None:
+    def take(self, rows: list[ListedMachine]) -> None:
         """A list was read anew."""
         self.rows = {row.id: row for row in rows}
         self.reads += 1
--- a/roadbend/fleet/deletions.py
+++ b/roadbend/fleet/deletions.py
@@ -5,7 +5,7 @@
 import trio
 
 from roadbend import clock
-from roadbend.autoscaler.cloud import MAX_NAMES, Cloud, CloudBusyError, NoCapacityError
+from roadbend.autoscaler.cloud import MAX_DELETIONS, Cloud, CloudBusyError, NoCapacityError
 from roadbend.http.client import NoAnswerError
 
 # For how long deletions are gathered, and how old they may be when they go out: after longer this
@@ -38,7 +38,7 @@
     async def delete(self, name: str) -> None:
         """Raises what the call raised: `Busy` if it was not carried out, else it may still be."""
         batch = self._open
-        if batch is not None and len(batch.names) < MAX_NAMES:
+        if batch is not None and len(batch.names) < MAX_DELETIONS:
             batch.names.append(name)
             await batch.done.wait()
             if batch.error is not None:
@@ -50,7 +50,9 @@
         if self._open is batch:
             self._open = None
         try:
-            await self._cloud.delete(batch.names, urgent=True, still=batch.is_recent)
+            await self._cloud.delete_machines(
+                batch.names, urgent=True, precondition=batch.is_recent
+            )
             batch.error = None
         except (NoAnswerError, CloudBusyError, NoCapacityError) as error:
             batch.error = error
--- a/roadbend/fleet/test_large_fleet.py
+++ b/roadbend/fleet/test_large_fleet.py
@@ -5,7 +5,7 @@
 
 import trio
 
-from roadbend.autoscaler.cloud import Listed
+from roadbend.autoscaler.messages import ListedMachine
 from roadbend.fakes.submission import job
 from roadbend.fakes.world import world
 from roadbend.fleet import cloud_inventory
@@ -13,9 +13,9 @@
 from roadbend.settings import Team
 
 
-def listed(numbers) -> list[Listed]:
+def listed(numbers) -> list[ListedMachine]:
     return [
-        Listed(f"m-{n:06d}", f"m-{n}:1", "g2", "east", False, "running", timedelta())
+        ListedMachine(f"m-{n:06d}", f"m-{n}:1", "g2", "east", False, "running", timedelta())
         for n in numbers
     ]
 
--- a/roadbend/fleet/test_process_pauses.py
+++ b/roadbend/fleet/test_process_pauses.py
@@ -4,6 +4,7 @@
 import trio
 
 from roadbend.autoscaler.cloud import CloudBusyError
+from roadbend.autoscaler.messages import CreationRequest, MachineKind
 from roadbend.fakes.submission import job
 from roadbend.fakes.world import world
 from roadbend.partitions.leadership import LossReason
@@ -50,8 +51,10 @@
         controller.election.lose("east", LossReason.RECORD_GONE)
         assert not still()
         for call in (
-            controller.cloud.delete([machine], still=still),
-            controller.cloud.rent("h-1", "g2", "east", False, 1, still),
+            controller.cloud.delete_machines([machine], precondition=still),
+            controller.cloud.create_machines(
+                CreationRequest("h-1", MachineKind("g2", False), "east", 1), still
+            ),
         ):
             with pytest.raises(CloudBusyError):
                 await call
--- a/roadbend/intake/feasibility.py
+++ b/roadbend/intake/feasibility.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterable, Mapping
 
-from roadbend.autoscaler.cloud import MachineType
+from roadbend.autoscaler.messages import MachineType
 from roadbend.errors import RoadbendError
 from roadbend.settings import PlatformSettings, Team
 from roadbend.store.records import JobSpec, Resources
--- a/roadbend/intake/test_intake.py
+++ b/roadbend/intake/test_intake.py
@@ -5,7 +5,7 @@
 import pytest
 import trio
 
-from roadbend.autoscaler.cloud import read_machine_types
+from roadbend.autoscaler.messages import read_machine_types
 from roadbend.fakes import user
 from roadbend.fakes.submission import job
 from roadbend.fakes.world import MACHINE_TYPE, settings_for, world
--- a/roadbend/recovery/survey.py
+++ b/roadbend/recovery/survey.py
@@ -10,7 +10,8 @@
 
 import trio
 
-from roadbend.autoscaler.cloud import Cloud, CloudBusyError, Listed
+from roadbend.autoscaler.cloud import Cloud, CloudBusyError
+from roadbend.autoscaler.messages import ListedMachine
 from roadbend.fleet import messages
 from roadbend.http.client import Client, NoAnswerError
 from roadbend.http.net import Net
@@ -155,20 +156,24 @@
             for partition, state in sorted(partitions.items())
         ]
 
-    async def _list_machines(self) -> list[Listed]:
+    async def _list_machines(self) -> list[ListedMachine]:
         try:
-            return await self._cloud.machines()
+            return await self._cloud.list_machines()
         except (NoAnswerError, CloudBusyError) as error:
             raise SurveyError(f"cloud: {error}") from None
 
-    async def _ask_all(self, listed: list[Listed], partitions: dict[str, _PartitionState]) -> None:
+    async def _ask_all(
+        self, listed: list[ListedMachine], partitions: dict[str, _PartitionState]
+    ) -> None:
         limit = trio.CapacityLimiter(MOST_ASKED)
         async with trio.open_nursery() as nursery:
             for row in listed:
                 state = partitions.setdefault(row.zone, _PartitionState())
                 nursery.start_soon(self._ask, limit, row, state)
 
-    async def _ask(self, limit: trio.CapacityLimiter, row: Listed, state: _PartitionState) -> None:
+    async def _ask(
+        self, limit: trio.CapacityLimiter, row: ListedMachine, state: _PartitionState
+    ) -> None:
         if row.status != "running":
             known = {"booting": Presence.BOOTING, "failed": Presence.GONE}
             state.machines[row.id] = known.get(row.status, Presence.SILENT)
@@ -182,7 +187,7 @@
             )
             state.reported.add(shown)
 
-    async def _inspect(self, row: Listed) -> messages.WorkerHeartbeat | None:
+    async def _inspect(self, row: ListedMachine) -> messages.WorkerHeartbeat | None:
         if not row.address:
             return None
         client = Client(self._net, row.address, most=1, keep=0)
--- a/roadbend/test_growth.py
+++ b/roadbend/test_growth.py
@@ -9,8 +9,8 @@
 import trio
 
 from roadbend import clock
-from roadbend.autoscaler import cloud as renting
-from roadbend.autoscaler.cloud import Cloud
+from roadbend.autoscaler.cloud import MAX_CREATIONS, Cloud
+from roadbend.autoscaler.messages import CreationRequest, MachineKind
 from roadbend.autoscaler.policy import Timing, wanted
 from roadbend.autoscaler.test_autoscaler import choices
 from roadbend.bidding import requester
@@ -353,10 +353,12 @@
 
 async def test_more_than_a_hundred_dead_machines_are_all_deleted_or_none_counts_as_gone():
     client = Calls()
-    await Cloud(client, 2.0, 3).delete([f"m-{n}" for n in range(230)], urgent=True)
+    await Cloud(client, 2.0, 3).delete_machines([f"m-{n}" for n in range(230)], urgent=True)
     assert [count for _, _, count in client.asked] == [100, 100, 30]
     with pytest.raises(NoAnswerError):
-        await Cloud(Calls(fail_at=2), 2.0, 3).delete([f"m-{n}" for n in range(230)], urgent=True)
+        await Cloud(Calls(fail_at=2), 2.0, 3).delete_machines(
+            [f"m-{n}" for n in range(230)], urgent=True
+        )
 
 
 async def test_hiring_goes_before_listing():
@@ -364,15 +366,16 @@
     cloud = Cloud(client, 2.0, 3)
     async with trio.open_nursery() as nursery:
         for _ in range(6):
-            nursery.start_soon(cloud.machines)
+            nursery.start_soon(cloud.list_machines)
         await trio.sleep(0.5)
         for n in range(3):
-            nursery.start_soon(cloud.rent, f"h-{n}", "g2", "east", True, 50)
+            request = CreationRequest(f"h-{n}", MachineKind("g2", True), "east", 50)
+            nursery.start_soon(cloud.create_machines, request)
     order = [method for method, _, _ in client.asked]
     assert order.index("POST") <= 2 and order[-3:] == ["GET"] * 3
     # Lists of several pages at every controller leave most calls to hiring.
-    assert cloud.list_pause(700) >= timedelta(seconds=2 * 3 / (0.3 * 2.0))
-    assert renting.MAX_HIRED == 50
+    assert cloud.list_interval(700) >= timedelta(seconds=2 * 3 / (0.3 * 2.0))
+    assert MAX_CREATIONS == 50
 
 
 async def test_two_lives_of_a_controller_never_share_a_term_or_a_hire_name():
--- a/tests/compatibility/adapter.py
+++ b/tests/compatibility/adapter.py
@@ -22,7 +22,7 @@
 
 import roadbend
 from roadbend import cli, clock, log
-from roadbend.autoscaler.cloud import read_machine_types
+from roadbend.autoscaler.messages import read_machine_types
 from roadbend.bidding import messages as bidding_messages
 from roadbend.bidding.casa import Bid
 from roadbend.bidding.messages import BidRequest
