--- a/roadbend/autoscaler/cloud.py
+++ b/roadbend/autoscaler/cloud.py
@@ -89,7 +89,7 @@
     def share(self, others: list[float]) -> None:
         """Borrow what other controllers, given what each of them uses, leave of their shares."""
         self._bucket.measure()
-        self._bucket.lend(others)
+        self._bucket.borrow(others)
 
     async def read_catalog(self) -> dict[str, MachineType]:
         """Return the machine types by name, at the current prices.
@@ -178,7 +178,7 @@
         ):
             raise NoCapacityError
         if status == HTTP_TOO_MANY_REQUESTS:
-            self._bucket.drain()
+            self._bucket.empty()
         if status in (HTTP_TOO_MANY_REQUESTS, HTTP_UNAVAILABLE):
             raise CloudBusyError(str(status))
         raise NoAnswerError(f"status {status}")
