--- a/roadbend/controller/controller.py
+++ b/roadbend/controller/controller.py
@@ -124,11 +124,11 @@
 
     def _make_exchange(self, cancellations: ConfirmedCancellations) -> PeerExchange:
         return PeerExchange(
-            self.incarnation,
-            self.context,
-            self.leaders,
-            self.fleet,
-            cancellations,
+            incarnation=self.incarnation,
+            context=self.context,
+            leaders=self.leaders,
+            fleet=self.fleet,
+            cancellations=cancellations,
             budget=self._budget,
             cloud=self.cloud,
         )
@@ -138,12 +138,12 @@
             self.settings.name, self.peers, self._exchange, self.view, self.reader
         )
         users = JobApi(
-            self.context,
-            self.bidding.requester.submit,
-            cancellations.add,
-            propagation.propagate,
-            self._availability.state_refuses_only_us,
-            AdaptiveLimit(ceiling=self.operator.users_at_once),
+            context=self.context,
+            submit=self.bidding.requester.submit,
+            told=cancellations.add,
+            propagate_cancellations=propagation.propagate,
+            state_refuses_only_us=self._availability.state_refuses_only_us,
+            limit=AdaptiveLimit(ceiling=self.operator.users_at_once),
         )
         return Router(self.fleet, users, self._availability.up)
 
--- a/roadbend/controller/heartbeats.py
+++ b/roadbend/controller/heartbeats.py
@@ -19,12 +19,12 @@
 
     def __init__(
         self,
+        *,
         incarnation: str,
         context: ControllerContext,
         leaders: Mapping[str, PartitionLeader],
         fleet: Fleet,
         cancellations: ConfirmedCancellations,
-        *,
         budget: RequestBudget,
         cloud: Cloud,
     ) -> None:
--- a/roadbend/partitions/controller_lease.py
+++ b/roadbend/partitions/controller_lease.py
@@ -12,8 +12,8 @@
 from roadbend.store import keys
 from roadbend.store.client import ConflictError, LeaseEndedError, StateStoreClient, put
 
-# The lease is renewed when this part of it is over, so that two renewals may fail.
-RENEWAL_SHARE = 3
+# The lease is renewed so many times while it would last, so that renewals may fail in between.
+RENEWALS_PER_LEASE = 3
 # Taken off the lease's validity, beside clock drift.
 VALIDITY_MARGIN = timedelta(milliseconds=200)
 
@@ -72,7 +72,7 @@
     def _is_renewal_due(self, now: datetime) -> bool:
         if self.id is None or self._renewed_at is None:
             return True
-        return now - self._renewed_at >= self._ttl / RENEWAL_SHARE
+        return now - self._renewed_at >= self._ttl / RENEWALS_PER_LEASE
 
     async def _request_or_renew(self) -> None:
         if self.id is None:
