--- a/roadbend/autoscaler/test_autoscaler.py
+++ b/roadbend/autoscaler/test_autoscaler.py
@@ -9,23 +9,13 @@
 from roadbend.autoscaler.cloud import read_machine_types
 from roadbend.autoscaler.policy import Timing
 from roadbend.autoscaler.service import MAX_REQUESTS, Autoscaler
+from roadbend.fakes.scheduling import MACHINE_TYPES, SMALL, choices, pending
 from roadbend.fakes.world import MACHINE_TYPE
 from roadbend.http.server import MalformedError
 from roadbend.placement.forecast import MachineTimeline
 from roadbend.placement.free_capacity import FreeCapacity
-from roadbend.placement.test_placement import pending
 from roadbend.store.records import Resources
 
-SMALL = {
-    **MACHINE_TYPE,
-    "name": "s1",
-    "vcpus": 12.0,
-    "gpus": 2.0,
-    "memoryGb": 72.0,
-    "price": 5.0,
-    "lowPrice": 1.0,
-}
-MACHINE_TYPES = read_machine_types([MACHINE_TYPE, SMALL])
 S = timedelta(seconds=1)
 
 
@@ -34,10 +24,6 @@
     return MachineTimeline(capacity, [(seconds, Resources(8, 1, 40))])
 
 
-def choices(refused=()):
-    return policy.options(MACHINE_TYPES.values(), "east", set(refused))
-
-
 def test_a_task_that_can_wait_for_a_place_hires_nothing():
     timing = Timing(pending(), 20.0, 60.0)
     assert policy.wanted([timing], [busy(50.0)], choices(), "east", 1.0) == {}
--- /dev/null
+++ b/roadbend/fakes/scheduling.py
@@ -0,0 +1,73 @@
+"""Builds what scheduling policies work on: pending tasks, free capacity, machine types."""
+
+from collections.abc import Collection
+from datetime import timedelta
+from typing import Any
+
+from roadbend import clock
+from roadbend.autoscaler import policy
+from roadbend.autoscaler.cloud import read_machine_types
+from roadbend.autoscaler.policy import MachineOption
+from roadbend.fakes.submission import job
+from roadbend.fakes.world import MACHINE_TYPE
+from roadbend.intake.messages import read_submission
+from roadbend.placement.free_capacity import FreeCapacity
+from roadbend.placement.queue_order import PendingTasks
+from roadbend.store.records import Job, Resources
+
+# What a machine of type g2 has.
+TOTAL = Resources(24, 2, 144)
+# A type with less of everything, at a lower price.
+SMALL: dict[str, Any] = {
+    **MACHINE_TYPE,
+    "name": "s1",
+    "vcpus": 12.0,
+    "gpus": 2.0,
+    "memoryGb": 72.0,
+    "price": 5.0,
+    "lowPrice": 1.0,
+}
+MACHINE_TYPES = read_machine_types([MACHINE_TYPE, SMALL])
+
+
+def pending(
+    number: int = 1, count: int = 1, guaranteed: bool = False, age: float = 0, **changes: Any
+) -> PendingTasks:
+    """Return the first `count` tasks of a job that was submitted `age` seconds ago.
+
+    `changes` are made to the submission, in the names of the users' interface."""
+    name, spec = read_submission(job(number, **changes))
+    return PendingTasks(
+        Job(name, spec, clock.wall() - timedelta(seconds=age)), ((0, count),), guaranteed
+    )
+
+
+def capacity(
+    name: str,
+    cpus: float = 24.0,
+    gpus: float = 2.0,
+    memory: float = 144.0,
+    spot: bool = False,
+    images: Collection[str] = (),
+    **more: Any,
+) -> FreeCapacity:
+    """Return a machine of type g2 in the east with what is free on it; all of it by default."""
+    return FreeCapacity(
+        id=name,
+        machine_type="g2",
+        zone="east",
+        spot=spot,
+        cpus=cpus,
+        gpus=gpus,
+        memory=memory,
+        images=frozenset(images),
+        total=TOTAL,
+        **more,
+    )
+
+
+def choices(refused: Collection[tuple[str, bool]] = ()) -> list[MachineOption]:
+    """Return the machine types that may be created in the east.
+
+    `refused`: those that the cloud has none of, each with whether it is a spot machine."""
+    return policy.options(MACHINE_TYPES.values(), "east", set(refused))
--- a/roadbend/placement/test_placement.py
+++ b/roadbend/placement/test_placement.py
@@ -2,46 +2,17 @@
 
 import copy
 import random
-from datetime import timedelta
 
 from roadbend import clock
-from roadbend.fakes.submission import job
+from roadbend.fakes.scheduling import capacity, pending
 from roadbend.fakes.world import settings_for
 from roadbend.fleet.terminations import TaskKey
-from roadbend.intake.messages import read_submission
 from roadbend.placement import bin_packing, forecast, free_capacity, preemption_policy, queue_order
 from roadbend.placement.context import within_guarantee
 from roadbend.placement.forecast import MachineTimeline
-from roadbend.placement.free_capacity import FreeCapacity
 from roadbend.placement.preemption_policy import RunningTask, Victim
 from roadbend.placement.queue_order import PendingTasks
-from roadbend.store.records import Attempt, Job, Resources
-
-TOTAL = Resources(24, 2, 144)
-
-
-def pending(number=1, count=1, guaranteed=False, age=0, **changes) -> PendingTasks:
-    name, spec = read_submission(job(number, **changes))
-    return PendingTasks(
-        Job(name, spec, clock.wall() - timedelta(seconds=age)), ((0, count),), guaranteed
-    )
-
-
-def capacity(
-    name, cpus=24.0, gpus=2.0, memory=144.0, spot=False, images=(), **more
-) -> FreeCapacity:
-    return FreeCapacity(
-        id=name,
-        machine_type="g2",
-        zone="east",
-        spot=spot,
-        cpus=cpus,
-        gpus=gpus,
-        memory=memory,
-        images=frozenset(images),
-        total=TOTAL,
-        **more,
-    )
+from roadbend.store.records import Attempt, Resources
 
 
 def best(job, capacities):
--- a/roadbend/test_gang_phases.py
+++ b/roadbend/test_gang_phases.py
@@ -5,12 +5,12 @@
 import trio
 
 from roadbend import clock
+from roadbend.fakes.gangs import NAME, TEAMS, attempts, begun, running
 from roadbend.fakes.submission import gang, job
 from roadbend.fakes.world import World, world
 from roadbend.placement import gang_reservations, preemption
 from roadbend.settings import Team
 from roadbend.store import keys
-from roadbend.test_gangs import NAME, TEAMS, attempts, begun, running
 
 # A fetch that takes longer than gangs wait.
 SLOW_FETCH = 45.0
--- a/roadbend/test_gangs.py
+++ b/roadbend/test_gangs.py
@@ -7,37 +7,14 @@
 import pytest
 import trio
 
+from roadbend.fakes.gangs import NAME, SMALL, TEAMS, attempts, begun, running
+from roadbend.fakes.random_failures import FAILURES
 from roadbend.fakes.submission import gang, job
-from roadbend.fakes.world import World, world
+from roadbend.fakes.world import world
 from roadbend.settings import OperatorSettings, ServiceLevelObjective, Team
 from roadbend.store import keys
 
 S = timedelta(seconds=1)
-NAME = "run-000001"
-TEAMS = {"red": Team("red", 0, 0, 4, 24), "blue": Team("blue", 0, 0, 4, 30)}
-
-
-def running(w: World, name: str) -> list[str]:
-    """Tasks that really run, not those that wait for each other."""
-    return [
-        t.name
-        for worker in w.workers()
-        for t in worker.tasks.values()
-        if t.state == "running" and t.name.startswith(name + "/")
-    ]
-
-
-def attempts(w: World, name: str) -> set[int]:
-    return {a for j, a in w.board.gangs if j == name}
-
-
-async def begun(
-    w: World, body: dict, length: float | None, at: int = 0, within: float = 60
-) -> list[str]:
-    """Submits a gang and waits until all of it runs; gives its machines."""
-    assert await w.submit(at, body, length) == 201
-    assert await w.until(lambda: len(running(w, body["id"])) == body["legs"], within)
-    return sorted({m for t in w.board.running(body["id"]) for m in w.board.where[t]})
 
 
 async def test_a_gang_starts_whole_under_one_number_and_is_done_once():
@@ -80,7 +57,6 @@
         await w.over()
 
 
-SMALL = dict(value_bytes=2048, txn_ops=4, state_write_rps=25.0)
 WIDE = dict(vcpus=0.5, memoryGb=0.5, yard="east")
 
 
@@ -219,79 +195,6 @@
         await w.over()
 
 
-async def _crash_all(w: World, rng: random.Random) -> None:
-    for at in range(3):
-        w.crash(at)
-    await trio.sleep(rng.uniform(0.3, 8))
-    for at in range(3):
-        w.start(at)
-
-
-async def _crash_one(w: World, rng: random.Random) -> None:
-    at = rng.randrange(3)
-    w.crash(at)
-    await trio.sleep(rng.uniform(0.2, 14))
-    w.start(at)
-
-
-async def _outage(w: World, rng: random.Random) -> None:
-    await w.outage(rng.uniform(4, 50))
-
-
-async def _late_writes(w: World, rng: random.Random) -> None:
-    w.state.late_writes(0.3, rng)
-    await trio.sleep(20)
-    w.state.late_writes(0.0, None)
-
-
-async def _dead(w: World, rng: random.Random) -> None:
-    for worker in rng.sample(w.workers(), max(1, len(w.workers()) // 3)):
-        w.cloud.kill(worker.machine)
-
-
-async def _hang(w: World, rng: random.Random) -> None:
-    await w.hang(
-        [x.machine for x in rng.sample(w.workers(), max(1, len(w.workers()) // 2))],
-        rng.uniform(4, 25),
-    )
-
-
-async def _deaf(w: World, rng: random.Random) -> None:
-    await w.deafen(
-        [x.machine for x in rng.sample(w.workers(), max(1, len(w.workers()) // 3))],
-        rng.uniform(4, 25),
-    )
-
-
-async def _held_commands(w: World, rng: random.Random) -> None:
-    """Direct orders arrive long after they were given up."""
-    ways = [(f"node-{at}", x.machine) for at in range(3) for x in w.workers()]
-    await w.hold(rng.sample(ways, len(ways) // 2), rng.uniform(3, 25))
-
-
-async def _copies(w: World, rng: random.Random) -> None:
-    await w.late_reports(0.4, 20, rng)
-
-
-async def _notice(w: World, rng: random.Random) -> None:
-    for worker in rng.sample(w.workers(), max(1, len(w.workers()) // 3)):
-        worker.recall = rng.uniform(6, 15)
-
-
-TROUBLES = [
-    _crash_all,
-    _crash_one,
-    _outage,
-    _late_writes,
-    _dead,
-    _hang,
-    _deaf,
-    _held_commands,
-    _copies,
-    _notice,
-]
-
-
 @pytest.mark.parametrize("seed", range(10))
 async def test_pairs_of_troubles_in_every_phase_of_gangs_break_no_rule(seed):
     """Gangs that come, gather, run, end and are cancelled meanwhile, beside an array and a
@@ -337,7 +240,7 @@
 
         async with trio.open_nursery() as nursery:
             nursery.start_soon(stream)
-            for trouble in rng.sample(TROUBLES, 2):
+            for trouble in rng.sample(FAILURES, 2):
                 nursery.start_soon(trouble, w, rng)
                 await trio.sleep(rng.uniform(0, 6))
             await over.wait()
--- a/roadbend/test_gangs_with_anti_affinity.py
+++ b/roadbend/test_gangs_with_anti_affinity.py
@@ -7,13 +7,13 @@
 import pytest
 import trio
 
+from roadbend.fakes.gangs import NAME, SMALL, TEAMS, attempts, begun, running
+from roadbend.fakes.random_failures import FAILURES
 from roadbend.fakes.submission import gang, job
 from roadbend.fakes.world import World, world
-from roadbend.settings import OperatorSettings, Team
+from roadbend.settings import OperatorSettings
 from roadbend.store import keys
-from roadbend.test_gangs import NAME, SMALL, TROUBLES, attempts, begun, running
 
-TEAMS = {"red": Team("red", 0, 0, 4, 24), "blue": Team("blue", 0, 0, 4, 30)}
 APART = dict(together=False, apart=True)
 
 
@@ -108,7 +108,7 @@
 
         async with trio.open_nursery() as nursery:
             nursery.start_soon(stream)
-            for trouble in rng.sample(TROUBLES, 2):
+            for trouble in rng.sample(FAILURES, 2):
                 nursery.start_soon(trouble, w, rng)
                 await trio.sleep(rng.uniform(0, 6))
             await over.wait()
--- a/roadbend/test_nonsense.py
+++ b/roadbend/test_nonsense.py
@@ -6,11 +6,11 @@
 import pytest
 import trio
 
+from roadbend.fakes.gangs import TEAMS
 from roadbend.fakes.submission import gang, job
 from roadbend.fakes.world import world
 from roadbend.http.server import Response
 from roadbend.peers import frames
-from roadbend.test_gangs import TEAMS
 
 ODD = [
     None,
--- a/roadbend/test_scalability.py
+++ b/roadbend/test_scalability.py
@@ -12,8 +12,8 @@
 from roadbend.autoscaler import cloud as renting
 from roadbend.autoscaler.cloud import Cloud
 from roadbend.autoscaler.policy import Timing, wanted
-from roadbend.autoscaler.test_autoscaler import choices
 from roadbend.bidding import requester
+from roadbend.fakes.scheduling import capacity, choices, pending
 from roadbend.fakes.submission import job
 from roadbend.fakes.world import world
 from roadbend.http.client import NoAnswerError
@@ -29,7 +29,6 @@
 )
 from roadbend.placement.forecast import MachineTimeline
 from roadbend.placement.quota_allowance import QuotaAllowance, QuotaAmount
-from roadbend.placement.test_placement import capacity, pending
 from roadbend.settings import OperatorSettings, Team
 from roadbend.store import keys, ranges, records
 from roadbend.store.client import delete, put
