--- a/roadbend/bidding/requester.py
+++ b/roadbend/bidding/requester.py
@@ -10,8 +10,9 @@
 
 from roadbend import clock
 from roadbend.bidding import casa, messages
-from roadbend.bidding.casa import Bid, Promises
+from roadbend.bidding.casa import Bid
 from roadbend.bidding.messages import BidRequest
+from roadbend.bidding.promises import Promises
 from roadbend.bidding.responder import Responder
 from roadbend.log import Log
 from roadbend.partitions.policy import rendezvous
@@ -61,12 +62,12 @@
         self._busy: set[str] = set()
         # When nobody took a job that was offered again.
         self._refused_at: dict[str, datetime] = {}
-        peers.handlers[frames.REQUEST] = self._on_request
-        peers.handlers[frames.ASSIGN] = self._on_assign
-        peers.handlers[frames.REVOKE] = self._on_revoke
-        peers.handlers[frames.INFORM] = self._on_inform
-        peers.handlers[frames.GANG_REQUEST] = self._on_gang_request
-        peers.handlers[frames.GANG_INFORM] = self._on_gang_inform
+        peers.handlers[frames.FrameKind.REQUEST] = self._on_request
+        peers.handlers[frames.FrameKind.ASSIGN] = self._on_assign
+        peers.handlers[frames.FrameKind.REVOKE] = self._on_revoke
+        peers.handlers[frames.FrameKind.INFORM] = self._on_inform
+        peers.handlers[frames.FrameKind.GANG_REQUEST] = self._on_gang_request
+        peers.handlers[frames.FrameKind.GANG_INFORM] = self._on_gang_inform
 
     # Bidding.
 
@@ -196,7 +197,9 @@
                     )
                     self.submit(name)
 
-    async def _ask(self, link: Link, kind: int, payload: bytes, out: list[Bid]) -> None:
+    async def _ask(
+        self, link: Link, kind: frames.FrameKind, payload: bytes, out: list[Bid]
+    ) -> None:
         try:
             out += messages.unpack_bids(
                 await link.call(kind, payload, self._context.operator.bid_wait)
@@ -209,12 +212,12 @@
     async def gather(self, ask: BidRequest) -> list[Bid]:
         again = ask.requester_response is not None
         bids = self.better(ask) if again else self.bids(ask)
-        kind, payload = frames.INFORM if again else frames.REQUEST, ask.pack()
+        kind, payload = frames.FrameKind.INFORM if again else frames.FrameKind.REQUEST, ask.pack()
         if ask.spec.gang:
-            kind = frames.GANG_INFORM if again else frames.GANG_REQUEST
+            kind = frames.FrameKind.GANG_INFORM if again else frames.FrameKind.GANG_REQUEST
         async with trio.open_nursery() as nursery:
             for link in self._peers.links.values():
-                if not ask.spec.gang or link.known.speaks(frames.GANGS):
+                if not ask.spec.gang or link.known.supports(frames.GANGS_EXTENSION):
                     nursery.start_soon(self._ask, link, kind, payload, bids)
         # One bid a partition: while ownership moves, two may answer for it.
         return list({bid.partition: bid for bid in bids}.values())
@@ -227,7 +230,7 @@
         view = self._context.view
         for _ in range(3):
             job = view.jobs.get(name)
-            if job is None or not job.unassigned or name in self._context.cancelled:
+            if job is None or not job.unassigned or name in self._context.cancellations.jobs:
                 return
             if self._context.recovery.holds_back(name):
                 return
@@ -325,7 +328,7 @@
         room where it is; others at once, since one partition must hold them whole."""
         for name in list(self._context.view.assigned_jobs.get(leader.partition, ())):
             job = self._context.view.jobs[name]
-            if not job.spec.gang or name in self._context.cancelled:
+            if not job.spec.gang or name in self._context.cancellations.jobs:
                 continue
             waits_long = now - leader.queued.get(name, now) >= LONG_WAIT
             due = apart_gangs.is_apart(job) and (waits_long or name in leader.to_release)
@@ -346,13 +349,13 @@
         self, leader: PartitionLeader, bidder: Responder, job: Job, average: timedelta
     ) -> bool:
         """Says whether anybody bid."""
-        operator, partition, now = self._context.operator, leader.partition, clock.now()
+        operator, partition = self._context.operator, leader.partition
         unplaced = leader.queue.unplaced(job)
         whole = job.spec.together or job.spec.gang
         if not unplaced or (whole and unplaced != job.allocation.get(partition)):
             return True
         waited = max(clock.ZERO, clock.wall() - job.submitted_at)
-        theirs = bidder.estimate(job, now)
+        theirs = bidder.estimate_response_time(job)
         ask = BidRequest(
             job=job.id,
             requests=len(self._peers.links) + 1,
@@ -379,7 +382,7 @@
             min(casa.response_time(bid, operator.omega) for bid in bids)
             - job.spec.expected_duration
         )
-        stay = sum(1 for start in bidder.starts(job) if start <= soonest.total_seconds())
+        stay = sum(1 for start in bidder.start_times(job) if start <= soonest.total_seconds())
         if job.spec.gang:
             # It begins with its last task, and goes as a whole.
             stay = stay if stay == ranges.size(unplaced) else 0
@@ -461,9 +464,9 @@
         async with trio.open_nursery() as nursery:
             for link in self._peers.links.values():
                 if link.peer.name in tell:
-                    nursery.start_soon(self._say, link, frames.ASSIGN, body)
+                    nursery.start_soon(self._say, link, frames.FrameKind.ASSIGN, body)
                 else:
-                    nursery.start_soon(self._say, link, frames.REVOKE, revoke)
+                    nursery.start_soon(self._say, link, frames.FrameKind.REVOKE, revoke)
         for leader in self._leaders.values():
             leader.wake_up.set()
         return True
@@ -473,12 +476,12 @@
         seconds = casa.response_time(bid, self._context.operator.omega).total_seconds()
         return f"{bid.partition}:{seconds:.1f}/{bid.startable_now}/{bid.capacity}"
 
-    async def _say(self, link: Link, kind: int, payload: bytes) -> None:
+    async def _say(self, link: Link, kind: frames.FrameKind, payload: bytes) -> None:
         # An assign is answered (the paper's receipt); a revoke is not, and may get lost.
         try:
-            if kind == frames.ASSIGN:
+            if kind == frames.FrameKind.ASSIGN:
                 await link.call(kind, payload, self._context.operator.bid_wait)
             else:
-                await link.cast(kind, payload)
+                await link.notify(kind, payload)
         except NoReplyError:
             pass
--- a/tests/compatibility/adapter.py
+++ b/tests/compatibility/adapter.py
@@ -139,17 +139,17 @@
 # Frames between controllers.
 
 FRAME_KINDS = {
-    "hello": frames.HELLO,
-    "heartbeat": frames.PING,
-    "bid_request": frames.REQUEST,
-    "assignment": frames.ASSIGN,
-    "revocation": frames.REVOKE,
-    "offer_again": frames.INFORM,
-    "gang_bid_request": frames.GANG_REQUEST,
-    "gang_offer_again": frames.GANG_INFORM,
+    "hello": frames.FrameKind.HELLO,
+    "heartbeat": frames.FrameKind.HEARTBEAT,
+    "bid_request": frames.FrameKind.REQUEST,
+    "assignment": frames.FrameKind.ASSIGN,
+    "revocation": frames.FrameKind.REVOKE,
+    "offer_again": frames.FrameKind.INFORM,
+    "gang_bid_request": frames.FrameKind.GANG_REQUEST,
+    "gang_offer_again": frames.FrameKind.GANG_INFORM,
 }
-REPLY_BIT = frames.REPLY
-LONGEST_PAYLOAD = frames.MOST
+REPLY_BIT = frames.REPLY_BIT
+LONGEST_PAYLOAD = frames.MAX_PAYLOAD
 
 
 def encode_frame(kind: int, number: int, payload: bytes) -> bytes:
@@ -161,7 +161,7 @@
 def split_frames(data: bytes) -> list[tuple[int, int, bytes]]:
     """Kind, call number and payload of every whole frame in the data."""
     with _refusals():
-        return list(frames.Splitter().feed(data))
+        return list(frames.FrameDecoder().feed(data))
 
 
 def encode_heartbeat(fields: Fields) -> bytes:
@@ -198,7 +198,7 @@
 def understands_gangs(boot: str) -> bool:
     """Whether a controller is sent frames about gangs, by the boot id in its heartbeats."""
     heartbeat = PeerHeartbeat(boot, timedelta(), None, (0.0, 0.0, 0.0))
-    return PeerState(heartbeat).speaks(frames.GANGS)
+    return PeerState(heartbeat).supports(frames.GANGS_EXTENSION)
 
 
 def encode_bid_request(fields: Fields) -> bytes:
@@ -334,14 +334,7 @@
 WORDS: dict[str, Any] = {
     "recovery_phases": sorted(str(phase) for phase in PhaseName),
     "differences": sorted(str(kind) for kind in Kind),
-    "statuses": sorted(
-        [
-            user_messages.STATUS_PENDING,
-            user_messages.STATUS_RUNNING,
-            user_messages.STATUS_DONE,
-            user_messages.STATUS_ABORTED,
-        ]
-    ),
+    "statuses": sorted(status.value for status in user_messages.JobStatus),
     "priorities": records.PRIORITY,
 }
 CATALOG_KEY = keys.CATALOG_KEY
@@ -549,16 +542,20 @@
     }
 
 
-_ORDERS: dict[str, Callable[..., Fields]] = {
-    "run": worker_messages.run,
-    "kill": worker_messages.kill,
-    "forget": worker_messages.forget,
+_ORDERS: dict[str, Callable[..., worker_messages.WorkerOrder]] = {
+    "run": worker_messages.StartTask,
+    "kill": worker_messages.StopTask,
+    "forget": worker_messages.ForgetTask,
 }
 
 
-def write_order(verb: str, *arguments: Any) -> Fields:
-    """An order for a machine."""
-    return _ORDERS[verb](*arguments)
+def write_order(verb: str, job: str, task: int, attempt: int, *grace_s: float) -> Fields:
+    """An order for a machine. An integer 0 as grace is what an attempt that no record names gets;
+    every other grace is written as a decimal number."""
+    grace = [
+        None if seconds == 0 and type(seconds) is int else _length(seconds) for seconds in grace_s
+    ]
+    return worker_messages.order_to_wire(_ORDERS[verb](job, task, attempt, *grace))
 
 
 def submission(number: int, **changes: Any) -> Fields:
