--- a/roadbend/autoscaler/cloud.py
+++ b/roadbend/autoscaler/cloud.py
@@ -19,7 +19,7 @@
     read_created,
     read_list_page,
 )
-from roadbend.errors import RoadbendError
+from roadbend.errors import RetryableError
 from roadbend.http.client import Client, NoAnswerError
 from roadbend.http.server import MalformedError
 from roadbend.store.request_budget import SharedTokenBucket
@@ -56,11 +56,11 @@
     LIST = 3
 
 
-class NoCapacityError(RoadbendError):
+class NoCapacityError(RetryableError):
     """The cloud has no machine of the kind in the zone now."""
 
 
-class CloudBusyError(RoadbendError):
+class CloudBusyError(RetryableError):
     """Not executed: over the limit, the cloud is out, or the precondition no longer held."""
 
 
--- a/roadbend/settings/errors.py
+++ b/roadbend/settings/errors.py
@@ -1,7 +1,7 @@
 """What a settings file that can't be used raises."""
 
-from roadbend.errors import RoadbendError
+from roadbend.errors import PermanentError
 
 
-class SettingsError(RoadbendError):
+class SettingsError(PermanentError):
     """A settings file can't be used; the message names the key."""
--- a/roadbend/store/client.py
+++ b/roadbend/store/client.py
@@ -218,7 +218,7 @@
         try:
             return await state.compare_and_swap(conditions, changes, urgent=urgent)
         except (RefusedError, NoAnswerError) as error:
-            wait = waits.next()
+            wait = waits.next_wait()
             if clock.now() + wait >= deadline:
                 keys = tuple(change.key for change in changes)
                 raise UnavailableError(str(error), Operation.COMPARE_AND_SWAP, keys) from None
--- a/roadbend/store/errors.py
+++ b/roadbend/store/errors.py
@@ -7,7 +7,7 @@
 from enum import StrEnum
 from typing import ClassVar
 
-from roadbend.errors import RoadbendError
+from roadbend.errors import PermanentError, RetryableError, RoadbendError, UnknownOutcomeError
 from roadbend.http.client import NoAnswerError
 
 
@@ -51,19 +51,19 @@
         self.keys = keys
 
 
-class RefusedError(StateStoreError):
+class RefusedError(StateStoreError, RetryableError):
     """The state store refused a request: an outage, or the controllers are over its limits."""
 
     outcome = Outcome.TRY_LATER
 
 
-class LeaseEndedError(StateStoreError):
+class LeaseEndedError(StateStoreError, PermanentError):
     """The lease that a request names has expired."""
 
     outcome = Outcome.NOT_CARRIED_OUT
 
 
-class ConflictError(StateStoreError):
+class ConflictError(StateStoreError, PermanentError):
     """A condition of a transaction does not hold.
 
     `failed` are the keys whose mod revisions are others. Where the transaction was sent before
@@ -83,7 +83,7 @@
     outcome = Outcome.UNKNOWN
 
 
-class UnavailableError(StateStoreError):
+class UnavailableError(StateStoreError, UnknownOutcomeError):
     """The state store gave no definite answer to a transaction in time."""
 
     outcome = Outcome.UNKNOWN
