--- a/roadbend/fakes/differences.py
+++ b/roadbend/checkers/differences.py
@@ -1,7 +1,8 @@
-"""What really differs between the stored records and the workers, worked out by the fakes.
+"""What really differs between the stored records and the workers, worked out from the fakes.
 
 Nothing of the product is used here, not even its reading of records: this is what its own
-comparison is judged by."""
+comparison is judged by.
+"""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
@@ -24,6 +25,7 @@
 
     @property
     def job(self) -> str:
+        """Return the id of the task's job."""
         return self.task.rpartition("/")[0]
 
 
@@ -48,16 +50,18 @@
     machines: int = 0
 
     def counts(self) -> dict[str, int]:
+        """Return how many differences of each kind there are."""
         names = ("missing", "ended", "cancelled", "unrecorded", "silent", "leftovers")
         return {name: len(getattr(self, name)) for name in names}
 
     @property
     def total(self) -> int:
+        """Return how many differences there are."""
         return sum(self.counts().values())
 
     @property
     def needed_orders(self) -> int:
-        """Orders that settle them: a start, a removal, or a stop and a removal."""
+        """Return how many orders settle them: a start, a removal, or a stop and a removal."""
         return (
             len(self.missing)
             + len(self.ended)
@@ -67,7 +71,7 @@
 
 
 def recorded_attempts(state: FakeStateService) -> set[Placed]:
-    """The attempts that the stored slices name."""
+    """Return the attempts that the stored slices name."""
     found = set()
     for key, value in state.starting(SLICE).items():
         job = key.removeprefix(SLICE).split("/")[1]
@@ -88,7 +92,7 @@
 
 
 def true_differences(state: FakeStateService, workers: Iterable[FakeWorker]) -> TrueDifferences:
-    """Compares the stored records with what is on machines now."""
+    """Compare the stored records with what is on machines now."""
     recorded, live = recorded_attempts(state), set(_live_jobs(state))
     working = {worker.machine: worker for worker in workers if not worker.hung}
     found = _Sorted()
--- a/roadbend/fakes/test_search.py
+++ b/roadbend/checkers/test_search.py
@@ -1,14 +1,14 @@
-"""The search for broken rules: it sees what it is to see, goes the same way every time, and a few
-of its runs."""
+"""The search for broken rules finds what it is to find, and goes the same way every time."""
 
 import random
 
 import pytest
 import trio
 
-from roadbend.fakes import search
+from roadbend.checkers import search, search_runs
+from roadbend.checkers.search_faults import FAULTS, Deployment, Kind
+from roadbend.checkers.search_runs import Fault, Run
 from roadbend.fakes.scenario import SITES
-from roadbend.fakes.search import FAULTS, Deployment, Fault, Kind, Run
 from roadbend.fakes.submission import job
 from roadbend.fakes.world import world
 
@@ -16,7 +16,7 @@
 async def start_again_elsewhere(
     deployment: Deployment, _length: float, _rng: random.Random
 ) -> None:
-    """A planted double start: another machine is told to start a task that runs."""
+    """Plant a double start: another machine is told to start a task that runs."""
     board = deployment.world.board
     task, homes = next((task, homes) for task, homes in board.where.items() if homes)
     other = next(worker for worker in deployment.world.workers() if worker.machine not in homes)
@@ -27,19 +27,19 @@
 
 def test_a_planted_double_start_is_found_and_the_run_made_small(monkeypatch):
     monkeypatch.setitem(FAULTS, "planted", Kind(start_again_elsewhere, (0.1, 0.2)))
-    monkeypatch.setattr(search, "QUIET", 5.0)
+    monkeypatch.setattr(search_runs, "QUIET", 5.0)
     faults = (Fault(30.0, "cancel", 0.1, 1), Fault(40.0, "planted", 0.1, 2))
     run = Run(0, sorted(SITES)[0], faults)
-    broken = search.play_alone(run)
+    broken = search_runs.play_alone(run)
     assert broken and broken[0].startswith("ran_twice")
-    assert search.play_alone(run) == broken, "the same every time"
+    assert search_runs.play_alone(run) == broken, "the same every time"
     assert [fault.kind for fault in search.shrink(run, "ran_twice").faults] == ["planted"]
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_a_few_runs_of_the_search_break_no_rule(seed):
-    run = search.draw(seed)
-    assert search.play_alone(run) == [], [str(fault) for fault in run.faults]
+    run = search_runs.draw(seed)
+    assert search_runs.play_alone(run) == [], [str(fault) for fault in run.faults]
 
 
 def test_the_run_that_showed_a_task_in_two_places_breaks_no_rule_any_more():
@@ -49,7 +49,7 @@
         Fault(29.95, "hold-packets", 13.38, 446364384),
         Fault(34.36, "outage", 4.36, 723354304),
     )
-    assert search.play_alone(Run(53, "pet", faults)) == []
+    assert search_runs.play_alone(Run(53, "pet", faults)) == []
 
 
 async def test_a_controller_that_stands_still_does_nothing_meanwhile_and_then_goes_on():
--- a/roadbend/fakes/loopback.py
+++ b/roadbend/fakes/loopback.py
@@ -9,8 +9,8 @@
 
 import trio
 
+from roadbend.checkers.protocol_rules import Rules
 from roadbend.fakes.cloud import FakeCloud
-from roadbend.fakes.rules import Rules
 from roadbend.fakes.state import FakeStateService
 from roadbend.fakes.worker import Board, FakeWorker
 from roadbend.http.client import Client, NoAnswerError
--- a/roadbend/fakes/scenario.py
+++ b/roadbend/fakes/scenario.py
@@ -3,6 +3,7 @@
 import random
 from collections.abc import Awaitable, Callable
 from datetime import timedelta
+from typing import Any
 
 import trio
 
@@ -11,7 +12,7 @@
 from roadbend.settings import OperatorSettings, ServiceLevelObjective, Team
 
 S = timedelta(seconds=1)
-SITES = {
+SITES: dict[str, dict[str, Any]] = {
     "visa": dict(heartbeat_interval=2.5 * S, lease=18 * S, cancel_within=38 * S),
     "pet": dict(
         heartbeat_interval=3 * S,
--- a/roadbend/fakes/test_fakes.py
+++ b/roadbend/fakes/test_fakes.py
@@ -6,8 +6,9 @@
 import pytest
 import trio
 
+from roadbend.checkers.observed_jobs import Place
+from roadbend.checkers.protocol_rules import Rules
 from roadbend.fakes.network import Network
-from roadbend.fakes.rules import Place, Rules
 from roadbend.fakes.state import FakeStateService
 from roadbend.fakes.submission import job
 from roadbend.fakes.world import MACHINE_TYPE, World, world
--- a/roadbend/fakes/user_behaviour.py
+++ b/roadbend/fakes/user_behaviour.py
@@ -8,7 +8,8 @@
 
 import trio
 
-from roadbend.fakes.rules import FIELDS, Case, Rules
+from roadbend.checkers.observed_jobs import REQUIRED_FIELDS, Case
+from roadbend.checkers.protocol_rules import Rules
 from roadbend.fakes.submission import job
 
 if TYPE_CHECKING:
@@ -96,7 +97,7 @@
             if kind == 0 and old is not None:
                 await self.call(at, "POST", "/v1/jobs", old.body)
             elif kind == 1 and old is not None:
-                spoilt = {k: v for k, v in old.body.items() if k != rng.choice(FIELDS[1:])}
+                spoilt = {k: v for k, v in old.body.items() if k != rng.choice(REQUIRED_FIELDS[1:])}
                 await self.call(
                     at, "POST", "/v1/jobs", {**spoilt, "vcpus": rng.choice((-1, 99.0, "x"))}
                 )
@@ -104,7 +105,7 @@
                 await self.call(at, "POST", f"/v1/jobs/{old.name}/withdraw", {})
             elif kind == 3:
                 lacking = job(number)
-                del lacking[rng.choice(FIELDS[1:])]
+                del lacking[rng.choice(REQUIRED_FIELDS[1:])]
                 await self.call(at, "POST", "/v1/jobs", lacking)
             else:
                 odd = rng.choice(
--- a/roadbend/fakes/worker.py
+++ b/roadbend/fakes/worker.py
@@ -7,7 +7,8 @@
 
 import trio
 
-from roadbend.fakes.rules import Place, Rules
+from roadbend.checkers.observed_jobs import Place
+from roadbend.checkers.protocol_rules import Rules
 from roadbend.http.client import Client, NoAnswerError
 from roadbend.http.server import Request, Response, Server, decode
 
--- a/roadbend/fakes/world.py
+++ b/roadbend/fakes/world.py
@@ -9,11 +9,11 @@
 import trio
 
 from roadbend import clock
+from roadbend.checkers.protocol_rules import Rules
 from roadbend.controller import Controller
 from roadbend.fakes.cloud import FakeCloud
 from roadbend.fakes.network import Network
 from roadbend.fakes.previous_version import PreviousVersionController
-from roadbend.fakes.rules import Rules
 from roadbend.fakes.stalls import HOST, Stalls
 from roadbend.fakes.state import FakeStateService
 from roadbend.fakes.troubles import Troubles
--- a/roadbend/recovery/test_recovery.py
+++ b/roadbend/recovery/test_recovery.py
@@ -7,7 +7,7 @@
 import trio
 
 from roadbend import clock
-from roadbend.fakes.differences import recorded_attempts, true_differences
+from roadbend.checkers.differences import recorded_attempts, true_differences
 from roadbend.fakes.submission import gang, job
 from roadbend.fakes.world import world
 from roadbend.fleet.machines import StopOrder
--- a/roadbend/rehearsal/measurement.py
+++ b/roadbend/rehearsal/measurement.py
@@ -8,9 +8,9 @@
 
 import trio
 
+from roadbend.checkers.differences import ATTEMPT_BITS, Placed, TrueDifferences, true_differences
+from roadbend.checkers.protocol_rules import Rules
 from roadbend.fakes.cloud import FakeCloud
-from roadbend.fakes.differences import ATTEMPT_BITS, Placed, TrueDifferences, true_differences
-from roadbend.fakes.rules import Rules
 from roadbend.fakes.state import FakeStateService
 from roadbend.fakes.worker import Board, FakeWorker, ReceivedOrder
 
--- a/roadbend/rehearsal/runner.py
+++ b/roadbend/rehearsal/runner.py
@@ -7,8 +7,8 @@
 import trio
 import trio.testing
 
+from roadbend.checkers.search_runs import use_simulated_time_of_day
 from roadbend.controller import Controller
-from roadbend.fakes.search import use_simulated_time_of_day
 from roadbend.fakes.world import World, world
 from roadbend.rehearsal.measurement import Measured
 from roadbend.rehearsal.report import Report
--- a/roadbend/test_meetings.py
+++ b/roadbend/test_meetings.py
@@ -1,5 +1,5 @@
 """Two troubles at once: each meeting that the users listed, brought about in memory with delays and
-order drawn from a seed, at the times of both deployments. The judge of `fakes/rules.py` says
+order drawn from a seed, at the times of both deployments. The judge, `protocol_rules`, says
 whether a rule broke, whether a job was forgotten, and whether one was left waiting;
 docs/meetings.md says what keeps the rule in each."""
 
--- a/roadbend/test_meetings_of_messages.py
+++ b/roadbend/test_meetings_of_messages.py
@@ -1,5 +1,5 @@
 """Meetings of late and lost messages: those of the users' page that came with its later edition.
-As in `test_meetings`, the judge of `fakes/rules.py` decides; docs/meetings.md has the guards."""
+As in `test_meetings`, the judge, `protocol_rules`, decides; docs/meetings.md has the guards."""
 
 import pytest
 import trio
