--- a/roadbend/autoscaler/test_autoscaler.py
+++ b/roadbend/autoscaler/test_autoscaler.py
@@ -9,8 +9,8 @@
 from roadbend.autoscaler.messages import read_machine_types
 from roadbend.autoscaler.policy import Timing
 from roadbend.autoscaler.service import MAX_REQUESTS, Autoscaler
+from roadbend.fakes.platform import MACHINE_TYPE
 from roadbend.fakes.scheduling import MACHINE_TYPES, SMALL, choices, pending
-from roadbend.fakes.world import MACHINE_TYPE
 from roadbend.http.server import MalformedError
 from roadbend.placement.forecast import MachineTimeline, Release
 from roadbend.placement.free_capacity import FreeCapacity
--- a/roadbend/checkers/test_search.py
+++ b/roadbend/checkers/test_search.py
@@ -21,7 +21,7 @@
     task, homes = next((task, homes) for task, homes in board.where.items() if homes)
     other = next(worker for worker in deployment.world.workers() if worker.machine not in homes)
     # At once, for the controllers would stop it with its machine's next report.
-    other._fetch_s = 0.0
+    other.settings.fetch_s = 0.0
     other.execute([{"verb": "run", "leg": task, "try": 1}])
 
 
--- a/roadbend/fakes/cloud.py
+++ b/roadbend/fakes/cloud.py
@@ -36,7 +36,8 @@
         make: Callable[..., Any],
     ):
         """`make(machine id, type, zone, spot)` gives a worker with a `run` method and an
-        `address`."""
+        `address`.
+        """
         self._nursery, self._machine_types, self._capacity, self._make = (
             nursery,
             machine_types,
--- a/roadbend/fakes/gangs.py
+++ b/roadbend/fakes/gangs.py
@@ -1,5 +1,8 @@
 """What scenario tests of gangs share: teams, small records, and how a gang begins."""
 
+from http import HTTPStatus
+from typing import Any
+
 from roadbend.fakes.world import World
 from roadbend.settings import Team
 
@@ -26,12 +29,13 @@
 
 
 async def begun(
-    w: World, body: dict, length: float | None, at: int = 0, within: float = 60
+    w: World, body: dict[str, Any], length: float | None, at: int = 0, within: float = 60
 ) -> list[str]:
     """Submit a gang, wait until all of it runs, and return its machines.
 
     `length`: how long its tasks run, in seconds. `within`: how long it may take to begin, in
-    seconds."""
-    assert await w.submit(at, body, length) == 201
+    seconds.
+    """
+    assert await w.submit(at, body, length) == HTTPStatus.CREATED
     assert await w.until(lambda: len(running(w, body["id"])) == body["legs"], within)
     return sorted({m for t in w.board.running(body["id"]) for m in w.board.where[t]})
--- a/roadbend/fakes/loopback.py
+++ b/roadbend/fakes/loopback.py
@@ -9,10 +9,13 @@
 
 import trio
 
+from roadbend.checkers.observed_jobs import Place
 from roadbend.checkers.protocol_rules import Rules
+from roadbend.fakes.board import Board
 from roadbend.fakes.cloud import FakeCloud
 from roadbend.fakes.state import FakeStateService
-from roadbend.fakes.worker import Board, FakeWorker
+from roadbend.fakes.worker import FakeWorker
+from roadbend.fakes.worker_tasks import WorkerSettings
 from roadbend.http.client import Client, NoAnswerError
 from roadbend.http.net import Net
 from roadbend.http.server import Request, Response, Server, decode
@@ -145,12 +148,9 @@
             self._net,
             self.board,
             self.controllers,
-            machine=machine,
+            place=Place(machine, machine_type, zone, spot),
             address=address,
-            machine_type=machine_type,
-            zone=zone,
-            spot=spot,
-            caches_images=True,
+            settings=WorkerSettings(caches_images=True),
         )
 
     def workers(self) -> list[FakeWorker]:
--- a/roadbend/fakes/network.py
+++ b/roadbend/fakes/network.py
@@ -106,7 +106,8 @@
         self, stream: trio.testing.MemorySendStream, sender: str, receiver: str, opened: bool
     ) -> None:
         """Lets nothing through to a deaf host, and holds back what is to be held back; the
-        connection stays as it is."""
+        connection stays as it is.
+        """
         pump, finish, way = stream.send_all_hook, stream.close_hook, (sender, receiver)
 
         def waits() -> bool:
--- a/roadbend/fakes/previous_version.py
+++ b/roadbend/fakes/previous_version.py
@@ -1,6 +1,7 @@
 """A controller as the version in production is, for scenarios of an upgrade. It speaks and writes
 just what that version does (test_upgrade.py has its bytes): frames and records of the settings'
-present limits only, no word of gangs, and starts ordered by reports alone."""
+present limits only, no word of gangs, and starts ordered by reports alone.
+"""
 
 import random
 from dataclasses import replace
--- a/roadbend/fakes/random_failures.py
+++ b/roadbend/fakes/random_failures.py
@@ -1,7 +1,8 @@
 """Failures drawn at random, for scenarios in which two of them meet.
 
 Each takes a deployment and a generator, lasts for some seconds, and leaves the deployment able to
-go on."""
+go on.
+"""
 
 import random
 from collections.abc import Awaitable, Callable
--- a/roadbend/fakes/scenario.py
+++ b/roadbend/fakes/scenario.py
@@ -37,7 +37,8 @@
 
 class Scenario:
     """A small deployment with work in every zone: services (1 to 3, the second `apart`), arrays
-    and gangs that run long (10 to 17), and such as come and end (from 20 on)."""
+    and gangs that run long (10 to 17), and such as come and end (from 20 on).
+    """
 
     def __init__(self, w: World, rng: random.Random, site: str):
         self.w, self.rng, self.site = w, rng, SITES[site]
@@ -71,7 +72,8 @@
 
     async def more(self, number: int, **changes) -> None:
         """An array, or every third time a gang, that begins soon and ends; submitted wherever it
-        is accepted."""
+        is accepted.
+        """
         make = gang if number % 3 == 0 else job
         body = make(number, **{"legs": self.rng.randint(1, 3), "dueS": 40.0, **changes})
         for at in self.rng.sample(range(3), 3):
@@ -103,7 +105,8 @@
 
     async def cancel(self, names: list[str], low: float = 0.0, high: float = 0.0) -> None:
         """Called off at controllers in any order, each after its own while, and repeated until it
-        is answered."""
+        is answered.
+        """
         async with trio.open_nursery() as nursery:
             for called in names:
                 nursery.start_soon(self._cancel, called, self.rng.uniform(low, high))
@@ -117,7 +120,8 @@
     async def gap(self, delay: float) -> None:
         """The state service refuses the leader of the east alone, others confirm cancellations,
         then it is out for all for longer than a cancellation has, while workers go on reporting to
-        the old leader."""
+        the old leader.
+        """
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.w.refuse, 0, delay + 10)
             nursery.start_soon(self.cancel, self.long[:4], 0.0, delay)
--- a/roadbend/fakes/scheduling.py
+++ b/roadbend/fakes/scheduling.py
@@ -8,8 +8,8 @@
 from roadbend.autoscaler import policy
 from roadbend.autoscaler.cloud import read_machine_types
 from roadbend.autoscaler.policy import MachineOption
+from roadbend.fakes.platform import MACHINE_TYPE
 from roadbend.fakes.submission import job
-from roadbend.fakes.world import MACHINE_TYPE
 from roadbend.intake.messages import read_submission
 from roadbend.placement.free_capacity import FreeCapacity
 from roadbend.placement.queue_order import PendingTasks
@@ -35,7 +35,8 @@
 ) -> PendingTasks:
     """Return the first `count` tasks of a job that was submitted `age` seconds ago.
 
-    `changes` are made to the submission, in the names of the users' interface."""
+    `changes` are made to the submission, in the names of the users' interface.
+    """
     name, spec = read_submission(job(number, **changes))
     return PendingTasks(
         Job(name, spec, clock.wall() - timedelta(seconds=age)), ((0, count),), guaranteed
@@ -69,5 +70,6 @@
 def choices(refused: Collection[tuple[str, bool]] = ()) -> list[MachineOption]:
     """Return the machine types that may be created in the east.
 
-    `refused`: those that the cloud has none of, each with whether it is a spot machine."""
+    `refused`: those that the cloud has none of, each with whether it is a spot machine.
+    """
     return policy.options(MACHINE_TYPES.values(), "east", set(refused))
--- a/roadbend/fakes/stalls.py
+++ b/roadbend/fakes/stalls.py
@@ -2,7 +2,8 @@
 
 A process that is starved of processor time stops wherever it awaits, and finds everything that came
 meanwhile when it goes on. Simulated time alone never shows that. An instrument of trio puts aside
-the tasks of a stalled host as they become ready, and hands them back in that order."""
+the tasks of a stalled host as they become ready, and hands them back in that order.
+"""
 
 import contextvars
 
--- a/roadbend/fakes/state.py
+++ b/roadbend/fakes/state.py
@@ -203,7 +203,8 @@
 
     def restore_records(self, copy: "StoredCopy") -> None:
         """The service lost everything written since, as after a restore from a copy; what hung on
-        a lease that has ended meanwhile is gone all the same."""
+        a lease that has ended meanwhile is gone all the same.
+        """
         self.revision, self.log = copy.revision, list(copy.log)
         self.keys = {
             key: row for key, row in copy.keys.items() if row[2] is None or row[2] in self.leases
--- a/roadbend/fakes/test_fakes.py
+++ b/roadbend/fakes/test_fakes.py
@@ -9,9 +9,10 @@
 from roadbend.checkers.observed_jobs import Place
 from roadbend.checkers.protocol_rules import Rules
 from roadbend.fakes.network import Network
+from roadbend.fakes.platform import MACHINE_TYPE
 from roadbend.fakes.state import FakeStateService
 from roadbend.fakes.submission import job
-from roadbend.fakes.world import MACHINE_TYPE, World, world
+from roadbend.fakes.world import World, world
 from roadbend.http.client import Client, NoAnswerError
 from roadbend.settings import Team
 
--- a/roadbend/fakes/troubles.py
+++ b/roadbend/fakes/troubles.py
@@ -1,5 +1,6 @@
 """Troubles of a deployment in memory: outages, cuts, machines that hang or can't be heard, and
-messages that come late. Each method lasts as long as its trouble and ends what it began."""
+messages that come late. Each method lasts as long as its trouble and ends what it began.
+"""
 
 from __future__ import annotations
 
@@ -99,7 +100,8 @@
 
     async def late_reports(self, share: float, length: float, rng: random.Random) -> None:
         """Copies of reports arrive again, from 2 s to well over a lease later, at any
-        controller."""
+        controller.
+        """
 
         async def again(body: dict) -> None:
             await trio.sleep(rng.uniform(2, 2.2 * self._sample.lease.total_seconds()))
@@ -118,7 +120,8 @@
 
     async def late_commands(self, share: float, length: float, rng: random.Random) -> None:
         """That share of direct commands is held up on its way, unanswered, and arrives once, 2 to
-        16 s late; also on machines that come up meanwhile."""
+        16 s late; also on machines that come up meanwhile.
+        """
 
         def delay() -> float | None:
             late = rng.random() < share
@@ -136,7 +139,8 @@
         self, share: float, length: float, rng: random.Random
     ) -> None:
         """Copies of reports are kept until their zone has its next owner, and then reach every
-        controller, at once and again a moment later."""
+        controller, at once and again a moment later.
+        """
         copies: dict[str, list[dict]] = {zone: [] for zone in self.zones}
 
         def keep(_worker: FakeWorker, body: dict) -> None:
--- a/roadbend/fakes/user_behaviour.py
+++ b/roadbend/fakes/user_behaviour.py
@@ -1,5 +1,6 @@
 """What users do to a deployment in memory beyond plain submitting and asking: cancelling at the
-worst moment, repeating, sending nonsense, asking everywhere at once."""
+worst moment, repeating, sending nonsense, asking everywhere at once.
+"""
 
 from __future__ import annotations
 
@@ -15,7 +16,7 @@
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
 
-    from roadbend.fakes.worker import Board
+    from roadbend.fakes.board import Board
 
 # After a job was accepted, ended or cancelled, users ask at these times, in seconds.
 LOOK_TIMES = (0.0, 0.002, 0.01, 0.05, 0.3)
@@ -36,7 +37,8 @@
 
     async def cancel_now(self, names: list[str], hang_s: float = 0.0) -> None:
         """Users call off jobs that run, within a fifth of a second; with `hang_s`, up to eight of
-        their machines hang that long."""
+        their machines hang that long.
+        """
         homes = sorted(
             {m for name in names for t in self.board.running(name) for m in self.board.where[t]}
         )[:8]
@@ -63,7 +65,8 @@
 
     async def cancel_at_end(self, names: list[str]) -> None:
         """Jobs are called off, asked after and submitted again at the moment at which their last
-        task ends."""
+        task ends.
+        """
 
         def completed(task: str) -> None:
             name = task.rpartition("/")[0]
@@ -87,7 +90,8 @@
 
     async def odd_requests(self, length: float, rng: random.Random) -> None:
         """Users repeat submissions of unfinished jobs, also spoilt ones, cancel jobs that are done,
-        and send jobs that fit no machine or lack a field."""
+        and send jobs that fit no machine or lack a field.
+        """
         number, end = 900_000, trio.current_time() + length
         while trio.current_time() < end:
             number, at = number + 1, rng.randrange(self.count)
@@ -116,7 +120,8 @@
 
     async def close_looks(self, length: float, rng: random.Random) -> None:
         """Users ask every controller within milliseconds after a job was accepted, ended or
-        cancelled; some repeat the submission, and some cancel a job that was just accepted."""
+        cancelled; some repeat the submission, and some cancel a job that was just accepted.
+        """
 
         def news(case: Case) -> None:
             for at in range(self.count):
--- a/roadbend/fakes/world.py
+++ b/roadbend/fakes/world.py
@@ -9,60 +9,23 @@
 import trio
 
 from roadbend import clock
+from roadbend.checkers.observed_jobs import Place
 from roadbend.checkers.protocol_rules import Rules
 from roadbend.controller import Controller
+from roadbend.fakes.board import Board
 from roadbend.fakes.cloud import FakeCloud
 from roadbend.fakes.network import Network
+from roadbend.fakes.platform import MACHINE_TYPE, ZONES, settings_for
 from roadbend.fakes.previous_version import PreviousVersionController
 from roadbend.fakes.stalls import HOST, Stalls
 from roadbend.fakes.state import FakeStateService
 from roadbend.fakes.troubles import Troubles
 from roadbend.fakes.user_behaviour import UserBehaviour
-from roadbend.fakes.worker import Board, FakeWorker
+from roadbend.fakes.worker import FakeWorker
+from roadbend.fakes.worker_tasks import WorkerSettings
 from roadbend.http.client import Client, NoAnswerError
 from roadbend.http.server import Server
-from roadbend.settings import OperatorSettings, Peer, PlatformSettings, Team
-
-ZONES = ("east", "north", "west")
-MACHINE_TYPE = {
-    "name": "g2",
-    "vcpus": 24.0,
-    "gpus": 2.0,
-    "memoryGb": 144.0,
-    "cacheGb": 100.0,
-    "pullGbPerS": 1.0,
-    "price": 6.0,
-    "lowPrice": 2.0,
-    "startupS": 10.0,
-    "yards": list(ZONES),
-}
-
-
-def settings_for(at: int, count: int, **changes) -> PlatformSettings:
-    names = [f"node-{n}" for n in range(count)]
-    values = dict(
-        name=names[at],
-        zone=ZONES[at],
-        listen=f"{names[at]}:80",
-        back=f"{names[at]}:81",
-        peers=tuple(Peer(n, ZONES[i], f"{n}:81") for i, n in enumerate(names) if i != at),
-        cloud="cloud:1",
-        state="state:1",
-        zones=ZONES[:count],
-        teams={"red": Team("red", 0, 0, 4, 6), "blue": Team("blue", 0, 0, 4, 12)},
-        clock_off=timedelta(milliseconds=50),
-        heartbeat_interval=timedelta(seconds=2.5),
-        lease=timedelta(seconds=18),
-        cancel_within=timedelta(seconds=38),
-        state_rps=250.0,
-        state_write_rps=60.0,
-        value_bytes=32 * 1024,
-        txn_ops=16,
-        cloud_rps=6.0,
-        list_lag=timedelta(seconds=5),
-        sockets=1000,
-    )
-    return PlatformSettings(**{**values, **changes})
+from roadbend.settings import OperatorSettings
 
 
 class World(Troubles, UserBehaviour):
@@ -138,7 +101,8 @@
 
     async def over(self, within: float = 240) -> None:
         """All troubles are over: users ask after every job until it is done, and the judge's clocks
-        for what is forgotten or left waiting run."""
+        for what is forgotten or left waiting run.
+        """
         self.rules.troubles_over()
 
         async def settled() -> bool:
@@ -174,17 +138,16 @@
             self.network.port(machine),
             self.board,
             self.addresses,
-            machine=machine,
+            place=Place(machine, machine_type, zone, spot),
             address=f"{machine}:1",
-            machine_type=machine_type,
-            zone=zone,
-            spot=spot,
-            broken=machine in self.broken_machines,
-            report_s=self._sample.heartbeat_interval.total_seconds(),
-            lease_s=self._sample.lease.total_seconds(),
-            gang_wait_s=self._sample.gang_wait.total_seconds(),
-            gang_peer_s=self._sample.gang_peer.total_seconds(),
-            caches_images=self._caches_images,
+            settings=WorkerSettings(
+                heartbeat_s=self._sample.heartbeat_interval.total_seconds(),
+                lease_s=self._sample.lease.total_seconds(),
+                broken=machine in self.broken_machines,
+                gang_wait_s=self._sample.gang_wait.total_seconds(),
+                gang_peer_s=self._sample.gang_peer.total_seconds(),
+                caches_images=self._caches_images,
+            ),
         )
         worker.command_delay = self.command_delay
         return worker
@@ -288,7 +251,8 @@
 ) -> AsyncIterator[World]:
     """`judge` gets the broken rules at the end; without it, one broken rule fails. With
     `caches_images` a task whose image is on its machine begins at once. `equip` is called with
-    every controller of today's version before it starts."""
+    every controller of today's version before it starts.
+    """
     async with trio.open_nursery() as nursery:
         made = World(
             nursery, count, operator or OperatorSettings(), capacity, changes, caches_images, equip
--- a/roadbend/intake/test_intake.py
+++ b/roadbend/intake/test_intake.py
@@ -7,8 +7,9 @@
 
 from roadbend.autoscaler.messages import read_machine_types
 from roadbend.fakes import user
+from roadbend.fakes.platform import MACHINE_TYPE, settings_for
 from roadbend.fakes.submission import job
-from roadbend.fakes.world import MACHINE_TYPE, settings_for, world
+from roadbend.fakes.world import world
 from roadbend.http.server import MalformedError
 from roadbend.intake.feasibility import NeverRunsError, can_run
 from roadbend.intake.final_states import FinalStateCache
--- a/roadbend/placement/test_placement.py
+++ b/roadbend/placement/test_placement.py
@@ -4,8 +4,8 @@
 import random
 
 from roadbend import clock
+from roadbend.fakes.platform import settings_for
 from roadbend.fakes.scheduling import capacity, pending
-from roadbend.fakes.world import settings_for
 from roadbend.fleet.terminations import TaskKey
 from roadbend.placement import bin_packing, forecast, free_capacity, preemption_policy, queue_order
 from roadbend.placement.fair_share import within_guarantee
--- a/roadbend/recovery/test_commands.py
+++ b/roadbend/recovery/test_commands.py
@@ -7,8 +7,9 @@
 import trio
 
 from roadbend import cli
+from roadbend.fakes.platform import settings_for
 from roadbend.fakes.submission import job
-from roadbend.fakes.world import settings_for, world
+from roadbend.fakes.world import world
 from roadbend.recovery import commands
 from roadbend.recovery.service import install
 from roadbend.recovery.settings import RecoverySettings
--- a/roadbend/recovery/test_recovery.py
+++ b/roadbend/recovery/test_recovery.py
@@ -102,7 +102,7 @@
         task = next(iter(worker.tasks.values()))
         stop_all(w)
         drop(w, "r/slice/")
-        worker._end(task, "done")
+        worker.end(task, "done")
         starts = len(w.board.starts)
         start_all(w)
 
--- a/roadbend/rehearsal/measurement.py
+++ b/roadbend/rehearsal/measurement.py
@@ -10,9 +10,10 @@
 
 from roadbend.checkers.differences import ATTEMPT_BITS, Placed, TrueDifferences, true_differences
 from roadbend.checkers.protocol_rules import Rules
+from roadbend.fakes.board import Board, ReceivedOrder
 from roadbend.fakes.cloud import FakeCloud
 from roadbend.fakes.state import FakeStateService
-from roadbend.fakes.worker import Board, FakeWorker, ReceivedOrder
+from roadbend.fakes.worker import FakeWorker
 
 # How often the records and the workers are compared, in seconds.
 COMPARE_EVERY = 0.5
--- a/roadbend/test_combined_failures.py
+++ b/roadbend/test_combined_failures.py
@@ -6,8 +6,9 @@
 import pytest
 import trio
 
+from roadbend.fakes.platform import ZONES
 from roadbend.fakes.submission import job
-from roadbend.fakes.world import ZONES, World, world
+from roadbend.fakes.world import World, world
 from roadbend.settings import OperatorSettings, Team
 from roadbend.store import keys
 
--- a/roadbend/test_double_starts.py
+++ b/roadbend/test_double_starts.py
@@ -9,8 +9,9 @@
 import trio
 
 from roadbend import clock
+from roadbend.fakes.platform import settings_for
 from roadbend.fakes.submission import job
-from roadbend.fakes.world import World, settings_for, world
+from roadbend.fakes.world import World, world
 from roadbend.fleet.messages import parse_heartbeat
 from roadbend.fleet.terminations import TaskKey, Termination, TerminationEvidence
 from roadbend.partitions.leadership import Leadership
@@ -133,7 +134,7 @@
         # A task has failed: room for the one that waits. It is recorded, but the answer of the
         # state service is lost, so that the report waits to the end.
         failed = next(task for task in worker.tasks.values() if task.name == "run-000002/0")
-        worker._end(failed, "error")
+        worker.end(failed, "error")
         first, between = worker.heartbeat(), worker.heartbeat()
         w.state.deaf.add("node-0")
         async with trio.open_nursery() as nursery:
@@ -164,7 +165,7 @@
         worker = w.cloud.machines[machine].worker
         w.network.silence(machine)
         await trio.sleep(0.1)
-        worker._end(next(iter(worker.tasks.values())), "error")
+        worker.end(next(iter(worker.tasks.values())), "error")
         answers = []
 
         async def heartbeat() -> None:
@@ -189,7 +190,7 @@
         w.cloud.down = True
         cut_off(w, machine)
         known = leader.machines[machine]
-        await trio.sleep_until(worker._answered + LEASE_S - 0.05)
+        await trio.sleep_until(worker.lease.renewed_at + LEASE_S - 0.05)
         sent, epoch, body = trio.current_time(), worker.epoch, worker.heartbeat()
         while TASK not in leader.ended and trio.current_time() < sent + 3.9:
             controller.fleet.failure_detector._expire(leader, machine)
--- a/roadbend/test_gang_phases.py
+++ b/roadbend/test_gang_phases.py
@@ -51,7 +51,7 @@
         await keep_machines(w, 50, 3)
         machines = {worker.machine for worker in w.workers()}
         slow = sorted(w.workers(), key=lambda worker: worker.machine)[0]
-        slow._fetch_s = SLOW_FETCH
+        slow.settings.fetch_s = SLOW_FETCH
         assert await w.submit(0, gang(1, 15, yard="east", imageGb=2.0, bundle="img-2"), 5.0) == 201
         causes: set[str] = set()
 
@@ -65,7 +65,7 @@
             return "alone" in causes
 
         assert await w.until(look, 90, 0.1)
-        slow._fetch_s = 1.0
+        slow.settings.fetch_s = 1.0
         await w.over()
         assert machines <= {m.id for m in w.cloud.machines.values() if m.status == "running"}
 
@@ -76,7 +76,7 @@
     async with world(count=1, teams=teams) as w:
         await keep_machines(w, 50, 3)
         for worker in sorted(w.workers(), key=lambda worker: worker.machine)[:1]:
-            worker._fetch_s = 12.0
+            worker.settings.fetch_s = 12.0
         body = gang(1, 4, yard="east", gpus=1.0, vcpus=5.0)
         assert await w.submit(0, body, 8.0) == 201
         assert await w.until(lambda: "gathering" in states(w, NAME), 30, 0.1)
@@ -96,7 +96,7 @@
         await keep_machines(w, 50, 3)
         body = gang(1, 15, yard="east", rank="best_effort", milestoneS=1000.0, stowS=4.0)
         for worker in sorted(w.workers(), key=lambda worker: worker.machine)[:1]:
-            worker._fetch_s = 8.0
+            worker.settings.fetch_s = 8.0
         if phase == "waiting":
             body["legs"] = 100
         assert await w.submit(0, body, None) == 201
--- a/roadbend/test_gangs.py
+++ b/roadbend/test_gangs.py
@@ -109,7 +109,7 @@
         machine = None
         # One machine's fetch takes long, so that the others wait for it; then it dies.
         slow = sorted(w.workers(), key=lambda x: x.machine)[0]
-        slow._fetch_s = 40.0
+        slow.settings.fetch_s = 40.0
         assert await w.submit(0, gang(1, 16), 8.0) == 201
         assert await w.until(lambda: len(w.board.running(NAME)) >= 4, 10)
         if any(t.name.startswith(NAME) for t in slow.tasks.values()):
--- a/roadbend/test_meetings_of_messages.py
+++ b/roadbend/test_meetings_of_messages.py
@@ -178,7 +178,7 @@
         for worker in w.workers():
             worker.command_delay = lambda: next(delays, None)
             # It says nothing for a while, so the token can't come with an answer to a report.
-            worker._report_s = 30.0
+            worker.settings.heartbeat_s = 30.0
         await trio.sleep(3)
         assert await w.submit(0, job(1, yard="east", **SOON), None) == 201
         await trio.sleep(1.0)
--- a/roadbend/test_rolling_upgrade.py
+++ b/roadbend/test_rolling_upgrade.py
@@ -14,8 +14,9 @@
 from roadbend.bidding.casa import Bid
 from roadbend.bidding.messages import BidRequest
 from roadbend.fakes import previous_version
+from roadbend.fakes.platform import settings_for
 from roadbend.fakes.submission import gang, job
-from roadbend.fakes.world import World, settings_for, world
+from roadbend.fakes.world import World, world
 from roadbend.partitions.leadership import Leadership
 from roadbend.peers import frames
 from roadbend.peers.heartbeat import PeerHeartbeat
