--- a/roadbend/http/client.py
+++ b/roadbend/http/client.py
@@ -1,37 +1,53 @@
 """A client with a bounded pool of connections to one address."""
 
 from datetime import timedelta
-from typing import Any
+from typing import Any, NamedTuple
 
-import cbor2
 import h11
 import trio
 
 from roadbend.errors import RoadbendError
+from roadbend.http.messages import MalformedError, decode, encode
 from roadbend.http.net import Net
-from roadbend.http.server import MalformedError, decode
 
 # No answer of any service we talk to is near this size; more is nonsense.
 ANSWER_LIMIT = 32 * 1024 * 1024
+RECEIVE_BYTES = 64 * 1024
 
 
 class NoAnswerError(RoadbendError):
     """No usable answer came; the request may have been carried out, or may be still."""
 
 
+class Answer(NamedTuple):
+    """What a request was answered."""
+
+    status: int
+    body: Any
+
+
+class _Connection(NamedTuple):
+    stream: trio.abc.Stream
+    http: h11.Connection
+
+
 class Client:
-    """Requests to one address, over a few connections that are kept."""
+    """Requests to one address.
 
-    def __init__(self, net: Net, address: str, most: int = 8, keep: int = 4):
+    `most`: connections at once; `keep`: how many of them are kept for requests to come.
+    """
+
+    def __init__(self, net: Net, address: str, most: int = 8, keep: int = 4) -> None:
         self.address = address
         self._net = net
         self._slots = trio.CapacityLimiter(most)
         self._keep = keep
-        self._idle: list[tuple[Any, h11.Connection]] = []
+        self._idle: list[_Connection] = []
 
     async def request(
         self, method: str, target: str, body: Any = None, *, within: timedelta
-    ) -> tuple[int, Any]:
+    ) -> Answer:
+        """Send one request and return its answer; raise `NoAnswerError` where none comes."""
         try:
             with trio.fail_after(within.total_seconds()):
                 async with self._slots:
@@ -47,67 +63,62 @@
             raise NoAnswerError(f"nonsense: {error}") from None
 
     async def close(self) -> None:
+        """Close the connections that are kept."""
         while self._idle:
-            stream, _ = self._idle.pop()
-            await trio.aclose_forcefully(stream)
-
-    async def _once(self, method: str, target: str, body: Any) -> tuple[int, Any]:
-        reused = bool(self._idle)
-        if reused:
-            stream, conn = self._idle.pop()
-        else:
-            stream, conn = await self._net.connect(self.address), h11.Connection(h11.CLIENT)
-        reusable = False
+            await trio.aclose_forcefully(self._idle.pop().stream)
+
+    async def _once(self, method: str, target: str, body: Any) -> Answer:
+        is_reused = bool(self._idle)
+        connection = self._idle.pop() if is_reused else await self._open()
+        stream, conn = connection
+        is_reusable = False
         try:
             await stream.send_all(self._request_bytes(conn, method, target, body))
-            status, data = await self._read_answer(stream, conn)
-            answer = decode(data) if data else None
-            if (
-                conn.our_state is h11.DONE
-                and conn.their_state is h11.DONE
-                and len(self._idle) < self._keep
-            ):
+            status, data = await _read_answer(stream, conn)
+            answer = Answer(status, decode(data) if data else None)
+            is_over = conn.our_state is h11.DONE and conn.their_state is h11.DONE
+            if is_over and len(self._idle) < self._keep:
                 conn.start_next_cycle()
-                reusable = True
-            return status, answer
+                is_reusable = True
+            return answer
         finally:
-            if reused and not reusable:
+            if is_reused and not is_reusable:
                 # A kept connection that failed says that its like are gone too (the other side
                 # restarted).
-                while self._idle:
-                    await trio.aclose_forcefully(self._idle.pop()[0])
-            if reusable:
-                self._idle.append((stream, conn))
+                await self.close()
+            if is_reusable:
+                self._idle.append(connection)
             else:
                 await trio.aclose_forcefully(stream)
 
+    async def _open(self) -> _Connection:
+        return _Connection(await self._net.connect(self.address), h11.Connection(h11.CLIENT))
+
     def _request_bytes(self, conn: h11.Connection, method: str, target: str, body: Any) -> bytes:
-        payload = b"" if body is None else cbor2.dumps(body)
+        payload = encode(body)
         headers = [("host", self.address), ("content-length", str(len(payload)))]
         if payload:
             headers.append(("content-type", "application/cbor"))
-        out = conn.send(h11.Request(method=method, target=target, headers=headers))
+        out = conn.send(h11.Request(method=method, target=target, headers=headers)) or b""
         if payload:
-            out += conn.send(h11.Data(data=payload))
-        return out + conn.send(h11.EndOfMessage())
-
-    @staticmethod
-    async def _read_answer(
-        stream: trio.abc.Stream, conn: h11.Connection
-    ) -> tuple[int | None, bytes]:
-        """Status and body of the answer."""
-        status, data = None, bytearray()
-        while True:
-            event = conn.next_event()
-            if event is h11.NEED_DATA:
-                conn.receive_data(await stream.receive_some(65536))
-            elif isinstance(event, h11.Response):
-                status = event.status_code
-            elif isinstance(event, h11.Data):
-                data += event.data
-                if len(data) > ANSWER_LIMIT:
-                    raise MalformedError("answer too large")
-            elif isinstance(event, h11.EndOfMessage):
-                return status, bytes(data)
-            elif isinstance(event, h11.ConnectionClosed):
-                raise MalformedError("connection closed")
+            out += conn.send(h11.Data(data=payload)) or b""
+        return out + (conn.send(h11.EndOfMessage()) or b"")
+
+
+async def _read_answer(stream: trio.abc.Stream, conn: h11.Connection) -> tuple[int, bytes]:
+    """Return the answer's status and body."""
+    status, data = 0, bytearray()
+    while True:
+        event = conn.next_event()
+        if event is h11.NEED_DATA:
+            conn.receive_data(bytes(await stream.receive_some(RECEIVE_BYTES)))
+        elif isinstance(event, h11.Response):
+            status = event.status_code
+        elif isinstance(event, h11.Data):
+            data += event.data
+            if len(data) > ANSWER_LIMIT:
+                raise MalformedError("answer too large")
+        elif isinstance(event, h11.EndOfMessage):
+            return status, bytes(data)
+        elif isinstance(event, h11.ConnectionClosed):
+            raise MalformedError("connection closed")
--- /dev/null
+++ b/roadbend/http/exchange.py
@@ -0,0 +1,139 @@
+"""HTTP/1.1 on one connection of a server: reading requests and writing responses."""
+
+import h11
+import trio
+
+from roadbend.http.connections import OpenConnection
+from roadbend.http.heads import RequestHeads, ResponseHeads, response_head
+from roadbend.http.messages import Request, Response, encode
+
+BODY_LIMIT = 64 * 1024
+RECEIVE_BYTES = 64 * 1024
+# A client that dribbles its request for this long is cut off.
+REQUEST_S = 10.0
+
+
+class Exchange:
+    """One connection's requests and responses.
+
+    A request whose head is known goes past h11, and so does its response.
+    """
+
+    __slots__ = (
+        "_conn",
+        "_connection",
+        "_has_trailing_data",
+        "_is_known",
+        "_request_heads",
+        "_response_heads",
+        "_stream",
+    )
+
+    def __init__(
+        self,
+        stream: trio.abc.Stream,
+        connection: OpenConnection,
+        request_heads: RequestHeads,
+        response_heads: ResponseHeads,
+    ) -> None:
+        self._stream = stream
+        self._connection = connection
+        self._request_heads = request_heads
+        self._response_heads = response_heads
+        self._conn = h11.Connection(h11.SERVER)
+        # Whether the last request's head was known.
+        self._is_known = False
+        # Where a client sent more than one request at once, h11 has the rest.
+        self._has_trailing_data = False
+
+    async def receive(self) -> Request | Response | None:
+        """Return the next request, a response that refuses it, or None after the last one.
+
+        Raises `h11.RemoteProtocolError` where it is no request.
+        """
+        data = None
+        if not self._has_trailing_data:
+            received = await self._stream.receive_some(RECEIVE_BYTES)
+            data = received if type(received) is bytes else bytes(received)
+            self._connection.deadline = trio.current_time() + REQUEST_S
+            request = self._request_heads.find(data)
+            if request is not None:
+                self._is_known = True
+                return request
+        self._is_known = False
+        return await self._read(data)
+
+    async def send(self, response: Response) -> bool:
+        """Send a response; return whether another request may follow."""
+        body = encode(response.body)
+        if self._is_known:
+            head = self._response_heads.get(
+                response.status, len(body), response.headers, response.close
+            )
+            await self._stream.send_all(head + body)
+            return not response.close
+        conn = self._conn
+        close = response.close or conn.their_state is h11.ERROR
+        out = conn.send(response_head(response.status, len(body), response.headers, close)) or b""
+        if body:
+            out += conn.send(h11.Data(data=body)) or b""
+        out += conn.send(h11.EndOfMessage()) or b""
+        await self._stream.send_all(out)
+        if conn.our_state is not h11.DONE or conn.their_state is not h11.DONE:
+            return False
+        conn.start_next_cycle()
+        self._has_trailing_data = bool(conn.trailing_data[0])
+        return True
+
+    async def _read(self, first: bytes | None) -> Request | Response | None:
+        """Read a request with h11, which gets the bytes that have come already first."""
+        head: h11.Request | None = None
+        body: list[bytes] = []
+        size, data = 0, first
+        while True:
+            event = self._conn.next_event()
+            if event is h11.NEED_DATA:
+                await self._send_continue()
+                if data is None:
+                    first = None
+                    data = bytes(await self._stream.receive_some(RECEIVE_BYTES))
+                self._conn.receive_data(data)
+                data = None
+            elif isinstance(event, h11.Request):
+                head = event
+            elif isinstance(event, h11.Data):
+                size += len(event.data)
+                if size > BODY_LIMIT:
+                    return Response(413, {"error": "body too large"}, close=True)
+                body.append(bytes(event.data))
+            elif isinstance(event, h11.EndOfMessage) and head is not None:
+                return self._finish(head, b"".join(body), first)
+            else:  # The connection is closed.
+                return None
+
+    async def _send_continue(self) -> None:
+        """Tell a client to go on that waits for that before it sends its body."""
+        if self._conn.they_are_waiting_for_100_continue:
+            head = h11.InformationalResponse(status_code=100, headers=[])
+            await self._stream.send_all(self._conn.send(head) or b"")
+
+    def _finish(self, head: h11.Request, body: bytes, first: bytes | None) -> Request:
+        """Make the request; `first` are its bytes, if it came in one piece."""
+        path, _, query = head.target.decode("ascii", "replace").partition("?")
+        request = Request(
+            method=head.method.decode("ascii", "replace"),
+            path=path,
+            query=query,
+            body=body,
+            trace_parent=_trace_parent(head),
+        )
+        if first is not None:
+            self._request_heads.remember(first, head, request, self._conn)
+        return request
+
+
+def _trace_parent(head: h11.Request) -> str | None:
+    for name, value in head.headers:
+        if name == b"traceparent":
+            return value.decode("ascii", "replace")
+    return None
--- /dev/null
+++ b/roadbend/http/messages.py
@@ -0,0 +1,53 @@
+"""Requests and responses as the program sees them; bodies are CBOR on the wire."""
+
+from collections.abc import Awaitable, Callable
+from dataclasses import dataclass, field
+from typing import Any
+
+import cbor2
+
+from roadbend.errors import RoadbendError
+
+Headers = tuple[tuple[str, str], ...]
+
+
+class MalformedError(RoadbendError):
+    """The peer's bytes are not what the protocol asks for."""
+
+
+@dataclass(frozen=True)
+class Request:
+    """A request that came whole."""
+
+    method: str
+    path: str
+    query: str
+    body: bytes
+    # The W3C trace context that came with it, unchecked.
+    trace_parent: str | None = None
+
+
+@dataclass(frozen=True)
+class Response:
+    """What a request is answered; `close` ends the connection after it."""
+
+    status: int
+    body: Any = None
+    headers: Headers = field(default=())
+    close: bool = False
+
+
+Handle = Callable[[Request], Awaitable[Response]]
+
+
+def encode(body: Any) -> bytes:
+    """Return a body's bytes; None is no body."""
+    return b"" if body is None else cbor2.dumps(body)
+
+
+def decode(body: bytes) -> Any:
+    """Return what a body says; raise `MalformedError` where it is not CBOR."""
+    try:
+        return cbor2.loads(body)
+    except Exception as error:  # cbor2 raises many kinds on hostile input
+        raise MalformedError(f"not CBOR: {type(error).__name__}") from None
--- a/roadbend/http/test_net.py
+++ b/roadbend/http/test_net.py
@@ -5,7 +5,8 @@
 import pytest
 import trio
 
-from roadbend.http.net import Net, _accept
+from roadbend.http.accepted_stream import accept
+from roadbend.http.net import Net
 
 
 def free_address() -> str:
@@ -48,7 +49,7 @@
             listener.bind(("127.0.0.1", 0))
             listener.listen()
             callers = [socket.create_connection(listener.getsockname()) for _ in range(2)]
-            closed, broken = _accept(listener), _accept(listener)
+            closed, broken = accept(listener), accept(listener)
         async with trio.open_nursery() as nursery:
 
             async def wait() -> None:
--- a/roadbend/http/test_server.py
+++ b/roadbend/http/test_server.py
@@ -23,7 +23,7 @@
         nursery.start_soon(server.serve, theirs)
 
     async def ask(self, path: str) -> int | None:
-        """The status; None where the connection is gone."""
+        """Return the status; None where the connection is gone."""
         conn = h11.Connection(h11.CLIENT)
         try:
             await self.stream.send_all(
@@ -80,20 +80,22 @@
 
 
 async def test_more_workers_than_connections_take_turns():
-    """Four thousand workers and two controllers with 1,800 sockets each: whoever found no
-    connection for the length of its lease would lose its tasks."""
+    """Four thousand workers and two controllers with 1,800 sockets each.
+
+    Whoever found no connection for the length of its lease would lose its tasks.
+    """
     async with trio.open_nursery() as nursery:
         server = Server(answer, most=12, favoured=lambda request: request.path == "/hello", spare=4)
         workers = [Caller(nursery, server) for _ in range(30)]
         for _ in range(3):
-            for n, worker in enumerate(workers):
-                status = await worker.ask("/hello")
+            for n in range(len(workers)):
+                status = await workers[n].ask("/hello")
                 if status is None:
                     # Its connection was closed after the last answer; it opens another.
-                    workers[n] = worker = Caller(nursery, server)
-                    status = await worker.ask("/hello")
+                    workers[n] = Caller(nursery, server)
+                    status = await workers[n].ask("/hello")
                 assert status == 200
-            assert len(server._links) <= 8
+            assert len(server._connections) <= 8
         nursery.cancel_scope.cancel()
 
 
@@ -178,4 +180,4 @@
     for _ in range(150):
         data = [rng.choice(kinds) for _ in range(rng.randrange(1, 6))]
         assert await talk(server, data, False) == await talk(Server(echo, most=64), data, True)
-    assert 3 <= len(server._heads) <= 5
+    assert 3 <= len(server._request_heads) <= 5
