--- a/roadbend/http/client.py
+++ b/roadbend/http/client.py
@@ -6,7 +6,7 @@
 import h11
 import trio
 
-from roadbend.errors import RoadbendError
+from roadbend.errors import UnknownOutcomeError
 from roadbend.http.messages import MalformedError, decode, encode
 from roadbend.http.net import Net
 
@@ -15,7 +15,7 @@
 RECEIVE_BYTES = 64 * 1024
 
 
-class NoAnswerError(RoadbendError):
+class NoAnswerError(UnknownOutcomeError):
     """No usable answer came; the request may have been carried out, or may be still."""
 
 
--- a/roadbend/http/messages.py
+++ b/roadbend/http/messages.py
@@ -6,12 +6,12 @@
 
 import cbor2
 
-from roadbend.errors import RoadbendError
+from roadbend.errors import PermanentError
 
 Headers = tuple[tuple[str, str], ...]
 
 
-class MalformedError(RoadbendError):
+class MalformedError(PermanentError):
     """The peer's bytes are not what the protocol asks for."""
 
 
--- a/roadbend/http/net.py
+++ b/roadbend/http/net.py
@@ -5,7 +5,7 @@
 
 import trio
 
-from roadbend.errors import RoadbendError
+from roadbend.errors import PermanentError
 from roadbend.http.accepted_stream import accept
 from roadbend.log import Log
 
@@ -21,7 +21,7 @@
 Handler = Callable[[trio.abc.Stream], Awaitable[None]]
 
 
-class ListenError(RoadbendError):
+class ListenError(PermanentError):
     """An address can't be listened on; the message says which and why."""
 
 
--- a/roadbend/store/record_reader.py
+++ b/roadbend/store/record_reader.py
@@ -67,7 +67,7 @@
                 await self._read()
             except (RefusedError, NoAnswerError) as error:
                 self._note_failure(error)
-                extra_wait = backoff.next()
+                extra_wait = backoff.next_wait()
                 continue
             self._note_success(sent)
             backoff.reset()
