--- a/roadbend/fleet/cloud_inventory.py
+++ b/roadbend/fleet/cloud_inventory.py
@@ -2,6 +2,8 @@
 
 from roadbend.autoscaler.cloud import Listed
 
+# A machine's status in the list.
+FAILED = "failed"
 # Machines remembered as having been listed once, beside those that are listed now.
 MAX_REMEMBERED = 16_384
 
@@ -17,7 +19,7 @@
         self._was_listed: dict[str, None] = {}
 
     def take(self, rows: list[Listed]) -> None:
-        """A list was read anew."""
+        """Replace what is listed by a list that was read anew."""
         self.rows = {row.id: row for row in rows}
         self.reads += 1
         self._was_listed.update(dict.fromkeys(self.rows))
@@ -30,6 +32,11 @@
         for name in gone[:count]:
             del self._was_listed[name]
 
+    def is_failed(self, machine: str) -> bool:
+        """Whether the cloud lists a machine as failed."""
+        row = self.rows.get(machine)
+        return row is not None and row.status == FAILED
+
     def has_left(self, machine: str) -> bool:
         """Whether a machine was listed before and is not any more: it is gone."""
         return machine in self._was_listed and machine not in self.rows
--- a/roadbend/fleet/deletions.py
+++ b/roadbend/fleet/deletions.py
@@ -9,7 +9,7 @@
 from roadbend.http.client import NoAnswerError
 
 # For how long deletions are gathered, and how old they may be when they go out: after longer this
-# process stood still, and what it found silent may have been heard since.
+# process paused, and what it found silent may have been heard since.
 GATHER = timedelta(milliseconds=150)
 SEND_WITHIN = timedelta(seconds=3)
 
@@ -21,7 +21,7 @@
         self.names: list[str] = []
         self.began = clock.now()
         self.done = trio.Event()
-        # Until the call has succeeded, nothing is proven gone.
+        # Until the call has succeeded, no machine is certainly gone.
         self.error: Exception | None = NoAnswerError("not carried out")
 
     def is_recent(self) -> bool:
@@ -29,14 +29,18 @@
 
 
 class Deletions:
-    """Deletes machines; returns only when the cloud has said that they are gone."""
+    """Deletes machines; returns only when the cloud has confirmed that they are gone."""
 
-    def __init__(self, cloud: Cloud):
+    def __init__(self, cloud: Cloud) -> None:
         self._cloud = cloud
         self._open: _DeletionBatch | None = None
 
     async def delete(self, name: str) -> None:
-        """Raises what the call raised: `Busy` if it was not carried out, else it may still be."""
+        """Delete a machine together with others.
+
+        Raises what the call raised: `CloudBusyError` if it was not carried out; else it may still
+        be.
+        """
         batch = self._open
         if batch is not None and len(batch.names) < MAX_NAMES:
             batch.names.append(name)
@@ -49,6 +53,10 @@
         await clock.pause(GATHER)
         if self._open is batch:
             self._open = None
+        await self._send(batch)
+
+    async def _send(self, batch: _DeletionBatch) -> None:
+        """Send a batch, and tell everyone who waits for it what became of it."""
         try:
             await self._cloud.delete(batch.names, urgent=True, still=batch.is_recent)
             batch.error = None
--- a/roadbend/fleet/zone_reachability.py
+++ b/roadbend/fleet/zone_reachability.py
@@ -1,95 +1,132 @@
-"""Telling a network that is cut from machines that are dead."""
+"""Zone reachability: tells a network partition from machines that are dead."""
 
 from collections.abc import Iterable
 from datetime import datetime
+from typing import NamedTuple
 
 from roadbend.fleet.cloud_inventory import CloudInventory
-from roadbend.placement.context import ControllerContext
-from roadbend.placement.leader import PartitionLeader
+from roadbend.fleet.leader import Controller, Leader
 
 # For how many of the workers' leases machines of a zone that can't be reached are kept.
 CUT_LEASES = 6
 # With fewer machines than this, silence says nothing of a zone.
 FEWEST_OF_A_CUT = 3
+# A machine is silent for a zone's sake after so many heartbeat intervals; of the count of machines
+# that fell silent together it is after fewer.
+SILENT_INTERVALS = 2.2
+QUIET_INTERVALS = 1.3
+# So many intervals after leadership was acquired every machine has had time for a heartbeat.
+SETTLED_INTERVALS = 3
+# So many silent machines fell silent together: for a zone that is not cut off by then, and else.
+FEWEST_QUIET = 2
+FEWEST_OF_A_COMMON_CAUSE = 3
+# After so many leases without our answers a machine's lease has ended long since.
+ENDED_LEASES = 1.3
+
+
+class _Quiet(NamedTuple):
+    """How many machines of a partition are silent."""
+
+    silent: int
+    known: int
+    # All silent ones are spot machines, and there are others.
+    only_spot: bool
+
+
+class _Cut(NamedTuple):
+    """A partition most of whose machines are silent."""
+
+    since: datetime
+    # Which; the records cease to name them as their leases end.
+    machines: frozenset[str]
 
 
 class ZoneReachability:
     """Which partitions' machines can't be reached together."""
 
-    def __init__(self, context: ControllerContext, inventory: CloudInventory):
-        self._context, self._inventory = context, inventory
-        # By partition: machines silent, machines known, and whether the silent ones are only spot
-        # machines.
-        self._quiet: dict[str, tuple[int, int, bool]] = {}
-        # Partitions most of whose machines are silent: since when, and which; the records cease to
-        # name them as their leases end.
-        self._cut: dict[str, tuple[datetime, frozenset[str]]] = {}
-
-    def note(self, leader: PartitionLeader, recorded: Iterable[str], now: datetime) -> None:
-        """Whether most of a partition's machines are silent, those counted that the records name
-        and that a new owner has not heard at all: then it is the zone that can't be reached. An
-        owner that took a partition over during a cut of its zone once deleted all of its machines,
-        which went on working inside."""
+    def __init__(self, controller: Controller, inventory: CloudInventory) -> None:
+        self._controller, self._inventory = controller, inventory
+        self._quiet: dict[str, _Quiet] = {}
+        self._cut: dict[str, _Cut] = {}
+
+    def note(self, leader: Leader, recorded: Iterable[str], now: datetime) -> None:
+        """Note whether most of a partition's machines are silent: then its zone can't be reached.
+
+        Machines count that the records name and that a new leader has not heard at all. Otherwise a
+        leader that acquires a partition while its zone is cut off would delete all of its machines,
+        which go on working inside.
+        """
         self._quiet[leader.partition] = self._count_quiet(leader, now)
-        since, before = self._cut.get(leader.partition, (now, frozenset()))
-        heartbeat = self._context.settings.heartbeat_interval
+        since, before = self._cut.get(leader.partition, _Cut(now, frozenset()))
+        interval = self._controller.settings.heartbeat_interval
+        silent_after = interval * SILENT_INTERVALS
         known = leader.machines.keys() | recorded | before
         silent = known - {
-            m.id for m in leader.machines.values() if m.contact.fresh(now, heartbeat * 2.2)
+            machine.id
+            for machine in leader.machines.values()
+            if machine.contact.fresh(now, silent_after)
         }
-        settled = now - leader.leadership.acquired_at > heartbeat * 3
+        settled = now - leader.leadership.acquired_at > interval * SETTLED_INTERVALS
         if (
             settled
             and len(known) >= FEWEST_OF_A_CUT
-            and len(silent) > self._context.operator.fence_share * len(known)
+            and len(silent) > self._controller.operator.fence_share * len(known)
         ):
-            self._cut[leader.partition] = (since, frozenset(silent))
+            self._cut[leader.partition] = _Cut(since, frozenset(silent))
         else:
             self._cut.pop(leader.partition, None)
 
     def is_cut(self, partition: str, now: datetime) -> bool:
-        """Nothing is hired in such a partition, and none of its machines deleted, until that has
-        lasted long."""
-        row = self._cut.get(partition)
-        return row is not None and now - row[0] < self._context.settings.lease * CUT_LEASES
-
-    def _count_quiet(self, leader: PartitionLeader, now: datetime) -> tuple[int, int, bool]:
-        """How many machines are silent, of how many, and whether all silent ones are spot among
-        others."""
-        after = self._context.settings.heartbeat_interval * 1.3
-        known = [m for m in leader.machines.values() if m.contact.acknowledged_at is not None]
-        quiet = [m for m in known if now - m.contact.acknowledged_at > after]
-        return len(quiet), len(known), all(m.spot for m in quiet) and not all(m.spot for m in known)
-
-    def common_cause(self, leader: PartitionLeader, name: str, now: datetime) -> bool:
-        """Whether this silence is rather the network's than the machine's: several fell silent
-        together.
-
-        Deleting machines that are only cut off costs more than waiting. Told apart are waves in
-        which the cloud takes spot machines back: only spot machines are silent, or they have left
-        the list."""
-        operator, s = self._context.operator, self._context.settings
-        quiet, known, only_spot = self._quiet.get(leader.partition) or self._count_quiet(
-            leader, now
-        )
+        """Whether a partition's zone can't be reached, and has not been so for long.
+
+        Until then no machine is created there, and none of its machines deleted.
+        """
+        cut = self._cut.get(partition)
+        return cut is not None and now - cut.since < self._controller.settings.lease * CUT_LEASES
+
+    def common_cause(self, leader: Leader, name: str, now: datetime) -> bool:
+        """Whether this silence is rather the network's than the machine's.
+
+        So it is if several fell silent together: deleting machines that are only cut off costs more
+        than waiting. Told apart are waves in which the cloud reclaims spot machines: only spot
+        machines are silent, or they have left the inventory.
+        """
         if self.is_cut(leader.partition, now):
             return True
+        operator = self._controller.operator
+        quiet = self._quiet.get(leader.partition) or self._count_quiet(leader, now)
         if (
-            quiet >= 2
-            and quiet > operator.fence_share * known
+            quiet.silent >= FEWEST_QUIET
+            and quiet.silent > operator.fence_share * quiet.known
             and leader.partition not in self._cut
         ):
             return True
-        mine = leader.machines.get(name)
+        if self._is_lease_over(leader, name, now) or self._inventory.has_left(name):
+            return False
         if (
-            mine is None
-            or mine.contact.acknowledged_at is None
-            or now - mine.contact.acknowledged_at > s.lease * 1.3
+            quiet.silent < FEWEST_OF_A_COMMON_CAUSE
+            or quiet.silent < operator.common_share * quiet.known
         ):
-            # Its lease has ended long since: its tasks are gone anyway.
-            return False
-        if self._inventory.has_left(name):
             return False
-        if quiet < 3 or quiet < operator.common_share * known:
-            return False
-        return not only_spot
+        return not quiet.only_spot
+
+    def _is_lease_over(self, leader: Leader, name: str, now: datetime) -> bool:
+        """Whether a machine's lease has ended long since, so that its tasks are gone anyway."""
+        machine = leader.machines.get(name)
+        if machine is None or machine.contact.acknowledged_at is None:
+            return True
+        silence = now - machine.contact.acknowledged_at
+        return silence > self._controller.settings.lease * ENDED_LEASES
+
+    def _count_quiet(self, leader: Leader, now: datetime) -> _Quiet:
+        """Count the machines that are silent, of those that were heard."""
+        after = self._controller.settings.heartbeat_interval * QUIET_INTERVALS
+        known = quiet = spot = quiet_spot = 0
+        for machine in leader.machines.values():
+            acknowledged_at = machine.contact.acknowledged_at
+            if acknowledged_at is None:
+                continue
+            known, spot = known + 1, spot + machine.spot
+            if now - acknowledged_at > after:
+                quiet, quiet_spot = quiet + 1, quiet_spot + machine.spot
+        return _Quiet(quiet, known, quiet_spot == quiet and spot != known)
--- a/roadbend/test_ran_twice.py
+++ b/roadbend/test_ran_twice.py
@@ -192,7 +192,7 @@
         await trio.sleep_until(worker._answered + LEASE_S - 0.05)
         sent, epoch, body = trio.current_time(), worker.epoch, worker.heartbeat()
         while TASK not in leader.ended and trio.current_time() < sent + 3.9:
-            controller.fleet.failure_detector._expire(leader, machine)
+            controller.fleet.failure_detector._fencing.expire(leader, machine)
             await trio.sleep(0.05)
         assert TASK in leader.ended
         heartbeat = parse_heartbeat(body)
