--- a/roadbend/fleet/cloud_inventory.py
+++ b/roadbend/fleet/cloud_inventory.py
@@ -1,9 +1,7 @@
 """The cloud's list of our machines, as last read."""
 
-from roadbend.autoscaler.cloud import Listed
+from roadbend.autoscaler.messages import ListedMachine, MachineStatus
 
-# A machine's status in the list.
-FAILED = "failed"
 # Machines remembered as having been listed once, beside those that are listed now.
 MAX_REMEMBERED = 16_384
 
@@ -12,13 +10,13 @@
     """What the cloud last listed, and what it once listed and lists no more."""
 
     def __init__(self) -> None:
-        self.rows: dict[str, Listed] = {}
+        self.rows: dict[str, ListedMachine] = {}
         # How often a list was read.
         self.reads = 0
         # In the order in which they were first listed.
         self._was_listed: dict[str, None] = {}
 
-    def take(self, rows: list[Listed]) -> None:
+    def take(self, rows: list[ListedMachine]) -> None:
         """Replace what is listed by a list that was read anew."""
         self.rows = {row.id: row for row in rows}
         self.reads += 1
@@ -35,7 +33,7 @@
     def is_failed(self, machine: str) -> bool:
         """Whether the cloud lists a machine as failed."""
         row = self.rows.get(machine)
-        return row is not None and row.status == FAILED
+        return row is not None and row.status == MachineStatus.FAILED
 
     def has_left(self, machine: str) -> bool:
         """Whether a machine was listed before and is not any more: it is gone."""
