--- a/roadbend/recovery/adoption.py
+++ b/roadbend/recovery/adoption.py
@@ -22,8 +22,10 @@
 
 
 class Adoption:
-    """Puts held attempts into an owner's transactions. `release` is called with each that was
-    written, and why it is no longer held."""
+    """Puts held attempts into a leader's transactions.
+
+    `release` is called with each that was written, and why it is no longer held.
+    """
 
     def __init__(
         self,
@@ -39,7 +41,10 @@
         self._unconfirmed: set[tuple[str, int]] = set()
 
     def adopt(self, transaction: TransactionBuilder, now: datetime) -> bool:
-        """Writes what is to be adopted, services first, as much at once as the pace allows."""
+        """Write what is to be adopted, services first, as much at once as the pace allows.
+
+        Tells whether some is left for the next transaction.
+        """
         if self._unconfirmed:
             # Nobody confirmed the last ones: they were refused, or their answer was lost.
             self._pace.failed()
@@ -56,13 +61,13 @@
                 return True
         return False
 
-    def _order(self, held: HeldAttempt) -> tuple:
+    def _order(self, held: HeldAttempt) -> tuple[bool, int, datetime]:
         job = self._leader.live(held.job)
         service = job is not None and job.spec.service
         return (not service, -(job.spec.priority if job is not None else 0), held.since)
 
     def _adopt_one(self, transaction: TransactionBuilder, held: HeldAttempt) -> bool:
-        """Puts one attempt into the transaction; False where that has no room for it."""
+        """Put one attempt into the transaction; return False where that has no room for it."""
         job = self._leader.live(held.job)
         if job is None or keys.job_key(job.id) in transaction.changes:
             return False
@@ -84,7 +89,7 @@
     def _with_attempt(
         self, transaction: TransactionBuilder, job: Job, held: HeldAttempt
     ) -> SliceShard:
-        """The slice that names the attempt, or says that its task is done."""
+        """Return the shard that names the attempt, or says that its task is done."""
         leader, job_slice = self._leader, self._leader.job_slices().get(job.id)
         own_shard = held.index // leader.width
         shard = own_shard if job_slice is None else job_slice.shard_of(held.index, leader.width)
@@ -101,18 +106,25 @@
         resources = job.spec.resources
         if (
             left is None
-            or resources.cpus > left[0] + RESOURCE_TOLERANCE
-            or resources.gpus > left[1] + RESOURCE_TOLERANCE
+            or resources.cpus > left.cpus + RESOURCE_TOLERANCE
+            or resources.gpus > left.gpus + RESOURCE_TOLERANCE
         ):
             return False
         return quotas.reserve_quota(
-            self._leader, transaction, job.spec.team, resources, 1, record_keys
+            self._leader,
+            transaction,
+            team=job.spec.team,
+            resources=resources,
+            tasks=1,
+            record_keys=record_keys,
         )
 
     def _hold_task(self, transaction: TransactionBuilder, job: Job, index: int) -> None:
-        """The partition holds the task from here on, on the job's stamp. Where another partition
-        held it, that partition's slice is a condition too: it may have recorded a start a moment
-        ago."""
+        """Have the partition hold the task, on condition that the job's record is as it was read.
+
+        Where another partition held it, that partition's shard is a condition too: it may have
+        recorded a start a moment ago.
+        """
         partition, one = self._leader.partition, ((index, index + 1),)
         if ranges.has(job.allocation.get(partition, ()), index):
             transaction.require_job(job)
@@ -127,7 +139,7 @@
         )
 
     def _adopted(self, held: HeldAttempt) -> None:
-        """The transaction was carried out."""
+        """Note that the transaction with an attempt was carried out."""
         self._unconfirmed.discard((held.job, held.index))
         self._pace.succeeded()
         machine = self._leader.machines.get(held.machine)
--- a/roadbend/recovery/attempt_holder.py
+++ b/roadbend/recovery/attempt_holder.py
@@ -106,10 +106,10 @@
         leader.context.observer.recovery_settled(
             leader.partition,
             leader.leadership.term,
-            f"{held.job}/{held.index}",
-            held.machine,
-            reason,
-            held.since,
+            task=f"{held.job}/{held.index}",
+            machine=held.machine,
+            how=reason,
+            since=held.since,
         )
         log.info("attempt-released", **self._log_fields(held), reason=reason)
 
--- a/roadbend/recovery/commands.py
+++ b/roadbend/recovery/commands.py
@@ -1,7 +1,8 @@
 """`roadbend recovery status|differences|plan`: reads, prints, and changes nothing.
 
-Exit status: 0 all well, 1 the state service or the cloud could not be read, 2 bad arguments or
-settings."""
+Exit status: 0 all well, 1 the state store or the cloud could not be read, 2 bad arguments or
+settings.
+"""
 
 from __future__ import annotations
 
@@ -11,6 +12,7 @@
 from collections.abc import Awaitable, Callable
 from dataclasses import asdict
 from pathlib import Path
+from typing import Any
 
 import trio
 
@@ -22,11 +24,12 @@
 from roadbend.settings import PlatformSettings, SettingsError, read_file, read_platform
 
 Show = Callable[[Surveyor, argparse.Namespace], Awaitable[None]]
-LEAST_PAUSE, MOST_LINES = 1.0, 200
+# The bounds of `--every`, in seconds, and the most lines that are printed for a partition.
+MIN_PAUSE, MAX_PAUSE, MAX_LINES = 1.0, 3600.0, 200
 
 
 def parser() -> argparse.ArgumentParser:
-    """The arguments of `roadbend recovery`."""
+    """Return the parser of the arguments of `roadbend recovery`."""
     out = argparse.ArgumentParser(
         prog="roadbend recovery",
         description="Shows how stored records and machines differ, and what settles that.",
@@ -49,11 +52,11 @@
 
 
 def main(argv: list[str]) -> int:
-    """Carries out one command."""
+    """Carry out one command, and return the exit status."""
     arguments = parser().parse_args(argv)
     every = getattr(arguments, "every", None)
-    if every is not None and not LEAST_PAUSE <= every <= 3600:
-        parser().error(f"argument --every: must be from {LEAST_PAUSE:g} to 3600")
+    if every is not None and not MIN_PAUSE <= every <= MAX_PAUSE:
+        parser().error(f"argument --every: must be from {MIN_PAUSE:g} to {MAX_PAUSE:g}")
     try:
         settings = read_platform(read_file(arguments.config))
     except SettingsError as error:
@@ -63,7 +66,7 @@
 
 
 async def run(settings: PlatformSettings, net: Net, arguments: argparse.Namespace) -> int:
-    """Carries out a command against the outside that the settings name."""
+    """Carry out a command against the outside that the settings name."""
     show: dict[str, Show] = {
         "status": _show_status,
         "differences": _follow if getattr(arguments, "every", None) else _show_differences,
@@ -86,9 +89,11 @@
         print(_status_line(row))
 
 
-def _status_as_map(row: PartitionStatus) -> dict:
-    """A partition's status as operators' scripts read it: its key for the partition is
-    `partition`."""
+def _status_as_map(row: PartitionStatus) -> dict[str, Any]:
+    """Return a partition's status as operators' scripts read it.
+
+    They know the partition as `part`.
+    """
     fields = asdict(row)
     return {"part": fields.pop("partition"), "owner": fields.pop("owner"), **fields}
 
@@ -114,11 +119,11 @@
         return
     for partition in partitions:
         print(_summary(partition))
-        for row in partition.comparison.differences[:MOST_LINES]:
+        for row in partition.comparison.differences[:MAX_LINES]:
             print(f"  {describe(row)}")
-        if len(partition.comparison.differences) > MOST_LINES:
+        if len(partition.comparison.differences) > MAX_LINES:
             print(
-                f"  and {len(partition.comparison.differences) - MOST_LINES} more (--json has all)"
+                f"  and {len(partition.comparison.differences) - MAX_LINES} more (--json has all)"
             )
 
 
@@ -130,13 +135,13 @@
 
 
 def describe(row: Difference) -> str:
-    """A difference as a line."""
+    """Return a difference as a line."""
     if row.task is None:
         return f"{row.kind}: machine {row.machine}"
     return f"{row.kind}: task {row.task} attempt {row.attempt} on {row.machine}"
 
 
-def _as_map(row: Difference) -> dict:
+def _as_map(row: Difference) -> dict[str, str | int | None]:
     task = None if row.task is None else str(row.task)
     return {"kind": row.kind, "machine": row.machine, "task": task, "attempt": row.attempt}
 
@@ -156,18 +161,18 @@
     for partition, rows in steps.items():
         orders = sum(row.settlement.orders for row in rows)
         print(f"{partition}: {len(rows)} steps, {orders} orders")
-        for row in rows[:MOST_LINES]:
+        for row in rows[:MAX_LINES]:
             step = row.settlement
             print(f"  {step.step}  {describe(row.difference)}  ({step.why})")
 
 
-def _planned(row: PlannedStep) -> dict:
+def _planned(row: PlannedStep) -> dict[str, str | int | None]:
     return {**_as_map(row.difference), "step": row.settlement.step, "why": row.settlement.why}
 
 
 async def _follow(surveyor: Surveyor, arguments: argparse.Namespace) -> None:
-    # Only this needs the libraries for bitmaps and sketches.
-    from roadbend.recovery.watch import Watch
+    # Only this command needs the libraries for bitmaps and sketches, which need not be installed.
+    from roadbend.recovery.watch import Watch  # noqa: PLC0415 -- an optional dependency
 
     watch, looks = Watch(), 0
     while True:
@@ -192,7 +197,7 @@
         else:
             ages = "" if middle is None else f", settled at {middle:.0f} s (99%: {worst:.0f} s)"
             print(f"open {look.open}, new {len(look.new)}, settled {look.settled}{ages}")
-            for row in look.staying[:MOST_LINES]:
+            for row in look.staying[:MAX_LINES]:
                 print(f"  stays  {describe(row)}")
         sys.stdout.flush()
         looks += 1
--- a/roadbend/recovery/differences.py
+++ b/roadbend/recovery/differences.py
@@ -1,7 +1,8 @@
 """What differs between the stored records and the machines, as a pure comparison.
 
 Desired state is what the records say, observed state what machines report and the cloud lists.
-Every difference has one kind, and `settlement` has one settlement for each kind."""
+Every difference has one kind, and `settlement` has one settlement for each kind.
+"""
 
 from __future__ import annotations
 
@@ -16,7 +17,7 @@
     """How an attempt or a machine differs; `MATCHING` does not."""
 
     MATCHING = "matching"
-    # Recorded, and a current report of its machine lacks it.
+    # Recorded, and a current heartbeat of its machine lacks it.
     MISSING = "missing"
     # Reported, and its task has no recorded attempt.
     UNRECORDED = "unrecorded"
@@ -28,7 +29,7 @@
     CANCELLED = "cancelled"
     # Two machines report the same task, neither as the recorded attempt.
     ON_TWO_MACHINES = "on-two-machines"
-    # Recorded on a machine that has not reported to this owner.
+    # Recorded on a machine that has not reported to this leader.
     MACHINE_SILENT = "machine-silent"
     # The cloud lists a machine that no record names and that has not reported.
     MACHINE_UNKNOWN = "machine-unknown"
@@ -40,10 +41,10 @@
     """A task: its job and its index."""
 
     job: str
-    index: int
+    task_index: int
 
     def __str__(self) -> str:
-        return f"{self.job}/{self.index}"
+        return f"{self.job}/{self.task_index}"
 
 
 class Recorded(NamedTuple):
@@ -55,7 +56,7 @@
 
 
 class Reported(NamedTuple):
-    """An attempt that a machine's latest report shows."""
+    """An attempt that a machine's latest heartbeat shows."""
 
     task: TaskId
     attempt: int
@@ -66,7 +67,7 @@
 class Presence(StrEnum):
     """What is known of a machine."""
 
-    # It has sent a report that carries the owner's token.
+    # It has sent a heartbeat that carries the leader's token.
     HEARD = "heard"
     SILENT = "silent"
     # Listed by the cloud as not up yet.
@@ -108,16 +109,16 @@
     matching: int
 
     def counts(self) -> dict[str, int]:
-        """How many differences there are, by kind."""
+        """Return how many differences there are, by kind."""
         return dict(sorted(Counter(str(row.kind) for row in self.differences).items()))
 
     def of_kind(self, *kinds: Kind) -> list[Difference]:
-        """The differences of some kinds."""
+        """Return the differences of some kinds."""
         return [row for row in self.differences if row.kind in kinds]
 
 
 def compare(desired: DesiredState, observed: ObservedState) -> Comparison:
-    """Compares the two states. The same states always give the same differences in one order."""
+    """Compare the two states. The same states always give the same differences in one order."""
     recorded = {(row.task, row.attempt, row.machine) for row in desired.attempts}
     reported = {(row.task, row.attempt, row.machine): row for row in observed.attempts}
     recorded_tasks = {row.task for row in desired.attempts}
@@ -125,7 +126,9 @@
     differences: list[Difference] = []
     matching = 0
     for row in desired.attempts:
-        kind = _recorded_kind(row, reported.get(tuple(row)), desired, observed)
+        kind = _recorded_kind(
+            row, reported.get((row.task, row.attempt, row.machine)), desired, observed
+        )
         if kind is Kind.MATCHING:
             matching += 1
         else:
@@ -186,6 +189,6 @@
     ]
 
 
-def _order(row: Difference) -> tuple:
+def _order(row: Difference) -> tuple[Kind, str, str, int, int]:
     task = row.task or TaskId("", -1)
-    return (row.kind, row.machine, task.job, task.index, row.attempt or 0)
+    return (row.kind, row.machine, task.job, task.task_index, row.attempt or 0)
--- a/roadbend/recovery/index.py
+++ b/roadbend/recovery/index.py
@@ -14,7 +14,7 @@
         return len(self._names)
 
     def number(self, name: Hashable) -> int:
-        """The name's number, a new one if it has none."""
+        """Return the name's number, a new one if it has none."""
         found = self._numbers.get(name)
         if found is None:
             found = self._numbers[name] = len(self._names)
@@ -22,9 +22,9 @@
         return found
 
     def numbers(self, names: Iterable[Hashable]) -> list[int]:
-        """The numbers of several names."""
+        """Return the numbers of several names."""
         return [self.number(name) for name in names]
 
     def name(self, number: int) -> Hashable:
-        """The name that has a number."""
+        """Return the name that has a number."""
         return self._names[number]
--- a/roadbend/recovery/judgement.py
+++ b/roadbend/recovery/judgement.py
@@ -25,8 +25,11 @@
 
 
 class Judgement:
-    """Gathers the facts about held attempts. `machines_known`: whether no machine of the partition
-    can hold anything that was not seen, at that moment."""
+    """Gathers the facts about held attempts, and decides by them.
+
+    `machines_known` tells whether, at an instant, no machine of the partition can hold anything
+    that was not seen.
+    """
 
     def __init__(
         self,
@@ -39,7 +42,7 @@
         self._machines_known = machines_known
 
     def decide(self, held: HeldAttempt, now: datetime) -> Decision:
-        """What is done about an attempt now."""
+        """Return what is done about an attempt now."""
         settings = self._environment.settings
         bounds = Bounds(settings.answer_most, settings.late_write)
         return decide(self._facts(held, now), bounds)
@@ -48,7 +51,7 @@
         leader = self._leader
         job, machine = leader.live(held.job), leader.machines.get(held.machine)
         others = self._held_attempts.others(held)
-        stays = (
+        machine_current = (
             machine is not None
             and machine.token.confirmed
             and machine.lifecycle.draining is None
@@ -63,7 +66,7 @@
             job_over=True if held.job in leader.context.cancellations.jobs else held.job_over,
             gang=job is not None and job.spec.gang,
             shows_done=held.shows_done,
-            machine_current=stays,
+            machine_current=machine_current,
             machine_allowed=job is not None and machine is not None and self._allows(job, machine),
             also_elsewhere=bool(others),
             higher_elsewhere=any(row.attempt > held.attempt for row in others),
@@ -74,7 +77,7 @@
         )
 
     def _allows(self, job: Job, machine: Machine) -> bool:
-        """The job may run there, given its other tasks."""
+        """Tell whether the job may run on a machine, given its other tasks."""
         if not free_capacity.allowed(job, machine.machine_type, machine.zone, machine.spot):
             return False
         if job.spec.together:
@@ -83,8 +86,7 @@
         return not job.spec.apart or here < job.spec.zone_cap
 
     def is_superseded(self, job: Job, index: int) -> bool:
-        """Whether the records name an attempt of a task in any partition, or say that it is
-        done."""
+        """Tell whether the records name an attempt of a task anywhere, or say that it is done."""
         if index >= job.spec.task_count or ranges.has(job.done, index):
             return True
         for job_slices in self._leader.context.view.job_slices.values():
--- a/roadbend/recovery/machines.py
+++ b/roadbend/recovery/machines.py
@@ -1,15 +1,15 @@
-"""A partition's machines as its owner and the cloud's list show them, beside its records."""
+"""A partition's machines as its leader and the cloud's list show them, beside its records."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 from dataclasses import replace
 from datetime import datetime, timedelta
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, cast
 
 from roadbend import clock
 from roadbend.fleet.cloud_inventory import CloudInventory
-from roadbend.fleet.machines import Machine
+from roadbend.fleet.machines import Machine, ObservedTask
 from roadbend.recovery.differences import (
     Comparison,
     DesiredState,
@@ -27,6 +27,7 @@
 if TYPE_CHECKING:
     from roadbend.placement.leader import PartitionLeader
 
+# The bits of an attempt's number below its term.
 ATTEMPT_TERM_BITS = 32
 # How often a partition that settles is compared anew: with thousands of machines that takes a
 # while.
@@ -41,18 +42,20 @@
         self._compare_at = clock.ORIGIN
 
     def may_compare(self, now: datetime) -> bool:
-        """Whether it is time to compare again."""
+        """Tell whether it is time to compare again."""
         return now >= self._compare_at
 
     def is_present(self, name: str) -> bool:
-        """Whether the cloud lists a machine as running, or the records name it."""
+        """Tell whether the cloud lists a machine as running, or the records name it."""
         row = self._inventory.rows.get(name)
         listed = row is not None and row.status == "running"
         return listed or name in self._leader.by_machine()
 
     def evidence(self, lost_writes: bool) -> Evidence:
-        """What is known of the partition's machines now. Where writes are lost a machine that is
-        listed as booting may be up and hold something."""
+        """Return what is known of the partition's machines now.
+
+        Where writes are lost a machine that is listed as booting may be up and hold something.
+        """
         presence = self._presences()
         heard = frozenset(name for name, p in presence.items() if p is Presence.HEARD)
         known = {Presence.GONE} if lost_writes else {Presence.GONE, Presence.BOOTING}
@@ -80,8 +83,11 @@
         )
 
     def compare(self, held: Iterable[HeldAttempt]) -> Comparison:
-        """Machines on which everything matches are left out of the sets: of thousands nearly all
-        do, and a controller with a small share of a core has reports to answer meanwhile."""
+        """Compare the records with the machines, and with the unrecorded attempts that are held.
+
+        Machines on which everything matches are left out of the sets: of thousands nearly all do,
+        and a controller with a small share of a core has heartbeats to answer meanwhile.
+        """
         began, leader = clock.now(), self._leader
         differing, matching = [], 0
         for name, rows in leader.by_machine().items():
@@ -97,7 +103,9 @@
         return replace(found, matching=found.matching + matching)
 
     def _matches(self, machine: Machine, rows: MachineAttempts) -> bool:
-        tasks, live = machine.tasks, self._leader.live
+        # The keys of both are a job and an index, whatever the type that names them.
+        tasks = cast("dict[tuple[str, int], ObservedTask]", machine.tasks)
+        live = self._leader.live
         if len(tasks) != len(rows) or machine.unrecorded_tasks:
             return False
         for key, (_, attempt) in rows.items():
@@ -109,7 +117,10 @@
         return True
 
     def _compare_machines(self, names: list[str], held: Iterable[HeldAttempt]) -> Comparison:
-        """Only attempts from before this term: later ones may be on their way."""
+        """Compare some machines, by the attempts from before this term.
+
+        Later ones may be on their way.
+        """
         leader, term = self._leader, self._leader.leadership.term
         recorded, live, shown = set(), set(), set()
         for name in names:
--- a/roadbend/recovery/measure.py
+++ b/roadbend/recovery/measure.py
@@ -2,7 +2,8 @@
 
     python -m roadbend.recovery.measure --machines 200,1500,4000
 
-Needs the libraries of `requirements-recovery.txt`. Times are of this machine."""
+Needs the libraries of `requirements-recovery.txt`. Times are of this machine.
+"""
 
 import argparse
 import random
@@ -22,6 +23,10 @@
 RANKS = (0.5, 0.95, 0.99)
 
 
+# Job, task index, attempt and machine.
+AttemptRow = tuple[str, int, int, str]
+
+
 @dataclass(frozen=True)
 class Cost:
     """What one way of comparing takes."""
@@ -31,8 +36,8 @@
     kilobytes: float
 
 
-def attempts(machines: int, rng: random.Random) -> tuple[list, list]:
-    """Recorded and reported attempts, of which a few differ."""
+def attempts(machines: int, rng: random.Random) -> tuple[list[AttemptRow], list[AttemptRow]]:
+    """Return recorded and reported attempts, of which a few differ."""
     recorded = [
         (f"run-{number // 500:06d}", number % 500, number, f"m-{number // TASKS_A_MACHINE:06d}")
         for number in range(machines * TASKS_A_MACHINE)
@@ -42,7 +47,7 @@
 
 
 def timed(work: Callable[[], Any]) -> float:
-    """Milliseconds of processor time, the median of several rounds."""
+    """Return milliseconds of processor time, the median of several rounds."""
     rows = []
     for _ in range(ROUNDS):
         began = time.process_time()
@@ -52,7 +57,7 @@
 
 
 def kept(make: Callable[[], Any]) -> tuple[Any, float]:
-    """What something is, and how many kilobytes it keeps."""
+    """Return what something is, and how many kilobytes it keeps."""
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
     value = make()
@@ -62,8 +67,8 @@
 
 
 def compare_sets(machines: int, rng: random.Random) -> list[Cost]:
-    """Sets, sorted lists and bitmaps on the same attempts."""
-    from pyroaring import BitMap
+    """Measure sets, sorted lists and bitmaps on the same attempts."""
+    from pyroaring import BitMap  # noqa: PLC0415 -- an optional dependency
 
     recorded, reported = attempts(machines, rng)
     index = DenseIndex()
@@ -89,25 +94,25 @@
     ]
 
 
-def _index_both(recorded: list, reported: list) -> None:
+def _index_both(recorded: list[AttemptRow], reported: list[AttemptRow]) -> None:
     index = DenseIndex()
     index.numbers(recorded)
     index.numbers(reported)
 
 
-def _missing(recorded: list, reported: list) -> list:
-    out, at = [], 0
+def _missing(recorded: list[AttemptRow], reported: list[AttemptRow]) -> list[AttemptRow]:
+    missing, at = [], 0
     for row in recorded:
         while at < len(reported) and reported[at] < row:
             at += 1
         if at == len(reported) or reported[at] != row:
-            out.append(row)
-    return out
+            missing.append(row)
+    return missing
 
 
 def compare_quantiles(count: int, rng: random.Random) -> list[tuple[str, float, float, float]]:
-    """A sorted list and a sketch of the same values: time, bytes, and the largest error of rank."""
-    from datasketches import kll_floats_sketch
+    """Measure a sorted list and a sketch of the same values: time, bytes, largest rank error."""
+    from datasketches import kll_floats_sketch  # noqa: PLC0415 -- an optional dependency
 
     values = [rng.lognormvariate(0, 1) for _ in range(count)]
     exact = sorted(values)
@@ -131,7 +136,7 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Prints the table."""
+    """Print the table."""
     parser = argparse.ArgumentParser(prog="roadbend.recovery.measure", description=__doc__)
     parser.add_argument("--machines", default="200,1500,4000")
     parser.add_argument("--seed", type=int, default=1)
--- a/roadbend/recovery/pace.py
+++ b/roadbend/recovery/pace.py
@@ -20,9 +20,9 @@
         return int(self._bound)
 
     def succeeded(self, count: int = 1) -> None:
-        """Work was carried out."""
+        """Note that work was carried out."""
         self._bound = min(float(self.most), self._bound + count)
 
     def failed(self) -> None:
-        """Work was refused, or its answer was lost."""
+        """Note that work was refused, or its answer was lost."""
         self._bound = max(float(self.least), self._bound / 2)
--- a/roadbend/recovery/partition.py
+++ b/roadbend/recovery/partition.py
@@ -210,13 +210,13 @@
         """Return what is recorded for the other controllers and for operators."""
         evidence = self.machines.evidence(self.lost_writes)
         return RecoveryProgress(
-            self.leader.leadership.term,
-            str(self.phase.name),
-            self.lost_writes,
-            len(evidence.expected),
-            len(evidence.heard),
-            self.found,
-            (now - self.phase.since).total_seconds(),
+            term=self.leader.leadership.term,
+            phase=str(self.phase.name),
+            lost_writes=self.lost_writes,
+            expected=len(evidence.expected),
+            heard=len(evidence.heard),
+            differences=self.found,
+            took=(now - self.phase.since).total_seconds(),
         )
 
     def decide_held(self, now: datetime) -> None:
--- a/roadbend/recovery/phases.py
+++ b/roadbend/recovery/phases.py
@@ -37,14 +37,14 @@
 
 @dataclass(frozen=True)
 class Gathering:
-    """Machines report. Ends by evidence, at the latest at a bound."""
+    """Machines send heartbeats. Ends by evidence, at the latest at a bound."""
 
     since: datetime
     until: datetime
     name = PhaseName.GATHERING
 
     def next(self, evidence: Evidence, now: datetime) -> Gathering | Comparing:
-        """Goes on until all machines are known or the bound is reached."""
+        """Stay until all machines are known or the bound is reached."""
         if evidence.complete or now >= self.until:
             return Comparing(self.since, evidence.complete)
         return self
@@ -52,19 +52,20 @@
 
 @dataclass(frozen=True)
 class Comparing:
-    """Records and reports are compared."""
+    """Records and heartbeats are compared."""
 
     since: datetime
     complete: bool
     name = PhaseName.COMPARING
 
     def next(self, counts: dict[str, int], now: datetime) -> Settling | Settled:
-        """Ends with the comparison."""
+        """Go on as soon as the comparison is made; `counts` are its differences by kind."""
         return Settling(self.since).next(counts, now)
 
 
-# What stays open until its own proof comes, or a boot, does not keep a recovery from being over.
-PROVEN_LATER = {Kind.MACHINE_SILENT, Kind.MACHINE_GONE, Kind.MACHINE_UNKNOWN}
+# What stays open until its own evidence comes, or a machine is up, does not keep a recovery from
+# being over.
+SETTLED_LATER = {Kind.MACHINE_SILENT, Kind.MACHINE_GONE, Kind.MACHINE_UNKNOWN}
 
 
 @dataclass(frozen=True)
@@ -75,14 +76,14 @@
     name = PhaseName.SETTLING
 
     def next(self, counts: dict[str, int], now: datetime) -> Settling | Settled:
-        """Over once nothing differs that machines could settle at their next reports."""
-        open_kinds = {kind for kind, count in counts.items() if count} - PROVEN_LATER
+        """Stay while anything differs that machines could settle at their next heartbeats."""
+        open_kinds = {kind for kind, count in counts.items() if count} - SETTLED_LATER
         return self if open_kinds else Settled(self.since, now)
 
 
 @dataclass(frozen=True)
 class Settled:
-    """Nothing is left that differs, but for what waits for its proof."""
+    """Nothing is left that differs, but for what waits for its evidence."""
 
     since: datetime
     at: datetime
--- a/roadbend/recovery/settings.py
+++ b/roadbend/recovery/settings.py
@@ -1,5 +1,8 @@
 """Operators' settings of recovery: `deploy/recovery.sexp`."""
 
+# `number` and `seconds` return fields of a dataclass, as `field` does.
+# ruff: noqa: RUF009
+
 from dataclasses import dataclass
 from datetime import timedelta
 from pathlib import Path
@@ -31,5 +34,5 @@
 
 
 def load(path: Path) -> RecoverySettings:
-    """The settings in a file; raises `SettingsError` that names the key."""
+    """Read the settings from a file; raise `SettingsError` that names a bad key."""
     return read_form(read_file(path), "recovery", RecoverySettings)
--- a/roadbend/recovery/settlement.py
+++ b/roadbend/recovery/settlement.py
@@ -1,6 +1,7 @@
-"""How each kind of difference is settled, and by what it is proven that this is safe.
+"""How each kind of difference is settled, and why that is safe.
 
-The controllers follow this table while they run; operators see it in `recovery plan`."""
+The controllers follow this table while they run; operators see it in `recovery plan`.
+"""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -76,7 +77,7 @@
 
 
 def plan(comparison: Comparison, services: frozenset[str] = frozenset()) -> list[PlannedStep]:
-    """What would be done, in order: services first, then by kind and machine."""
+    """Return what would be done, in order: services first, then by kind and machine."""
     steps = [PlannedStep(row, SETTLEMENTS[row.kind]) for row in comparison.differences]
     steps.sort(key=lambda step: not _is_of(step.difference, services))
     return steps
--- a/roadbend/recovery/survey.py
+++ b/roadbend/recovery/survey.py
@@ -1,16 +1,19 @@
 """Compares records and machines from outside the controllers, and changes nothing.
 
-Records are read from the state service, machines are listed by the cloud and asked themselves
-(`GET /inspect`). So an operator sees what differs also while no controller is up."""
+Records are read from the state store, machines are listed by the cloud and asked themselves
+(`GET /inspect`). So an operator sees what differs also while no controller is up.
+"""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 from datetime import timedelta
+from http import HTTPStatus
 
 import trio
 
 from roadbend.autoscaler.cloud import Cloud, CloudBusyError, Listed
+from roadbend.errors import RoadbendError
 from roadbend.fleet import messages
 from roadbend.http.client import Client, NoAnswerError
 from roadbend.http.net import Net
@@ -32,8 +35,8 @@
 from roadbend.store.request_budget import RequestBudget
 
 # Machines asked at once, and how long one may take.
-MOST_ASKED = 48
-ANSWER_WITHIN = timedelta(seconds=2)
+MAX_ASKED = 48
+ANSWER_TIMEOUT = timedelta(seconds=2)
 
 
 @dataclass(frozen=True)
@@ -44,11 +47,14 @@
     owner: str | None
     term: int
     phase: str
-    lost_writes: bool
-    heard: int
-    expected: int
-    seconds: float
-    differences: dict[str, int]
+    lost_writes: bool = False
+    # Machines.
+    heard: int = 0
+    expected: int = 0
+    # Since the term began.
+    seconds: float = 0.0
+    # By kind.
+    differences: dict[str, int] = field(default_factory=dict)
 
 
 @dataclass(frozen=True)
@@ -69,14 +75,14 @@
     machines: dict[str, Presence] = field(default_factory=dict)
 
 
-class SurveyError(Exception):
-    """The state service or the cloud could not be read; the message says which."""
+class SurveyError(RoadbendError):
+    """The state store or the cloud could not be read; the message says which."""
 
 
 class Surveyor:
     """Reads what an operator wants to know."""
 
-    def __init__(self, settings: PlatformSettings, net: Net):
+    def __init__(self, settings: PlatformSettings, net: Net) -> None:
         self._settings, self._net = settings, net
         budget = RequestBudget(
             settings.state_rps, settings.state_write_rps, settings.controller_count
@@ -89,7 +95,7 @@
         )
 
     async def read_records(self) -> RecordView:
-        """All records of what is live."""
+        """Return all records of what is live; raise `SurveyError`."""
         try:
             rows, revision = await self._state.read_all(keys.LIVE)
         except (NoAnswerError, RefusedError) as error:
@@ -99,36 +105,31 @@
         return view
 
     async def status(self) -> list[PartitionStatus]:
-        """How far each partition's recovery is, as its owner recorded it."""
+        """Return how far each partition's recovery is, as its leader recorded it."""
         view = await self.read_records()
         return [self._status_of(view, partition) for partition in sorted(view.terms)]
 
     @staticmethod
     def _status_of(view: RecordView, partition: str) -> PartitionStatus:
-        term, own, progress = (
-            view.terms[partition],
-            view.partition_leaders.get(partition),
-            view.recoveries.get(partition),
-        )
-        owner = own.controller if own is not None else None
+        term, progress = view.terms[partition], view.recoveries.get(partition)
+        leader = view.partition_leaders.get(partition)
+        owner = leader.controller if leader is not None else None
         if progress is None or progress.term != term.number:
-            return PartitionStatus(
-                partition, owner, term.number, "nothing recorded", False, 0, 0, 0.0, {}
-            )
+            return PartitionStatus(partition, owner, term.number, phase="nothing recorded")
         return PartitionStatus(
-            partition,
-            owner,
-            term.number,
-            progress.phase,
-            progress.lost_writes,
-            progress.heard,
-            progress.expected,
-            progress.took,
-            progress.differences,
+            partition=partition,
+            owner=owner,
+            term=term.number,
+            phase=progress.phase,
+            lost_writes=progress.lost_writes,
+            heard=progress.heard,
+            expected=progress.expected,
+            seconds=progress.took,
+            differences=progress.differences,
         )
 
     async def survey(self) -> list[PartitionSurvey]:
-        """What differs now, partition by partition."""
+        """Return what differs now, partition by partition; raise `SurveyError`."""
         view = await self.read_records()
         listed = await self._list_machines()
         partitions: dict[str, _PartitionState] = {}
@@ -162,7 +163,7 @@
             raise SurveyError(f"cloud: {error}") from None
 
     async def _ask_all(self, listed: list[Listed], partitions: dict[str, _PartitionState]) -> None:
-        limit = trio.CapacityLimiter(MOST_ASKED)
+        limit = trio.CapacityLimiter(MAX_ASKED)
         async with trio.open_nursery() as nursery:
             for row in listed:
                 state = partitions.setdefault(row.zone, _PartitionState())
@@ -187,8 +188,8 @@
             return None
         client = Client(self._net, row.address, most=1, keep=0)
         try:
-            status, body = await client.request("GET", "/inspect", within=ANSWER_WITHIN)
-            heartbeat = messages.parse_heartbeat(body) if status == 200 else None
+            status, body = await client.request("GET", "/inspect", within=ANSWER_TIMEOUT)
+            heartbeat = messages.parse_heartbeat(body) if status == HTTPStatus.OK else None
         except (NoAnswerError, MalformedError):
             return None
         finally:
--- a/roadbend/recovery/test_commands.py
+++ b/roadbend/recovery/test_commands.py
@@ -15,7 +15,7 @@
 
 
 async def ask(w, capsys, command, **options):
-    """What a command prints, and its exit status."""
+    """Return what a command prints, and its exit status."""
     arguments = Namespace(command=command, json=True, **options)
     capsys.readouterr()
     status = await commands.run(settings_for(0, 3), w.network.port("operator"), arguments)
--- a/roadbend/recovery/test_differences.py
+++ b/roadbend/recovery/test_differences.py
@@ -182,7 +182,17 @@
 
 def test_held_attempts_are_bounded_and_know_their_tasks():
     held = HeldAttempts(2)
-    rows = [HeldAttempt("run-000001", 0, 7, f"m-{n}", clock.ORIGIN, False) for n in range(3)]
+    rows = [
+        HeldAttempt(
+            job="run-000001",
+            index=0,
+            attempt=7,
+            machine=f"m-{n}",
+            since=clock.ORIGIN,
+            shows_done=False,
+        )
+        for n in range(3)
+    ]
     assert [held.add(row) for row in rows] == [True, True, False]
     assert held.others(rows[0]) == [rows[1]] and held.indexes("run-000001") == {0}
     held.remove(rows[0])
@@ -204,7 +214,7 @@
 
 
 def test_a_watch_tells_new_settled_and_staying_and_merges_ages():
-    from roadbend.recovery.watch import Watch
+    from roadbend.recovery.watch import Watch  # noqa: PLC0415 -- an optional dependency
 
     at = clock.ORIGIN
     first, second = Difference(Kind.MISSING, "m-1", TASK, 7), Difference(Kind.MACHINE_SILENT, "m-2")
--- a/roadbend/recovery/test_recovery.py
+++ b/roadbend/recovery/test_recovery.py
@@ -31,7 +31,7 @@
 
 @asynccontextmanager
 async def running(*bodies, **changes):
-    """A deployment with recovery in which these jobs run."""
+    """Run a deployment with recovery in which these jobs run."""
     async with world(equip=equip, teams=TEAMS, caches_images=True, **changes) as w:
         for n, body in enumerate(bodies):
             assert await w.submit(n % 3, body, None) == 201
@@ -53,14 +53,14 @@
 
 
 def cut(w, machines, length):
-    """Machines reach no controller for a while."""
+    """Have machines reach no controller for a while."""
     controllers = [f"node-{at}" for at in range(3)]
     pairs = [(machine, controller) for machine in machines for controller in controllers]
     w.nursery.start_soon(w.cut_pairs, pairs, length)
 
 
 def drop(w, *prefixes):
-    """The state service loses records."""
+    """Have the state store lose records."""
     for key in [key for key in w.state.keys if key.startswith(prefixes)]:
         del w.state.keys[key]
 
@@ -183,8 +183,10 @@
 
 
 async def test_a_term_that_the_records_lost_is_not_used_again():
-    """Machines refuse tokens below those that they have seen, and all of them would end their
-    tasks with their leases."""
+    """Machines refuse tokens below those that they have seen.
+
+    All of them would end their tasks with their leases.
+    """
     async with running(job(1, legs=4, **SERVICE)) as w:
         copy = w.state.copy_records()
         for at in range(3):
@@ -296,7 +298,14 @@
     async with running(job(1, legs=1, yard="east", **SERVICE)) as w:
         controller = w.controllers["node-0"]
         leader = controller.leaders["east"]
-        held = HeldAttempt("run-000002", 1, 7, "m-000000", clock.now(), False)
+        held = HeldAttempt(
+            job="run-000002",
+            index=1,
+            attempt=7,
+            machine="m-000000",
+            since=clock.now(),
+            shows_done=False,
+        )
         waiting = Job("run-000002", controller.view.jobs["run-000001"].spec, clock.wall())
         waiting = waiting.with_partition("east", ((0, 3),))
         assert leader.queue.unplaced(waiting) == ((0, 3),)
@@ -311,7 +320,16 @@
         leader = w.controllers["node-0"].leaders["east"]
         (machine,) = [m for m in leader.machines.values() if m.tasks]
         partition, now = leader.recovery, clock.now()
-        partition.held_attempts.add(HeldAttempt("run-000009", 0, 7, machine.id, now, False))
+        partition.held_attempts.add(
+            HeldAttempt(
+                job="run-000009",
+                index=0,
+                attempt=7,
+                machine=machine.id,
+                since=now,
+                shows_done=False,
+            )
+        )
         heartbeat = WorkerHeartbeat(
             machine.id, "", "g2", "east", False, HeartbeatPosition(1, 1), 0, None, (), []
         )
--- a/roadbend/recovery/unrecorded.py
+++ b/roadbend/recovery/unrecorded.py
@@ -1,6 +1,7 @@
 """What becomes of an attempt that a machine reports and no record names.
 
-It is never stopped at once, and never adopted from a report alone."""
+It is never stopped at once, and never adopted from a heartbeat alone.
+"""
 
 from dataclasses import dataclass, field
 from datetime import datetime, timedelta
@@ -32,7 +33,7 @@
     job_over: bool | None
     gang: bool
     shows_done: bool
-    # The machine's latest report carries the owner's token, and the machine stays.
+    # The machine's latest heartbeat carries the leader's token, and the machine stays.
     machine_current: bool
     machine_allowed: bool
     # Other machines that show the task: any, and one with a higher attempt.
@@ -48,14 +49,14 @@
 class Bounds:
     """How long an unrecorded attempt is held at the most for each reason."""
 
-    # For an answer of the state service or of a peer.
+    # For an answer of the state store or of a peer.
     answer: timedelta
-    # For a submission of a former life that may still be carried out.
+    # For a submission of a former incarnation that may still be carried out.
     late_write: timedelta
 
 
 def decide(facts: Facts, bounds: Bounds) -> Decision:
-    """Decides about one attempt from what is known of it now."""
+    """Decide about one attempt from what is known of it now."""
     if facts.superseded:
         return Decision.STOP
     if not (facts.records_read and facts.peers_heard) and facts.waited < bounds.answer:
@@ -70,7 +71,7 @@
         # A gang is started whole or not at all.
         return Decision.STOP
     if facts.shows_done:
-        # Done stays true, however old the report is.
+        # Done stays true, however old the heartbeat is.
         return Decision.RECORD_DONE
     if not facts.machine_allowed or facts.higher_elsewhere:
         return Decision.STOP
@@ -91,7 +92,7 @@
 
 @dataclass
 class HeldAttempt:
-    """An unrecorded attempt that is left alone for now."""
+    """An unrecorded attempt that is left alone for now. `since` is a steady instant."""
 
     job: str
     index: int
@@ -100,9 +101,8 @@
     since: datetime
     shows_done: bool
     decision: Decision = Decision.HOLD
+    # As in `Facts`.
     job_over: bool | None = None
-    # Whether `r/unrecorded` names its job, so that it is not accepted anew meanwhile.
-    published: bool = False
 
 
 @dataclass
@@ -117,11 +117,11 @@
         return len(self._rows)
 
     def get(self, job: str, index: int, attempt: int, machine: str) -> HeldAttempt | None:
-        """The attempt, if it is held."""
+        """Return the attempt, if it is held."""
         return self._rows.get((job, index, attempt, machine))
 
     def add(self, held: HeldAttempt) -> bool:
-        """Holds an attempt; False where there are too many."""
+        """Hold an attempt; return False where there are too many."""
         if len(self._rows) >= self.most:
             return False
         self._rows[(held.job, held.index, held.attempt, held.machine)] = held
@@ -130,7 +130,7 @@
         return True
 
     def remove(self, held: HeldAttempt) -> None:
-        """The attempt is recorded, or gone."""
+        """Cease to hold an attempt, if it is held."""
         if self._rows.pop((held.job, held.index, held.attempt, held.machine), None) is None:
             return
         counts = self._indexes[held.job]
@@ -141,19 +141,19 @@
             del self._indexes[held.job]
 
     def all(self) -> list[HeldAttempt]:
-        """All of them, in the order in which they were first seen."""
+        """Return all of them, in the order in which they were first seen."""
         return list(self._rows.values())
 
     def indexes(self, job: str) -> set[int]:
-        """The tasks of a job that machines show and no record names."""
+        """Return the tasks of a job that machines show and no record names."""
         return set(self._indexes.get(job, ()))
 
     def jobs(self) -> set[str]:
-        """The jobs of all of them."""
+        """Return the jobs of all of them."""
         return set(self._indexes)
 
     def others(self, held: HeldAttempt) -> list[HeldAttempt]:
-        """The same task on other machines."""
+        """Return the attempts of the same task on other machines."""
         return [
             row
             for row in self._rows.values()
--- a/roadbend/recovery/watch.py
+++ b/roadbend/recovery/watch.py
@@ -2,7 +2,8 @@
 
 Every difference gets a number once, so that each look is a compressed bitmap of some kilobytes,
 however many machines there are; ages are kept in a quantile sketch. The libraries are those of
-`requirements-recovery.txt`; controllers need neither of them."""
+`requirements-recovery.txt`; controllers need neither of them.
+"""
 
 from __future__ import annotations
 
@@ -43,7 +44,7 @@
         self._ages = kll_floats_sketch(SKETCH_SIZE)
 
     def look(self, differences: list[Difference], now: datetime) -> Look:
-        """Takes in what differs now."""
+        """Take in what differs now, and return what that changes."""
         present = BitMap(self._index.numbers(differences))
         before = self._looks[-1] if self._looks else BitMap()
         new, settled = present - before, before - present
@@ -63,13 +64,13 @@
         return tuple(cast(Difference, self._index.name(number)) for number in numbers)
 
     def age_quantile(self, rank: float) -> float | None:
-        """How old differences were when they were settled, in seconds, up to one look."""
+        """Return how old differences were when they were settled, in seconds, up to one look."""
         return None if self._ages.is_empty() else float(self._ages.get_quantile(rank))
 
     def ages(self) -> bytes:
-        """The ages as a sketch, to be merged with those of other watches."""
-        return self._ages.serialize()
+        """Return the ages as a sketch, to be merged with those of other watches."""
+        return cast(bytes, self._ages.serialize())
 
     def merge(self, ages: bytes) -> None:
-        """Takes in the ages of another watch."""
+        """Take in the ages of another watch."""
         self._ages.merge(kll_floats_sketch.deserialize(ages))
