--- a/roadbend/fakes/scheduling.py
+++ b/roadbend/fakes/scheduling.py
@@ -6,7 +6,7 @@
 
 from roadbend import clock
 from roadbend.autoscaler import policy
-from roadbend.autoscaler.cloud import read_machine_types
+from roadbend.autoscaler.messages import read_machine_types
 from roadbend.autoscaler.policy import MachineOption
 from roadbend.fakes.platform import MACHINE_TYPE
 from roadbend.fakes.submission import job
