--- a/roadbend/fleet/direct_commands.py
+++ b/roadbend/fleet/direct_commands.py
@@ -1,200 +1,261 @@
-"""Orders that go straight to machines, beside those in the answers to their reports.
+"""Direct commands: orders that go straight to machines, beside those in heartbeat answers.
 
-A kill that arrives late does no harm. A start that arrives late would: see `_start_directly`."""
+A stop that arrives late does no harm. A start that arrives late would: see `_start_directly`.
+"""
 
+from collections.abc import Mapping
 from datetime import datetime, timedelta
+from typing import NamedTuple
 
 import trio
 
 from roadbend import clock
 from roadbend.fleet import messages
+from roadbend.fleet.leader import Controller, Leader
 from roadbend.fleet.machines import DirectStart, Machine
-from roadbend.fleet.messages import StartTask, StopTask, WorkerOrder
+from roadbend.fleet.messages import StartTask, StopTask, WorkerHeartbeat, WorkerOrder
 from roadbend.fleet.terminations import TaskKey
 from roadbend.http.client import Client, NoAnswerError
 from roadbend.http.net import Net
 from roadbend.http.server import MalformedError
 from roadbend.log import Log
-from roadbend.placement.context import ControllerContext
-from roadbend.placement.leader import PartitionLeader
 from roadbend.store import records
 from roadbend.store.records import Attempt
 
 log = Log("fleet")
 # Commands in progress at once.
 MAX_COMMANDS = 48
-# How long a direct order to start may go without an answer.
-DIRECT_WITHIN = timedelta(seconds=1.5)
-# The token that fences an unanswered order is shown so many times, each for so long.
+COMMAND_TIMEOUT = timedelta(seconds=2)
+# How long a direct start may go without an answer.
+START_TIMEOUT = timedelta(seconds=1.5)
+# The token that fences an unanswered start is shown so many times, each for so long.
 FENCE_TRIES = 3
 FENCE_TIMEOUT = timedelta(milliseconds=500)
 # How many incarnations of a machine a token can number.
 MAX_INCARNATIONS = (1 << records.INCARNATION_BITS) - 2
-# How often a kill that brought no end is sent again, and how many are remembered before those
-# that are older than `SENT_FOR` are forgotten.
-KILL_EVERY = timedelta(seconds=3)
+# A machine is given direct starts if it received an answer of ours within so many intervals.
+SILENT_INTERVALS = 2.2
+# How often stops are looked for. How often one that brought no end is sent again, and how many are
+# remembered before those that are older than `SENT_FOR` are forgotten.
+STOP_INTERVAL = timedelta(milliseconds=200)
+STOP_AGAIN_AFTER = timedelta(seconds=3)
 MAX_SENT = 20_000
 SENT_FOR = timedelta(seconds=20)
+# Statuses of a worker's answer: executed, malformed, and refused for its token or epoch.
+EXECUTED = 200
+REFUSED = (400, 409)
+
+Starts = list[tuple[TaskKey, Attempt]]
+
+
+class _SentStop(NamedTuple):
+    """A stop that was sent."""
+
+    term: int
+    key: TaskKey
+    attempt: int
+    grace: timedelta
+
+
+class _StartAnswer(NamedTuple):
+    """What became of a direct start; neither: nobody knows."""
+
+    refused: bool
+    # The machine's answer, where it carried the start out.
+    heartbeat: WorkerHeartbeat | None
 
 
 class DirectCommands:
-    """Sends direct commands for all partitions that this controller owns."""
+    """Sends direct commands for all partitions that this controller leads."""
 
-    def __init__(self, context: ControllerContext, net: Net, leaders: dict[str, PartitionLeader]):
-        self._context, self._net, self._leaders = context, net, leaders
-        self._direct = trio.CapacityLimiter(MAX_COMMANDS)
+    def __init__(self, controller: Controller, net: Net, leaders: Mapping[str, Leader]) -> None:
+        self._controller, self._net, self._leaders = controller, net, leaders
+        self._connections = trio.CapacityLimiter(MAX_COMMANDS)
         self._nursery: trio.Nursery | None = None
-        # Machines to which kills are on their way: one that hangs holds up its own kills only, and
+        # Machines to which stops are on their way: one that hangs holds up its own stops only, and
         # however many hang, what waits here is bounded by the machines.
         self._stopping: set[str] = set()
 
-    async def _send_kills(
-        self, leader: PartitionLeader, machine: str, orders: list[WorkerOrder]
-    ) -> None:
-        self._stopping.add(machine)
-        try:
-            await self.command(leader, machine, orders)
-        finally:
-            self._stopping.discard(machine)
-
-    async def command(
-        self, leader: PartitionLeader, machine: str, orders: list[WorkerOrder]
-    ) -> None:
+    async def command(self, leader: Leader, machine: str, orders: list[WorkerOrder]) -> None:
+        """Send orders to a machine once; nobody knows whether they were carried out."""
         target = leader.machines.get(machine)
         if target is None:
             return
-        body = messages.direct_command(
-            leader.heartbeats.token(target), target.contact.position.epoch, orders
-        )
+        token, epoch = leader.heartbeats.token(target), target.contact.position.epoch
+        body = messages.direct_command(token, epoch, orders)
         client = Client(self._net, target.address, most=1, keep=0)
         try:
-            async with self._direct:
-                await client.request("POST", "/commands", body, within=timedelta(seconds=2))
+            async with self._connections:
+                await client.request("POST", "/commands", body, within=COMMAND_TIMEOUT)
         except NoAnswerError as error:
             log.debug("direct-command-lost", machine=machine, error=error)
 
-    def order_now(
-        self, leader: PartitionLeader, machine: str, rows: list[tuple[TaskKey, Attempt]]
-    ) -> None:
+    # Starts.
+
+    def order_now(self, leader: Leader, machine: str, starts: Starts) -> None:
+        """Begin to send starts that must not wait for the machine's next heartbeat."""
         if self._nursery is not None:
-            self._nursery.start_soon(self._order_now, leader, machine, rows)
+            self._nursery.start_soon(self._order_now, leader, machine, starts)
 
-    async def _order_now(
-        self, leader: PartitionLeader, name: str, rows: list[tuple[TaskKey, Attempt]]
-    ) -> None:
+    async def _order_now(self, leader: Leader, name: str, starts: Starts) -> None:
         try:
-            await self._start_directly(leader, name, rows)
+            await self._start_directly(leader, name, starts)
         except Exception:
+            # The next heartbeat's answer carries the starts; the controller must go on.
             log.crash("direct-start-failed", machine=name)
 
-    async def _start_directly(
-        self, leader: PartitionLeader, name: str, rows: list[tuple[TaskKey, Attempt]]
-    ) -> None:
-        """Starts that must not wait for the machine's next report. Once each; where no answer says
-        what became of it, the machine's token is raised, so that the order is refused should it
-        arrive later (`machines.Direct`)."""
+    async def _start_directly(self, leader: Leader, name: str, starts: Starts) -> None:
+        """Send starts that must not wait for the machine's next heartbeat.
+
+        Once each; where no answer says what became of it, the machine's token is raised, so that
+        the start is refused should it arrive later (`machines.DirectStart`).
+        """
         machine = leader.machines.get(name)
         if machine is None or machine.token.incarnation >= MAX_INCARNATIONS:
             return
-        async with self._direct:
-            now, recorded = clock.now(), leader.by_machine().get(name, {})
-            election = self._context.election
-            rows = [
-                (key, attempt)
-                for key, attempt in rows
-                if key in recorded
-                and recorded[key][1] == attempt
-                and key not in leader.stops
-                and key not in leader.ended
-                and leader.live(key[0])
-            ]
-            if (
-                not rows
-                or leader.machines.get(name) is not machine
-                or not machine.token.confirmed
-                or not leader.usable(machine, now, self._context.settings.heartbeat_interval * 2.2)
-                or election.leadership(leader.partition) != leader.leadership
-                or not election.may_start(now)
-            ):
+        async with self._connections:
+            now = clock.now()
+            starts = _still_wanted(leader, name, starts)
+            if not starts or not self._may_start_on(leader, machine, now):
                 return
-            epoch = machine.contact.position.epoch
-            for key, attempt in rows:
-                machine.token.direct_starts[key] = DirectStart(attempt.number, epoch)
-            machine.last_evaluation.invalidate()
-            machine.contact.lease_started_at = now
-            orders = [StartTask(*key, attempt.number) for key, attempt in rows]
+            epoch = _note_starts(machine, starts, now)
+            orders = [StartTask(*key, attempt.number) for key, attempt in starts]
             body = messages.direct_command(leader.heartbeats.token(machine), epoch, orders)
-            client, heartbeat = Client(self._net, machine.address, most=1, keep=0), None
-            try:
-                status, answer = await client.request(
-                    "POST", "/commands", body, within=DIRECT_WITHIN
-                )
-                if status == 200:
-                    heartbeat = messages.parse_heartbeat(answer)
-                elif status in (400, 409):
-                    # Nothing was executed, nor will be.
-                    for key, attempt in rows:
-                        if (
-                            key in machine.token.direct_starts
-                            and machine.token.direct_starts[key].attempt == attempt.number
-                        ):
-                            del machine.token.direct_starts[key]
-                    return
-            except (NoAnswerError, MalformedError) as error:
-                log.debug("direct-command-lost", machine=name, error=error)
-        if heartbeat is not None and heartbeat.machine == name:
-            for key, attempt in rows:
-                row = machine.token.direct_starts.get(key)
-                if row is not None and row.attempt == attempt.number:
-                    row.acknowledged_position = heartbeat.position
+            answer = await self._send_starts(machine, body)
+            if answer.refused:
+                _forget_starts(machine, starts)
+                return
+        if answer.heartbeat is not None and answer.heartbeat.machine == name:
+            _acknowledge_starts(machine, starts, answer.heartbeat)
             return
         log.info("direct-start-unanswered", partition=leader.partition, machine=name)
         if leader.machines.get(name) is machine:
             machine.fence()
             await self._raise_token(leader, machine)
 
-    async def _raise_token(self, leader: PartitionLeader, machine: Machine) -> None:
-        """Shows the machine its raised token at once, by a command without orders: until its next
-        report's answer brings the token, a held order to start would still be carried out, perhaps
-        after a user was told that the job is cancelled."""
+    def _may_start_on(self, leader: Leader, machine: Machine, now: datetime) -> bool:
+        """Whether a machine may be given direct starts after the wait for a connection."""
+        election, settings = self._controller.election, self._controller.settings
+        return (
+            leader.machines.get(machine.id) is machine
+            and machine.token.confirmed
+            and leader.usable(machine, now, settings.heartbeat_interval * SILENT_INTERVALS)
+            and election.leadership(leader.partition) == leader.leadership
+            and election.may_start(now)
+        )
+
+    async def _send_starts(self, machine: Machine, body: messages.Body) -> _StartAnswer:
+        client = Client(self._net, machine.address, most=1, keep=0)
+        heartbeat = None
+        try:
+            status, answer = await client.request("POST", "/commands", body, within=START_TIMEOUT)
+            if status == EXECUTED:
+                heartbeat = messages.parse_heartbeat(answer)
+            elif status in REFUSED:
+                # Nothing was executed, nor will be.
+                return _StartAnswer(refused=True, heartbeat=None)
+        except (NoAnswerError, MalformedError) as error:
+            log.debug("direct-command-lost", machine=machine.id, error=error)
+        return _StartAnswer(refused=False, heartbeat=heartbeat)
+
+    async def _raise_token(self, leader: Leader, machine: Machine) -> None:
+        """Show the machine its raised token at once, by a command without orders.
+
+        Until its next heartbeat's answer brings the token, a start that was held back would still
+        be carried out, perhaps after a user was told that the job is cancelled.
+        """
         for _ in range(FENCE_TRIES):
             if leader.machines.get(machine.id) is not machine or machine.token.confirmed:
                 return
-            body = messages.direct_command(
-                leader.heartbeats.token(machine), machine.contact.position.epoch
-            )
+            token, epoch = leader.heartbeats.token(machine), machine.contact.position.epoch
+            body = messages.direct_command(token, epoch)
             client = Client(self._net, machine.address, most=1, keep=0)
             try:
-                async with self._direct:
+                async with self._connections:
                     await client.request("POST", "/commands", body, within=FENCE_TIMEOUT)
-                return
             except NoAnswerError as error:
                 log.debug("token-raise-unanswered", machine=machine.id, error=error)
+            else:
+                return
+
+    # Stops.
 
     async def send_stops(self, nursery: trio.Nursery) -> None:
-        """Kills go out directly as well as with reports."""
+        """Send stops directly as well as with heartbeat answers."""
         self._nursery = nursery
-        sent: dict[tuple, datetime] = {}
+        sent: dict[_SentStop, datetime] = {}
         while True:
-            await clock.pause(timedelta(milliseconds=200))
+            await clock.pause(STOP_INTERVAL)
             now = clock.now()
             if len(sent) > MAX_SENT:
-                sent = {k: at for k, at in sent.items() if now - at < SENT_FOR}
+                sent = {stop: at for stop, at in sent.items() if now - at < SENT_FOR}
             for leader in list(self._leaders.values()):
-                orders: dict[str, list[WorkerOrder]] = {}
-                with leader.lock:
-                    leader.stop_dead(now)
-                    for key, stop in leader.stops.items():
-                        mark = (leader.leadership.term, key, stop.attempt, stop.grace)
-                        if now - sent.get(mark, clock.ORIGIN) < KILL_EVERY:
-                            continue
-                        spaced_out = leader.recovery.spaces_out(key, stop, now)
-                        if spaced_out or stop.machine in self._stopping:
-                            continue
-                        if stop.machine in leader.machines:
-                            sent[mark] = now
-                            orders.setdefault(stop.machine, []).append(
-                                StopTask(*key, stop.attempt, stop.grace)
-                            )
-                for machine, rows in orders.items():
-                    nursery.start_soon(self._send_kills, leader, machine, rows)
+                for machine, orders in self._due_stops(leader, sent, now).items():
+                    nursery.start_soon(self._send_stops_to, leader, machine, orders)
+
+    def _due_stops(
+        self, leader: Leader, sent: dict[_SentStop, datetime], now: datetime
+    ) -> dict[str, list[WorkerOrder]]:
+        """Return the stops that are to go out now, by machine, and note them as sent."""
+        due: dict[str, list[WorkerOrder]] = {}
+        with leader.lock:
+            leader.stop_dead(now)
+            for key, stop in leader.stops.items():
+                mark = _SentStop(leader.leadership.term, key, stop.attempt, stop.grace)
+                if now - sent.get(mark, clock.ORIGIN) < STOP_AGAIN_AFTER:
+                    continue
+                spaced_out = leader.recovery.spaces_out(key, stop, now)
+                if spaced_out or stop.machine in self._stopping:
+                    continue
+                if stop.machine in leader.machines:
+                    sent[mark] = now
+                    order = StopTask(*key, stop.attempt, stop.grace)
+                    due.setdefault(stop.machine, []).append(order)
+        return due
+
+    async def _send_stops_to(self, leader: Leader, machine: str, orders: list[WorkerOrder]) -> None:
+        self._stopping.add(machine)
+        try:
+            await self.command(leader, machine, orders)
+        finally:
+            self._stopping.discard(machine)
+
+
+def _still_wanted(leader: Leader, name: str, starts: Starts) -> Starts:
+    """Return the starts whose attempts are still recorded on the machine and are to run."""
+    recorded = leader.by_machine().get(name, {})
+    return [
+        (key, attempt)
+        for key, attempt in starts
+        if key in recorded
+        and recorded[key][1] == attempt
+        and key not in leader.stops
+        and key not in leader.ended
+        and leader.live(key[0])
+    ]
+
+
+def _note_starts(machine: Machine, starts: Starts, now: datetime) -> int:
+    """Note starts before they go out; return the epoch for which they hold."""
+    epoch = machine.contact.position.epoch
+    for key, attempt in starts:
+        machine.token.direct_starts[key] = DirectStart(attempt.number, epoch)
+    machine.last_evaluation.invalidate()
+    machine.contact.lease_started_at = now
+    return epoch
+
+
+def _forget_starts(machine: Machine, starts: Starts) -> None:
+    """Forget starts that were not carried out, nor will be."""
+    noted = machine.token.direct_starts
+    for key, attempt in starts:
+        if key in noted and noted[key].attempt == attempt.number:
+            del noted[key]
+
+
+def _acknowledge_starts(machine: Machine, starts: Starts, answer: WorkerHeartbeat) -> None:
+    """Note that the machine's answer is from after the starts were carried out."""
+    for key, attempt in starts:
+        start = machine.token.direct_starts.get(key)
+        if start is not None and start.attempt == attempt.number:
+            start.acknowledged_position = answer.position
--- /dev/null
+++ b/roadbend/fleet/foreign_heartbeats.py
@@ -0,0 +1,60 @@
+"""Heartbeats that come to this controller from partitions that it does not lead."""
+
+from collections import OrderedDict
+from collections.abc import Container
+from datetime import datetime, timedelta
+from itertools import accumulate
+from typing import NamedTuple
+
+from roadbend.fleet.messages import HeartbeatPosition, WorkerHeartbeat
+
+# Bytes of names of machines that we tell their leader we hear, a partition and all together (a peer
+# heartbeat is one frame), and heartbeats of other leaders' machines that we remember.
+MAX_HEARD = 64 * 1024
+MAX_HEARD_IN_ALL = 3 * MAX_HEARD
+MAX_FOREIGN_HEARTBEATS = 16_384
+# Length of a name in a peer heartbeat, beside its characters.
+NAME_OVERHEAD = 2
+# For how long a machine counts as heard.
+HEARD_FOR = timedelta(seconds=6)
+
+
+class _Heard(NamedTuple):
+    """The newest heartbeat of a machine."""
+
+    at: datetime
+    position: HeartbeatPosition
+
+
+class ForeignHeartbeats:
+    """Which machines of other leaders' partitions we hear, lately."""
+
+    def __init__(self) -> None:
+        # By partition and machine, the one heard last at the end.
+        self._heard: dict[str, OrderedDict[str, _Heard]] = {}
+
+    def note(self, heartbeat: WorkerHeartbeat, now: datetime) -> None:
+        """Note a heartbeat, unless it is a late copy, which is no sign of life."""
+        heard = self._heard.setdefault(heartbeat.zone, OrderedDict())
+        last = heard.get(heartbeat.machine)
+        if last is None or heartbeat.position > last.position:
+            heard[heartbeat.machine] = _Heard(now, heartbeat.position)
+            heard.move_to_end(heartbeat.machine)
+        while len(heard) > MAX_FOREIGN_HEARTBEATS:
+            heard.popitem(last=False)
+
+    def last(self, partition: str, machine: str) -> _Heard:
+        """Return when a machine was last heard; raise `KeyError` if it was not."""
+        return self._heard[partition][machine]
+
+    def machines(self, now: datetime, led: Container[str]) -> dict[str, tuple[str, ...]]:
+        """Return the machines heard lately, by partition, without the partitions that we lead."""
+        out = {}
+        most = min(MAX_HEARD, MAX_HEARD_IN_ALL // max(1, len(self._heard)))
+        for partition, rows in self._heard.items():
+            names = [name for name, heard in rows.items() if now - heard.at < HEARD_FOR]
+            if names and partition not in led:
+                # The latest; those beyond are taken for silent a little sooner.
+                sizes = accumulate(len(name) + NAME_OVERHEAD for name in reversed(names))
+                out[partition] = tuple(names[-sum(1 for size in sizes if size <= most) :])
+        return out
--- a/roadbend/fleet/messages.py
+++ b/roadbend/fleet/messages.py
@@ -243,10 +243,12 @@
 
 # The wire form of what controllers send.
 
+Body = dict[str, Any]
 
-def order_to_wire(order: WorkerOrder) -> dict[str, Any]:
+
+def order_to_wire(order: WorkerOrder) -> Body:
     """Return an order as the worker's protocol has it."""
-    row: dict[str, Any] = {
+    row: Body = {
         "verb": _VERBS[type(order)].value,
         "leg": f"{order.job}/{order.task_index}",
         "try": order.attempt,
@@ -256,12 +258,12 @@
     return row
 
 
-def heartbeat_answer(token: int, orders: Iterable[WorkerOrder] = ()) -> dict[str, Any]:
+def heartbeat_answer(token: int, orders: Iterable[WorkerOrder] = ()) -> Body:
     """Return the body of the answer that a heartbeat is accepted with."""
     return {"baton": token, "orders": [order_to_wire(order) for order in orders]}
 
 
-def direct_command(token: int, epoch: int, orders: Iterable[WorkerOrder] = ()) -> dict[str, Any]:
+def direct_command(token: int, epoch: int, orders: Iterable[WorkerOrder] = ()) -> Body:
     """Return the body of a direct command, which holds for one epoch of the worker."""
     return {
         "baton": token,
@@ -270,6 +272,6 @@
     }
 
 
-def redirect(controller: str) -> dict[str, Any]:
+def redirect(controller: str) -> Body:
     """Return the body of the answer that sends a worker to another controller."""
     return {"dispatcher": controller}
--- a/roadbend/fleet/test_large_fleet.py
+++ b/roadbend/fleet/test_large_fleet.py
@@ -35,8 +35,11 @@
 
 
 async def test_kills_for_a_machine_that_hangs_do_not_pile_up_or_hold_up_others():
-    """A kill that waits for a machine that hangs was joined by another every three seconds, and a
-    few dozen of them held up the kills for all other machines."""
+    """One stop at a time waits for a machine that hangs.
+
+    It was once joined by another every three seconds, and a few dozen of them held up the stops for
+    all other machines.
+    """
     async with world(count=1, teams={"red": Team("red", 0, 0, 4, 40)}, capacity=20) as w:
         assert await w.submit(0, job(1, legs=8, yard="east", shape="daemon", dueS=None)) == 201
         assert await w.until(lambda: len(w.board.running("run-000001")) == 8, 60)
@@ -61,8 +64,10 @@
 
 
 async def test_a_fleet_starts_loses_a_controller_and_its_machines_are_returned():
-    """Jobs of all shapes on all machines, one controller ends, jobs are cancelled meanwhile, and in
-    the end all machines are given back; the judge looks all the time."""
+    """Jobs of all shapes run on all machines, and in the end all machines are deleted.
+
+    One controller ends and jobs are cancelled meanwhile; the checker looks all the time.
+    """
     tasks = MACHINES * 2
     async with world(
         capacity=MACHINES,
--- a/roadbend/fleet/test_machine_incarnations.py
+++ b/roadbend/fleet/test_machine_incarnations.py
@@ -18,7 +18,7 @@
 
 
 def late(name, **more):
-    """A report as it may come at any time, long after it was sent."""
+    """Return a heartbeat as it may come at any time, long after it was sent."""
     body = {
         "hitch": name,
         "address": f"{name}:1",
@@ -35,8 +35,10 @@
 
 
 async def test_a_late_copy_of_a_deleted_machine_makes_no_machine_that_takes_work():
-    """Under an earlier term the deletion is another controller's memory; under ours it may have
-    left it."""
+    """Nobody may remember the deletion.
+
+    Under an earlier term it is another controller's memory; under ours it may have left it.
+    """
     async with world(count=1) as w:
         controller = w.controllers["node-0"]
         leader = controller.leaders["east"]
@@ -73,16 +75,11 @@
         fleet = w.controllers["node-1"].fleet
         for body in (copies[2], copies[2], copies[0], copies[1]):
             assert (await w.call(1, "POST", "/hello", body))[0] == 421
-            at = fleet._foreign_heartbeats["east"][name]
+            last = fleet.foreign_heartbeats.last("east", name)
             await trio.sleep(1)
-        assert at[1] == (copies[2]["stint"], copies[2]["tick"])
+        assert last.position == (copies[2]["stint"], copies[2]["tick"])
         await trio.sleep(3)
-        assert (
-            w.controllers["node-1"].fleet.heard(
-                fleet._foreign_heartbeats["east"][name][0] + timedelta(seconds=7)
-            )
-            == {}
-        )
+        assert w.controllers["node-1"].fleet.heard(last.at + timedelta(seconds=7)) == {}
         assert w.board.running("run-000002") and len(w.board.starts) == 1
 
 
@@ -167,9 +164,34 @@
         assert name in w.cloud.machines and len(w.board.starts) == 1
 
 
+async def disturb(w, rng, copies):
+    """Play one disturbance.
+
+    A machine restarts, a copy of what one said comes late to anybody, a controller is back at once
+    in the middle of an election, or the state service is out for a moment.
+    """
+    await trio.sleep(rng.uniform(0.2, 1.5))
+    up = [m for m in w.cloud.machines.values() if m.worker is not None and m.status == "running"]
+    choice = rng.random()
+    if up and choice < 0.5:
+        copies.append(rng.choice(up).worker.heartbeat())
+    elif up and choice < 0.55:
+        w.cloud.reboot(rng.choice(up).id)
+    elif choice < 0.62:
+        at = rng.randrange(3)
+        w.crash(at)
+        await trio.sleep(rng.choice((0.05, 0.4, 4.0)))
+        w.start(at)
+    elif choice < 0.66:
+        w.state.down = True
+        await trio.sleep(rng.uniform(0.2, 6))
+        w.state.restore()
+    elif copies:
+        await w.call(rng.randrange(3), "POST", "/hello", rng.choice(copies))
+
+
 async def test_reboots_late_copies_and_restarts_together_start_nothing_twice():
-    """Seeded: machines begin anew, copies of what they said come late to anybody, controllers are
-    back at once in the middle of an election, the state service is out for a moment."""
+    """Seeded disturbances, many of them at once, see `disturb`."""
     for seed in range(3):
         rng = random.Random(seed)
         async with world(operator=OperatorSettings(reoffer_every=timedelta(seconds=2))) as w:
@@ -181,28 +203,7 @@
             assert await w.submit(0, job(20, legs=2, **SERVICE), None) == 201
             copies = []
             for _ in range(60):
-                await trio.sleep(rng.uniform(0.2, 1.5))
-                up = [
-                    m
-                    for m in w.cloud.machines.values()
-                    if m.worker is not None and m.status == "running"
-                ]
-                choice = rng.random()
-                if up and choice < 0.5:
-                    copies.append(rng.choice(up).worker.heartbeat())
-                elif up and choice < 0.55:
-                    w.cloud.reboot(rng.choice(up).id)
-                elif choice < 0.62:
-                    at = rng.randrange(3)
-                    w.crash(at)
-                    await trio.sleep(rng.choice((0.05, 0.4, 4.0)))
-                    w.start(at)
-                elif choice < 0.66:
-                    w.state.down = True
-                    await trio.sleep(rng.uniform(0.2, 6))
-                    w.state.restore()
-                elif copies:
-                    await w.call(rng.randrange(3), "POST", "/hello", rng.choice(copies))
+                await disturb(w, rng, copies)
             assert await w.settled()
             for n in range(10, 16):
 
--- a/roadbend/fleet/test_machines.py
+++ b/roadbend/fleet/test_machines.py
@@ -77,8 +77,10 @@
 
 
 def test_what_was_ordered_directly_is_gone_only_when_the_order_is_settled():
-    """A direct order may be carried out late; until it is known what became of it, absence proves
-    nothing."""
+    """Until it is known what became of a direct start, absence proves nothing.
+
+    It may be carried out late.
+    """
     machine = Machine("m-1", "m-1:1", "g2", "east", False)
 
     def settled(sequence: int, epoch: int = 1, current: bool = True) -> bool:
--- a/roadbend/fleet/test_process_pauses.py
+++ b/roadbend/fleet/test_process_pauses.py
@@ -12,8 +12,10 @@
 
 
 async def test_a_controller_that_stood_still_takes_no_machine_for_silent():
-    """Its machines' reports lie unread when it goes on; all of them looked silent, and were looked
-    into at once."""
+    """Heartbeats lie unread when a controller goes on after a pause.
+
+    All of its machines once looked silent then, and were looked into at once.
+    """
     async with world(count=1, teams={"red": Team("red", 0, 0, 4, 40)}, capacity=20) as w:
         assert (
             await w.submit(0, job(1, legs=16, yard="east", shape="daemon", dueS=None), None) == 201
