--- a/roadbend/recovery/service.py
+++ b/roadbend/recovery/service.py
@@ -28,6 +28,7 @@
     delete,
     put,
 )
+from roadbend.store.records import unrecorded_job_value
 
 if TYPE_CHECKING:
     from roadbend.controller import Controller
@@ -282,7 +283,7 @@
         key = keys.unrecorded_key(held.job)
         conditions = {key: 0, keys.job_key(held.job): 0, keys.job_end_key(held.job): 0}
         await self._write(
-            partition, [put(key, {"v": 1, "part": partition.leader.partition})], conditions
+            partition, [put(key, unrecorded_job_value(partition.leader.partition))], conditions
         )
 
     # Progress.
--- a/roadbend/store/attempt_index.py
+++ b/roadbend/store/attempt_index.py
@@ -109,7 +109,7 @@
     ) -> int:
         """Add the attempts that a shard names newly; return how many no shard named before."""
         partition, job = job_slice.partition, job_slice.job
-        machines = self.attempts_by_machine[partition]
+        machines = self.attempts_by_machine.setdefault(partition, {})
         added = 0
         for task_index, attempt in after.items():
             if before.get(task_index) == attempt:
--- a/roadbend/store/live_records.py
+++ b/roadbend/store/live_records.py
@@ -53,13 +53,20 @@
             RecordKind.UNRECORDED: self._unrecorded,
             RecordKind.CATALOG: self._catalog,
         }
+        # Job id -> live job.
         self.jobs = self._jobs.jobs
+        # Partition -> ids of the jobs of which it holds tasks, in the order in which they came.
         self.assigned_jobs = self._jobs.assigned_jobs
+        # Partition -> job id -> what the partition runs of it.
         self.job_slices = attempts.job_slices
+        # Partition -> machine -> the attempts recorded on it; and a number that changes with them.
         self.attempts_by_machine = attempts.attempts_by_machine
         self.machine_versions = attempts.machine_versions
+        # Partition -> team -> what the recorded attempts use.
         self.usage = attempts.usage
+        # Team -> what each partition has reserved of its quota.
         self.quotas = quotas.records
+        # Partition -> its term, and its leader.
         self.terms = terms.records
         self.partition_leaders = leaders.records
 
--- a/roadbend/store/records/__init__.py
+++ b/roadbend/store/records/__init__.py
@@ -3,23 +3,23 @@
 What is in them, and how they are written and read back; `roadbend.store.keys` has their names.
 """
 
-from roadbend.store.records.job import PRIORITY, Job, JobSpec, JobValue, job_end_value
+from roadbend.store.records.job import PRIORITY, Job, JobSpec, job_end_value
 from roadbend.store.records.leadership import (
     INCARNATION_BITS,
     ControllerRecord,
     LeaderRecord,
     TermRecord,
 )
-from roadbend.store.records.quota import NO_USAGE, QuotaRecord, QuotaValue, Usage
+from roadbend.store.records.quota import NO_USAGE, QuotaRecord, Usage
 from roadbend.store.records.recovery import (
     RecoveryProgress,
-    RecoveryValue,
     read_recovery_progress,
     read_unrecorded_job,
+    unrecorded_job_value,
 )
 from roadbend.store.records.resources import Resources
 from roadbend.store.records.size import shard_width, weigh
-from roadbend.store.records.slice_shard import Attempt, SliceShard, SliceShardValue
+from roadbend.store.records.slice_shard import Attempt, SliceShard
 
 __all__ = [
     "INCARNATION_BITS",
@@ -29,20 +29,17 @@
     "ControllerRecord",
     "Job",
     "JobSpec",
-    "JobValue",
     "LeaderRecord",
     "QuotaRecord",
-    "QuotaValue",
     "RecoveryProgress",
-    "RecoveryValue",
     "Resources",
     "SliceShard",
-    "SliceShardValue",
     "TermRecord",
     "Usage",
     "job_end_value",
     "read_recovery_progress",
     "read_unrecorded_job",
     "shard_width",
+    "unrecorded_job_value",
     "weigh",
 ]
--- a/roadbend/store/records/recovery.py
+++ b/roadbend/store/records/recovery.py
@@ -4,6 +4,8 @@
 from typing import Any, ClassVar
 
 RecoveryValue = dict[str, Any]
+# The version of the form in which unrecorded jobs are written.
+UNRECORDED_JOB_VERSION = 1
 
 
 @dataclass(frozen=True)
@@ -63,6 +65,11 @@
     return RecoveryProgress.from_value(value, mod_revision)
 
 
+def unrecorded_job_value(partition: str) -> dict[str, Any]:
+    """Return the value that says that a partition stops a job which no other record names."""
+    return {"v": UNRECORDED_JOB_VERSION, "part": partition}
+
+
 def read_unrecorded_job(_job: str, value: dict[str, Any], _mod_revision: int) -> str:
     """Return the partition that stops a job which machines run and no other record names."""
     return str(value["part"])
--- a/roadbend/store/records/resources.py
+++ b/roadbend/store/records/resources.py
@@ -5,7 +5,7 @@
 
 @dataclass(frozen=True)
 class Resources:
-    """What one task takes of its machine: CPUs, GPUs, and memory in GiB."""
+    """What one task takes of its machine: CPUs, GPUs, and memory in GB."""
 
     cpus: float
     gpus: float
