--- a/roadbend/bidding/requester.py
+++ b/roadbend/bidding/requester.py
@@ -16,7 +16,7 @@
 from roadbend.partitions.policy import rendezvous
 from roadbend.peers.links import Peers
 from roadbend.placement.context import ControllerContext
-from roadbend.retry import drawn
+from roadbend.retry import jittered
 from roadbend.store import ranges
 from roadbend.store.client import LeaseEndedError, UnavailableError
 from roadbend.store.records import Job
@@ -114,7 +114,7 @@
         """
         longest = self._context.operator.rebid_every * REBID_ROUNDS
         wait = min((now - job.since) * REBID_BACKOFF, longest)
-        return job._replace(next_try=now + drawn(wait, self._rng))
+        return job._replace(next_try=now + jittered(wait, self._rng))
 
     async def _allocate(self, name: str) -> None:
         """Allocate a job's unassigned tasks, as far as there are bids for them."""
--- a/roadbend/test_ran_twice.py
+++ b/roadbend/test_ran_twice.py
@@ -12,7 +12,7 @@
 from roadbend.fakes.submission import job
 from roadbend.fakes.world import World, settings_for, world
 from roadbend.fleet.messages import parse_heartbeat
-from roadbend.fleet.terminations import TaskKey, Termination
+from roadbend.fleet.terminations import TaskKey, Termination, TerminationEvidence
 from roadbend.partitions.leadership import Leadership
 from roadbend.placement import ends
 from roadbend.placement.transaction import TransactionBuilder
@@ -174,7 +174,7 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(heartbeat)
             await trio.sleep(0.05)
-            leader.gone(machine, "deleted")
+            leader.gone(machine, TerminationEvidence.DELETED)
         assert answers == [None]
 
 
@@ -192,7 +192,7 @@
         await trio.sleep_until(worker._answered + LEASE_S - 0.05)
         sent, epoch, body = trio.current_time(), worker.epoch, worker.heartbeat()
         while TASK not in leader.ended and trio.current_time() < sent + 3.9:
-            controller.fleet.failure_detector._expire(leader, machine)
+            controller.fleet.failure_detector._fencing.expire(leader, machine)
             await trio.sleep(0.05)
         assert TASK in leader.ended
         heartbeat = parse_heartbeat(body)
--- a/tests/compatibility/adapter.py
+++ b/tests/compatibility/adapter.py
@@ -22,7 +22,7 @@
 
 import roadbend
 from roadbend import cli, clock, log
-from roadbend.autoscaler.cloud import read_machine_types
+from roadbend.autoscaler.messages import read_machine_types
 from roadbend.bidding import messages as bidding_messages
 from roadbend.bidding.casa import Bid
 from roadbend.bidding.messages import BidRequest
@@ -534,8 +534,8 @@
         "machine_type": report.machine_type,
         "zone": report.zone,
         "spot": report.spot,
-        "session": report.epoch,
-        "number": report.sequence,
+        "session": report.position.epoch,
+        "number": report.position.sequence,
         "token": report.token,
         "notice_s": report.notice,
         "tasks": [list(task) for task in report.tasks],
