--- a/roadbend/recovery/records.py
+++ b/roadbend/recovery/records.py
@@ -21,6 +21,7 @@
     delete,
     put,
 )
+from roadbend.store.records import unrecorded_job_value
 
 log = Log("recovery")
 
@@ -66,7 +67,7 @@
     async def _publish(self, partition: PartitionRecovery, held: HeldAttempt) -> None:
         key = keys.unrecorded_key(held.job)
         conditions = {key: 0, keys.job_key(held.job): 0, keys.job_end_key(held.job): 0}
-        value = {"v": 1, "part": partition.leader.partition}
+        value = unrecorded_job_value(partition.leader.partition)
         await self._write(partition, [put(key, value)], conditions)
 
     async def record_progress(self, partition: PartitionRecovery, *, inherited: bool) -> None:
