--- a/roadbend/autoscaler/scale_in.py
+++ b/roadbend/autoscaler/scale_in.py
@@ -44,7 +44,7 @@
             # Marked before the call: nothing is started on it while the answer is out.
             if leader.machines[name].draining is None:
                 leader.machines[name].draining = "returned"
-        names = [name for name in names if name not in leader.by_machine()]
+        names = [name for name in names if name not in leader.records.attempts_by_machine()]
         if not names:
             return
         await self._cloud.delete(names, still=still)
@@ -55,7 +55,7 @@
             machines=",".join(names),
         )
         for name in names:
-            leader.gone(name, "deleted")
+            leader.terminate_attempts(name, "deleted")
 
     def _is_worth_a_call(self, leader: PartitionLeader, names: list[str], now: datetime) -> bool:
         """A few at a time would take a call each."""
@@ -114,7 +114,7 @@
         """Empty machines that a waiting gang needs: it begins when the last one is up, and those
         that came up before would be returned meanwhile, again and again."""
         kept: set[str] = set()
-        for item in leader.left:
+        for item in leader.queue.not_placed:
             places = item.count if item.job.spec.gang else 0
             for name in idle:
                 if places <= 0:
@@ -132,8 +132,8 @@
 def _is_busy(leader: PartitionLeader, machine: Machine) -> bool:
     """Whether a machine holds work, or may, or is being deleted."""
     return bool(
-        machine.id in leader.by_machine()
+        machine.id in leader.records.attempts_by_machine()
         or machine.unrecorded_tasks
-        or machine.id in leader.in_flight
+        or machine.id in leader.transactions.machines_in_flight
         or machine.fencing
     )
--- a/roadbend/autoscaler/service.py
+++ b/roadbend/autoscaler/service.py
@@ -230,7 +230,7 @@
         for name in [n for n in boots if n in leader.machines]:
             del boots[name]
         fresh = self.booting_capacities(leader, now)
-        leader.booting = fresh
+        leader.registry.note_booting(fresh)
         queue = self._timed(leader, self._within_limits(leader, leader.queue.pending()))
         choices = policy.options(
             self._context.machine_types.values(), partition, self.closed(partition, now)
@@ -288,7 +288,10 @@
             # What we hired in an earlier term may long be up, and report to us only now: an owner
             # that got its partition back once deleted healthy machines here.
             since = max(boot.since, leader.leadership.acquired_at)
-            unheard = boot.id not in leader.machines and boot.id not in leader.by_machine()
+            unheard = (
+                boot.id not in leader.machines
+                and boot.id not in leader.records.attempts_by_machine()
+            )
             if (
                 now - since > limit
                 and unheard
@@ -305,7 +308,7 @@
             await self._cloud.delete(late, still=self._still(leader))
             for name in late:
                 boots.pop(name, None)
-                leader.gone(name, "deleted")
+                leader.terminate_attempts(name, "deleted")
 
     def _timed(
         self, leader: PartitionLeader, queue: list[placing.PendingTasks]
@@ -321,7 +324,7 @@
             waited = (wall - item.job.submitted_at).total_seconds()
             # Estimates are often wrong: the time kept for the run is longer than the likely one.
             kept = 0.0 if spec.service else run * operator.caution
-            avoid = leader.withheld_types.get(item.job.id, frozenset())
+            avoid = leader.exclusions.withheld_types(item.job.id)
             # The last task decides; for the later deadline, which is the last chance, some more is
             # kept.
             sure = kept * 1.3 + 0.5 * boot
@@ -393,7 +396,7 @@
                 machine, machine_type, spot, now
             )
             if machine not in leader.machines:
-                leader.rented.add(machine)
+                leader.registry.note_created(machine)
         log.info(
             "machines-created",
             partition=partition,
--- a/roadbend/autoscaler/warm_pool.py
+++ b/roadbend/autoscaler/warm_pool.py
@@ -65,14 +65,14 @@
         self, leader: PartitionLeader, model: Job, fresh: list[placing.FreeCapacity]
     ) -> int:
         """Places that are free, or that work which may be stopped for it holds."""
-        index, have = leader.by_machine(), 0
+        index, have = leader.records.attempts_by_machine(), 0
         dear = policy.expensive_machine_types(
             model,
             self._context.machine_types.values(),
             self._context.operator.dear,
             leader.partition,
         )
-        for capacity in leader.capacities() + [replace(capacity) for capacity in fresh]:
+        for capacity in leader.free_capacities.usable() + [replace(capacity) for capacity in fresh]:
             if (
                 not placing.allowed(model, capacity.machine_type, capacity.zone, capacity.spot)
                 or capacity.machine_type in dear
--- a/roadbend/bidding/requester.py
+++ b/roadbend/bidding/requester.py
@@ -140,7 +140,7 @@
             except Exception as error:  # cbor2 raises many kinds on hostile input
                 raise FrameError("assign") from error
         for leader in self._leaders.values():
-            leader.wake_up.set()
+            leader.steps.request()
         return b""
 
     def _on_revoke(self, sender: str, payload: bytes) -> None:
@@ -281,7 +281,7 @@
         average = bidder.average_queuing(now)
         waits: dict[str, timedelta] = {}
         for item in leader.queue.pending():
-            since = leader.queued.get(item.job.id)
+            since = leader.aging.queued_since(item.job.id)
             # A job that has just come cools down first, whatever the average; so it can't go to and
             # fro.
             if since is not None and now - since >= operator.cool_down:
@@ -326,8 +326,10 @@
             job = self._context.view.jobs[name]
             if not job.spec.gang or name in self._context.cancelled:
                 continue
-            waits_long = now - leader.queued.get(name, now) >= LONG_WAIT
-            due = apart_gangs.is_apart(job) and (waits_long or name in leader.to_release)
+            waits_long = leader.aging.waited(name, now) >= LONG_WAIT
+            due = apart_gangs.is_apart(job) and (
+                waits_long or leader.gang_attempts.is_to_release(name)
+            )
             if not due and not gangs.is_scattered(job):
                 continue
             conditions = apart_gangs.may_release(leader, job)
@@ -337,8 +339,8 @@
                 log.info(
                     "gang-released", partition=leader.partition, job=name, tasks=job.spec.task_count
                 )
-                leader.queued.pop(name, None)
-                leader.to_release.discard(name)
+                leader.aging.forget(name)
+                leader.gang_attempts.note_released(name)
                 self.submit(name)
 
     async def _offer_again(
@@ -463,7 +465,7 @@
                 else:
                     nursery.start_soon(self._say, link, frames.REVOKE, revoke)
         for leader in self._leaders.values():
-            leader.wake_up.set()
+            leader.steps.request()
         return True
 
     def _describe(self, bid: Bid) -> str:
--- a/roadbend/bidding/responder.py
+++ b/roadbend/bidding/responder.py
@@ -115,8 +115,8 @@
     def average_queuing(self, now: datetime) -> timedelta:
         """Definition 4 for this partition: of those that wait, else of those that were started."""
         leader = self._leader
-        waiting = [now - leader.queued.get(item.job.id, now) for item in leader.queue.lately()]
-        return casa.average_queuing(waiting, list(leader.waits))
+        waiting = [leader.aging.waited(item.job.id, now) for item in leader.queue.lately()]
+        return casa.average_queuing(waiting, list(leader.aging.recent_waits))
 
     def estimate(self, job: Job, now: datetime) -> timedelta:
         """What this partition itself expects for a job that waits here: its run, and when the last
@@ -169,7 +169,7 @@
 
     def _fitting(self, job: Job, projection: QueueProjection) -> tuple[int, int]:
         """How many tasks of a job fit on the machines that are up, and on those that boot."""
-        if job.id not in self._leader.avoid:
+        if not self._leader.exclusions.failed_on(job.id):
             return projection.fitting(job)
         booting = [
             timeline.capacity for timeline in projection.timelines if timeline.capacity.ready_in > 0
@@ -181,7 +181,7 @@
             capacity.count(job.spec.resources)
             for capacity in capacities
             if placing.allowed(job, capacity.machine_type, capacity.zone, capacity.spot)
-            and capacity.id not in self._leader.avoid.get(job.id, ())
+            and capacity.id not in self._leader.exclusions.failed_on(job.id)
         )
 
     def _cached(self, job: Job, capacities: list[FreeCapacity]) -> bool:
--- a/roadbend/controller.py
+++ b/roadbend/controller.py
@@ -194,7 +194,7 @@
             # A calm report is answered at a look: what is to be stopped must be marked before the
             # next one comes.
             for leader in self.leaders.values():
-                leader.stop_dead(clock.now())
+                leader.stops.order_all_cancelled(clock.now())
 
     def _tell(self, job: str) -> None:
         """A user learns from us that its job is cancelled; peers hear of it without the records."""
@@ -245,21 +245,20 @@
             for partition, leader in self.leaders.items():
                 if (
                     name in self.view.assigned_jobs.get(partition, ())
-                    or name in leader.job_slices()
+                    or name in leader.records.job_slices()
                 ):
-                    leader.wake_up.set()
+                    leader.steps.request()
         elif key.startswith("r/team/"):
             for leader in self.leaders.values():
-                if leader.left:
-                    leader.wake_up.set()
+                if leader.queue.not_placed:
+                    leader.steps.request()
 
     def _on_ownership(self, partition: str) -> None:
         leadership = self.election.leadership(partition)
         if leadership is None:
             self.leaders.pop(partition, None)
             return
-        leader = PartitionLeader(self.context, leadership)
-        leader.order_now = self.fleet.commands.order_now
+        leader = PartitionLeader(self.context, leadership, self.fleet.commands.order_now)
         leader.recovery = self.context.recovery.for_partition(leader)
         self.leaders[partition] = leader
         if self._nursery is not None:
--- a/roadbend/fleet/direct_commands.py
+++ b/roadbend/fleet/direct_commands.py
@@ -94,7 +94,7 @@
         if machine is None or machine.incarnation >= MAX_INCARNATIONS:
             return
         async with self._direct:
-            now, recorded = clock.now(), leader.by_machine().get(name, {})
+            now, recorded = clock.now(), leader.records.attempts_by_machine().get(name, {})
             election = self._context.election
             rows = [
                 (key, attempt)
@@ -102,14 +102,16 @@
                 if key in recorded
                 and recorded[key][1] == attempt
                 and key not in leader.stops
-                and key not in leader.ended
-                and leader.live(key[0])
+                and key not in leader.terminations
+                and leader.records.live_job(key[0])
             ]
             if (
                 not rows
                 or leader.machines.get(name) is not machine
                 or not machine.token_confirmed
-                or not leader.usable(machine, now, self._context.settings.heartbeat_interval * 2.2)
+                or not leader.free_capacities.is_usable(
+                    machine, now, self._context.settings.heartbeat_interval * 2.2
+                )
                 or election.leadership(leader.partition) != leader.leadership
                 or not election.may_start(now)
             ):
@@ -179,7 +181,7 @@
             for leader in list(self._leaders.values()):
                 orders: dict[str, list[dict]] = {}
                 with leader.lock:
-                    leader.stop_dead(now)
+                    leader.stops.order_all_cancelled(now)
                     for key, stop in leader.stops.items():
                         mark = (leader.leadership.term, key, stop.attempt, stop.grace)
                         if now - sent.get(mark, clock.ORIGIN) < KILL_EVERY:
--- a/roadbend/fleet/failure_detector.py
+++ b/roadbend/fleet/failure_detector.py
@@ -107,7 +107,7 @@
         now = clock.now()
         operator, settings = self._context.operator, self._context.settings
         since = leader.leadership.acquired_at
-        index = leader.by_machine()
+        index = leader.records.attempts_by_machine()
         silent = []
         for name in leader.machines.keys() | index.keys():
             machine = leader.machines.get(name)
@@ -291,7 +291,7 @@
                 machine.draining, machine.fencing = "fence", False
             return False
         log.info("machine-fenced", partition=leader.partition, machine=name)
-        leader.gone(name, "deleted")
+        leader.terminate_attempts(name, "deleted")
         return True
 
     def _expire(self, leader: PartitionLeader, name: str) -> None:
@@ -315,6 +315,6 @@
                 leader.leadership.acquired_at + s.cancel_within * (1 + 2 * clock.DRIFT) + margin,
                 last + s.lease * (1 + 2 * clock.DRIFT) + margin,
             )
-        if sure and leader.by_machine().get(name):
+        if sure and leader.records.attempts_by_machine().get(name):
             log.info("worker-lease-expired", partition=leader.partition, machine=name)
-            leader.gone(name, "lease")
+            leader.terminate_attempts(name, "lease")
--- a/roadbend/fleet/heartbeat_evaluation.py
+++ b/roadbend/fleet/heartbeat_evaluation.py
@@ -5,7 +5,7 @@
 of ours, nor of a former owner, is still on its way to the worker. An older token proves presence
 only."""
 
-from collections.abc import Callable
+from collections.abc import Callable, Mapping
 from dataclasses import dataclass
 from datetime import datetime, timedelta
 
@@ -31,7 +31,7 @@
     # The recorded attempts, and the jobs of those that are neither over nor cancelled.
     recorded: MachineAttempts
     jobs: dict[str, Job]
-    stops: dict[TaskKey, StopOrder]
+    stops: Mapping[TaskKey, StopOrder]
     ended: Terminations
     may_start: bool
     # The attempt of a task that the partition's records name on any machine.
--- a/roadbend/fleet/test_machine_incarnations.py
+++ b/roadbend/fleet/test_machine_incarnations.py
@@ -47,7 +47,7 @@
         assert "m-78" not in leader.machines
         assert await w.submit(0, job(1, **SERVICE), None) == 201
         await trio.sleep(2)
-        assert "m-77" not in leader.by_machine()
+        assert "m-77" not in leader.records.attempts_by_machine()
         assert await w.until(lambda: w.board.running("run-000001"), 60)
         # It never comes back: it is looked into, deleted by name, and forgotten.
         assert await w.until(lambda: "m-77" not in leader.machines, 60)
--- a/roadbend/placement/apart_gangs.py
+++ b/roadbend/placement/apart_gangs.py
@@ -73,7 +73,7 @@
     if leader.partition == partitions[0]:
         return not any(recorded(leader, job, partition) for partition in partitions[1:])
     number = number_to_join(leader, job)
-    return number is not None and leader.joined.get(job.id) != number
+    return number is not None and not leader.gang_attempts.has_joined(job.id, number)
 
 
 def sequence_mark(leader: PartitionLeader) -> int:
@@ -92,14 +92,14 @@
 def share_conditions(leader: PartitionLeader, job: Job, partition: str) -> dict[str, int]:
     """The revisions of the records of a partition's share; 0 for those that don't exist."""
     held = job.allocation.get(partition, ())
-    shards = {index // leader.width for index in ranges.numbers(held)}
+    shards = {index // leader.records.shard_width for index in ranges.numbers(held)}
     record_keys = [keys.slice_key(partition, job.id, shard) for shard in sorted(shards)]
     return {key: leader.context.view.mod_revision(key) for key in record_keys}
 
 
 def intact(leader: PartitionLeader, job: Job, now: datetime) -> bool:
     """Whether the attempt of which this partition runs a share may still begin or go on."""
-    number = leader.filling.get(job.id) or complete_under(leader, job, leader.partition)
+    number = leader.gang_attempts.filling(job.id) or complete_under(leader, job, leader.partition)
     if number is None:
         return False
     partitions = partitions_of(job)
@@ -132,15 +132,14 @@
 def rest(leader: PartitionLeader, job: Job, now: datetime) -> None:
     """An attempt is over: the next one does not begin at once, and its shares are bid for anew,
     since one of them may find no room where it is."""
-    times = leader.backoff.get(job.id, (0, now))[0]
-    leader.backoff[job.id] = (times, now + REST)
-    leader.to_release.add(job.id)
+    leader.backoff.rest_until(job.id, now + REST)
+    leader.gang_attempts.note_over(job.id)
 
 
 def keeps_room(leader: PartitionLeader, job: Job, now: datetime) -> bool:
     """Whether room is kept for a share that may not begin yet: only for a while, since the other
     shares may never find theirs."""
-    return now - leader.queued.get(job.id, now) < KEEP_ROOM
+    return leader.aging.waited(job.id, now) < KEEP_ROOM
 
 
 def may_release(leader: PartitionLeader, job: Job) -> dict[str, int] | None:
--- a/roadbend/placement/ends.py
+++ b/roadbend/placement/ends.py
@@ -8,7 +8,6 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
-from roadbend import clock
 from roadbend.fleet.terminations import Termination
 from roadbend.log import Log
 from roadbend.placement import gangs
@@ -24,10 +23,8 @@
 log = Log("placement")
 # Shards of a job that is still running leave the records when there are this many to go.
 FOLD = 4
-# For how long a job keeps off a machine on which it failed, and what fails everywhere at most
-# rests.
+# For how long a job keeps off a machine on which it failed.
 AVOID = timedelta(seconds=20)
-BACKOFF_MOST = timedelta(seconds=24)
 
 
 @dataclass
@@ -55,7 +52,7 @@
     says whether more is left for the next one."""
     more = False
     for name, found in ends_by_job(leader).items():
-        job_slice = leader.job_slices().get(name)
+        job_slice = leader.records.job_slices().get(name)
         if job_slice is None:
             continue
         ends = collect(leader, transaction, name, job_slice, found)
@@ -71,7 +68,7 @@
                 return True
             # What is left out is recorded next, like the end of a cancelled task: the job is over.
             more = more or written != ends.touched.keys()
-            ends.keep_only(written, leader.width)
+            ends.keep_only(written, leader.records.shard_width)
             note_ends(leader, transaction, ends, now)
             continue
         result = record_job(leader, transaction, ends)
@@ -85,10 +82,10 @@
 def ends_by_job(leader: PartitionLeader) -> dict[str, list[tuple[int, Termination]]]:
     """The ends to be recorded, by job; also the jobs with slices of which nothing runs."""
     by_job: dict[str, list[tuple[int, Termination]]] = {}
-    for (job, task_index), end in leader.ended.items():
+    for (job, task_index), end in leader.terminations.items():
         by_job.setdefault(job, []).append((task_index, end))
     # Slices of cancelled jobs with nothing left, and slices all done, also end here.
-    for name, job_slice in leader.job_slices().items():
+    for name, job_slice in leader.records.job_slices().items():
         if not job_slice.attempts:
             by_job.setdefault(name, [])
     return by_job
@@ -109,7 +106,7 @@
         attempt = job_slice.attempts.get(task_index)
         if attempt != Attempt(end.attempt, end.machine):
             continue
-        at = job_slice.shard_of(task_index, leader.width)
+        at = job_slice.shard_of(task_index, leader.records.shard_width)
         piece = ends.touched.get(at) or transaction.slice(
             name, job_slice.team, job_slice.resources, at
         )
@@ -138,9 +135,9 @@
         if plan:
             waiting = len(ends.touched) > 1
             ends.plans = {n: plan}
-            ends.keep_only({n}, leader.width)
+            ends.keep_only({n}, leader.records.shard_width)
             return waiting
-    ends.keep_only(ends.touched.keys() - set(wide), leader.width)
+    ends.keep_only(ends.touched.keys() - set(wide), leader.records.shard_width)
     return bool(wide) and bool(transaction.changes)
 
 
@@ -165,7 +162,7 @@
         # Wider than one transaction: some of it now, the rest in the next.
         some = sorted(over.keys() | ends.touched.keys())[: max(1, transaction.free - 2)]
         over = {n: piece for n, piece in over.items() if n in some}
-        ends.keep_only([n for n in some if n not in ends.plans], leader.width)
+        ends.keep_only([n for n in some if n not in ends.plans], leader.records.shard_width)
         whole = False
     write_slices(leader, transaction, ends, over)
     if ends.job is not None and over:
@@ -284,7 +281,7 @@
     otherwise lose it. Empty where that can't be done yet."""
     homes: dict[int, dict[int, Attempt]] = {}
     for task_index, attempt in piece.attempts.items():
-        homes.setdefault(task_index // leader.width, {})[task_index] = attempt
+        homes.setdefault(task_index // leader.records.shard_width, {})[task_index] = attempt
     kept, pieces = dict(piece.attempts), []
     for at, rows in sorted(homes.items(), key=lambda row: -len(row[1])):
         if transaction.fits(replace(piece, attempts=kept)):
@@ -313,7 +310,7 @@
     """The held tasks whose attempts are written into this shard."""
     if shard < 0:
         return held
-    low, high = shard * leader.width, (shard + 1) * leader.width
+    low, high = shard * leader.records.shard_width, (shard + 1) * leader.records.shard_width
     return tuple((max(a, low), min(b, high)) for a, b in held if a < high and b > low)
 
 
@@ -328,12 +325,12 @@
         machine=end.machine,
         cause=end.cause,
     )
-    if end.cause in gangs.REPLACED and (known := leader.live(job)) is not None and known.spec.gang:
-        attempt, machines = leader.lost_on.get(job, (0, set()))
-        leader.lost_on[job] = (
-            end.attempt,
-            {end.machine, *(machines if attempt == end.attempt else ())},
-        )
+    if (
+        end.cause in gangs.REPLACED
+        and (known := leader.records.live_job(job)) is not None
+        and known.spec.gang
+    ):
+        leader.gang_attempts.note_lost(job, end.attempt, end.machine)
     if end.cause == "done":
         machine = leader.machines.get(end.machine)
         if machine is not None:
@@ -341,22 +338,15 @@
             seen, known = machine.tasks.get((job, task_index)), leader.context.view.jobs.get(job)
             if known is not None and seen is not None and seen.running_since is not None:
                 leader.context.learn(known, seen.since - seen.running_since)
-        leader.backoff.pop(job, None)
+        leader.backoff.clear(job)
     elif end.cause in ("error", "unknown", "no_room", "busy"):
         pause = AVOID if end.cause == "error" else AVOID / 5
-        leader.avoid.setdefault(job, {})[end.machine] = now + pause
+        leader.exclusions.exclude(job, end.machine, now + pause)
         if end.cause == "error":
             machine = leader.machines.get(end.machine)
             if machine is not None:
                 machine.failures[job] = now
-            times = leader.backoff.get(job, (0, now))[0] + 1
-            # A job that fails everywhere comes back ever more slowly and waits for its user.
-            pause = (
-                min(BACKOFF_MOST, timedelta(seconds=0.5 * 2 ** min(times, 8)))
-                if times > 3
-                else clock.ZERO
-            )
-            leader.backoff[job] = (times, now + pause)
+            times = leader.backoff.note_failure(job, now)
             log.info(
                 "task-failed",
                 partition=leader.partition,
--- a/roadbend/placement/gang_reservations.py
+++ b/roadbend/placement/gang_reservations.py
@@ -10,6 +10,7 @@
 from roadbend.log import Log
 from roadbend.placement import policy
 from roadbend.placement.policy import FreeCapacity, PendingTasks
+from roadbend.placement.reservations import ReservationReason
 
 if TYPE_CHECKING:
     from roadbend.placement.leader import PartitionLeader
@@ -26,11 +27,11 @@
 def keep_for_gangs(leader: PartitionLeader, now: datetime) -> None:
     """Reserves machines for the first of the gangs that have waited for long, if it could begin
     on them once what runs there has ended."""
-    gangs = [item for item in leader.left if item.job.spec.gang]
-    if not gangs or leader.keeping_until > now:
+    gangs = [item for item in leader.queue.not_placed if item.job.spec.gang]
+    if not gangs or leader.reservations.gangs_paused(now):
         return
     for item in gangs:
-        if now - leader.queued.get(item.job.id, now) < PATIENCE:
+        if leader.aging.waited(item.job.id, now) < PATIENCE:
             continue
         machines = machines_for(leader, item)
         if not machines:
@@ -42,9 +43,8 @@
             machines=len(machines),
         )
         until = now + KEEP
-        for machine in machines:
-            leader.gang_reservations_by_machine[machine] = (item.job.id, until)
-        leader.keeping_until = until + PAUSE
+        leader.reservations.reserve(machines, item.job.id, until, ReservationReason.GANG)
+        leader.reservations.pause_gangs(until + PAUSE)
         return
 
 
@@ -52,9 +52,9 @@
     """The machines that an item keeps off for the sake of a gang. Work of higher priority does
     not wait for one."""
     out = set()
-    for machine, (name, _) in leader.gang_reservations_by_machine.items():
-        gang = leader.live(name)
-        if name != item.job.id and gang is not None:
+    for machine, row in leader.reservations.for_gangs.items():
+        gang = leader.records.live_job(row.job)
+        if row.job != item.job.id and gang is not None:
             if gang.spec.priority >= item.job.spec.priority:
                 out.add(machine)
     return out
@@ -64,11 +64,14 @@
     """The machines with the most room for the gang, counting what will end by itself as free; none
     where all of them together are too few."""
     chosen, places = [], 0
-    rows = [(places_on(leader, item, capacity), capacity.id) for capacity in leader.capacities()]
+    rows = [
+        (places_on(leader, item, capacity), capacity.id)
+        for capacity in leader.free_capacities.usable()
+    ]
     for count, machine in sorted(rows, key=lambda row: (-row[0], row[1])):
         if count == 0 or places >= item.count * SPARE:
             break
-        if machine in leader.reservations or machine in leader.gang_reservations_by_machine:
+        if machine in leader.reservations:
             continue
         chosen.append(machine)
         places += count
@@ -89,8 +92,8 @@
         capacity.gpus,
         capacity.memory,
     )
-    for key, (job_slice, _) in leader.by_machine().get(capacity.id, {}).items():
-        other = leader.live(key[0])
+    for key, (job_slice, _) in leader.records.attempts_by_machine().get(capacity.id, {}).items():
+        other = leader.records.live_job(key[0])
         if other is None or not other.spec.service:
             trial.give(job_slice.resources)
     return trial.count(job.spec.resources)
--- a/roadbend/placement/gangs.py
+++ b/roadbend/placement/gangs.py
@@ -50,7 +50,7 @@
             row is None
             or row.state not in NOT_BEGUN
             or (job.id, task_index) in leader.stops
-            or (job.id, task_index) in leader.ended
+            or (job.id, task_index) in leader.terminations
         ):
             return False
         if row.state == "gathering" and now - row.since > leader.context.settings.gang_wait * JOIN:
@@ -65,14 +65,14 @@
         return None
     if ranges.size(unplaced) == share_size(leader, job):
         return PendingTasks(job, unplaced, False)
-    job_slice = leader.job_slices().get(job.id)
+    job_slice = leader.records.job_slices().get(job.id)
     if (
         job_slice is None
         or not job_slice.attempts
         or unplaced_here(leader, job, job_slice) != unplaced
     ):
         return None
-    if leader.filling.get(job.id) == number(leader, job.id):
+    if leader.gang_attempts.filling(job.id) == number(leader, job.id):
         may_join = still_gathers(leader, job, job_slice, set(job_slice.attempts))
     elif apart_gangs.is_apart(job):
         # What is lost of one share ends the attempt: this partition can't tell whether all still
@@ -89,28 +89,32 @@
     """The tasks of a gang that go into the transaction in the making: all of them where one can
     hold them, else as many as there is room for now. The next transactions record the rest under
     the same attempt number, and the tasks wait for each other on their machines."""
-    shards = {index // leader.width for _, index, _ in rows}
-    if len(shards) <= transaction.most_slices(leader.width):
+    shards = {index // leader.records.shard_width for _, index, _ in rows}
+    if len(shards) <= transaction.most_slices(leader.records.shard_width):
         return rows
-    first = set(sorted(shards)[: min(transaction.free - 1, transaction.most_slices(leader.width))])
-    return [row for row in rows if row[1] // leader.width in first]
+    first = set(
+        sorted(shards)[
+            : min(transaction.free - 1, transaction.most_slices(leader.records.shard_width))
+        ]
+    )
+    return [row for row in rows if row[1] // leader.records.shard_width in first]
 
 
 def note_filling(leader: PartitionLeader, piece: SliceShard) -> None:
     """A first share has been recorded: the rest comes before all other work."""
-    leader.filling[piece.job] = next(iter(piece.attempts.values())).number
+    leader.gang_attempts.note_filling(piece.job, next(iter(piece.attempts.values())).number)
 
 
 def filled(leader: PartitionLeader, job: str, attempt: int) -> bool:
     """Whether nothing is left to be recorded of an attempt."""
-    known = leader.live(job)
+    known = leader.records.live_job(job)
     if known is None or number(leader, job) != attempt:
         return True
-    return len(leader.job_slices()[job].attempts) == share_size(leader, known)
+    return len(leader.records.job_slices()[job].attempts) == share_size(leader, known)
 
 
 def filling_first(leader: PartitionLeader, queue: list[PendingTasks]) -> list[PendingTasks]:
-    return sorted(queue, key=lambda item: item.job.id not in leader.filling)
+    return sorted(queue, key=lambda item: leader.gang_attempts.filling(item.job.id) is None)
 
 
 def unplaced_here(leader: PartitionLeader, job: Job, job_slice: JobSlice) -> Ranges:
@@ -131,7 +135,7 @@
 
 def number(leader: PartitionLeader, job: str) -> int | None:
     """The attempt that a task joins."""
-    job_slice = leader.job_slices().get(job)
+    job_slice = leader.records.job_slices().get(job)
     return (
         next((attempt.number for attempt in job_slice.attempts.values()), None)
         if job_slice is not None
@@ -147,14 +151,12 @@
         joined = apart_gangs.number_to_join(leader, job)
     if joined is not None:
         return joined
-    leader.sequence += 1
-    mark = apart_gangs.sequence_mark(leader) if apart else 0
-    return (leader.leadership.term << 32) | leader.sequence | mark
+    return leader.attempt_numbers.next(apart_gangs.sequence_mark(leader) if apart else 0)
 
 
 def may_start(leader: PartitionLeader, job: Job) -> bool:
     """Whether tasks of a job may start now, as far as other partitions are concerned."""
-    if not apart_gangs.is_apart(job) or job.id in leader.filling:
+    if not apart_gangs.is_apart(job) or leader.gang_attempts.filling(job.id) is not None:
         return True
     return apart_gangs.may_start(leader, job)
 
@@ -164,7 +166,7 @@
 ) -> None:
     """All tasks are told at once, so that each is within `gang_peer` of the first. One that has
     saved waits for the others; what it is given counts that."""
-    job_slice = leader.job_slices().get(job.id)
+    job_slice = leader.records.job_slices().get(job.id)
     if job_slice is None:
         return
     if grace is None:
@@ -175,20 +177,22 @@
             else clock.ZERO
         )
     for task_index, attempt in job_slice.attempts.items():
-        old = leader.stops.get((job.id, task_index))
+        old = leader.stops.by_task.get((job.id, task_index))
         if old is None or old.attempt != attempt.number:
-            leader.stop((job.id, task_index), attempt, grace, why, now)
+            leader.stops.order((job.id, task_index), attempt, grace, why, now)
 
 
 def keep_whole(leader: PartitionLeader, now: datetime) -> None:
     """A gang of which a task is gone is over, unless it still gathers: the others would notice by
     themselves, after `gang_peer` or `gang_wait`, and are told now."""
-    for name, job_slice in leader.job_slices().items():
-        job = leader.live(name)
+    for name, job_slice in leader.records.job_slices().items():
+        job = leader.records.live_job(name)
         if job is None or not job.spec.gang or not job_slice.attempts:
             continue
         gone = [
-            (task_index, end) for (other, task_index), end in leader.ended.items() if other == name
+            (task_index, end)
+            for (other, task_index), end in leader.terminations.items()
+            if other == name
         ]
         if any(end.done for _, end in gone):
             continue
--- a/roadbend/placement/heartbeats.py
+++ b/roadbend/placement/heartbeats.py
@@ -93,36 +93,20 @@
                     # the records have lost a term, and ours was another owner's before.
                     leader.recovery.note_term_in_use(heartbeat.machine, leader.leadership.term)
                     return None
-                machine = Machine(
-                    heartbeat.machine,
-                    heartbeat.address,
-                    heartbeat.machine_type,
-                    heartbeat.zone,
-                    heartbeat.spot,
-                )
-                machine.newly_created = (
-                    heartbeat.machine in leader.rented
-                    and heartbeat.epoch == 1
-                    and not heartbeat.tasks
-                )
-                leader.rented.discard(heartbeat.machine)
-                leader.machines[machine.id] = machine
-                log.info(
-                    "machine-registered",
-                    partition=leader.partition,
-                    machine=machine.id,
-                    machine_type=machine.machine_type,
-                    spot=machine.spot,
-                )
-                leader.wake_up.set()
+                machine = leader.registry.register(heartbeat)
+                leader.steps.request()
             if not machine.admit(heartbeat, self.token(machine), now):
                 # A late copy, or a machine that began anew: only the machine itself can tell.
                 return None
             had_notice, was_ours = machine.reclaim_at is not None, machine.token_confirmed
-            before = leader.ended.changes
+            before = leader.terminations.changes
             machine.note_heartbeat(now, leader.context.settings.heartbeat_interval)
             orders = self._orders(machine, heartbeat, now)
-            news = fresh or leader.ended.changes != before or machine.token_confirmed != was_ours
+            news = (
+                fresh
+                or leader.terminations.changes != before
+                or machine.token_confirmed != was_ours
+            )
             if machine.token_confirmed and not was_ours:
                 machine.acknowledged_at = now
             if machine.reclaim_at is not None and not had_notice:
@@ -132,17 +116,18 @@
                     machine=machine.id,
                     notice_s=heartbeat.notice,
                 )
-                self._evacuate(machine, leader.by_machine().get(machine.id, {}), now)
+                self._evacuate(
+                    machine, leader.records.attempts_by_machine().get(machine.id, {}), now
+                )
                 news = True
             if not news:
                 self._note_unchanged(machine, heartbeat, orders)
                 return self.token(machine), orders
-            leader.wake_up.set()
-            want = leader.steps_begun + 1
+            leader.steps.request()
+            step = leader.steps.next
         incarnation = machine.incarnation
         with trio.move_on_after(ANSWER_WAIT.total_seconds()):
-            while leader.steps_ended < want:
-                await leader.step_ended.wait()
+            await leader.steps.ended(step)
         with leader.lock:
             if not self._still_counts(machine, heartbeat, incarnation):
                 return None
@@ -167,7 +152,7 @@
     ) -> None:
         leader = self._leader
         machine.reported_tasks = heartbeat.reported_tasks
-        recorded = leader.by_machine().get(machine.id, {})
+        recorded = leader.records.attempts_by_machine().get(machine.id, {})
         still = (
             not orders
             and machine.token_confirmed
@@ -176,7 +161,7 @@
             and machine.unrecorded_tasks == 0
             and machine.tasks.keys() == recorded.keys()
         )
-        if still and not any(key in leader.ended for key in recorded):
+        if still and not any(key in leader.terminations for key in recorded):
             machine.unchanged_version = leader.context.view.machine_versions.get(
                 leader.partition, {}
             ).get(machine.id, 0)
@@ -185,20 +170,22 @@
 
     def _orders(self, machine: Machine, heartbeat: WorkerHeartbeat, now: datetime) -> list[dict]:
         leader = self._leader
-        recorded = leader.by_machine().get(machine.id, {})
+        recorded = leader.records.attempts_by_machine().get(machine.id, {})
         for key, (_, attempt) in recorded.items():
-            if leader.live(key[0]) is None:
-                leader._stop_useless(key, attempt, now)
+            if leader.records.live_job(key[0]) is None:
+                leader.stops.order_cancelled(key, attempt, now)
         may_start = leader.context.election.may_start(now) and not machine.fencing
-        jobs = {key[0]: job for key in recorded if (job := leader.live(key[0])) is not None}
+        jobs = {
+            key[0]: job for key in recorded if (job := leader.records.live_job(key[0])) is not None
+        }
         expected = heartbeat_evaluation.MachineExpectation(
             leader.partition,
             recorded,
             jobs,
-            leader.stops,
-            leader.ended,
+            leader.stops.by_task,
+            leader.terminations,
             may_start,
-            leader.recorded_attempt,
+            leader.records.recorded_attempt,
             partial(leader.recovery.keeps_unrecorded, machine, now=now),
         )
         orders = heartbeat_evaluation.read(machine, heartbeat, self.token(machine), expected, now)
@@ -219,14 +206,14 @@
                 incarnation=machine.incarnation + 1,
             )
             machine.restart(order)
-        leader.wake_up.set()
+        leader.steps.request()
 
     def _evacuate(self, machine: Machine, recorded: MachineAttempts, now: datetime) -> None:
         """A spot notice: let tasks run as long as it pays, then save and go."""
         leader = self._leader
         left = (machine.reclaim_at or now) - now
         for key, (_, attempt) in recorded.items():
-            job = leader.live(key[0])
+            job = leader.records.live_job(key[0])
             if job is None or key in leader.stops:
                 continue
             if job.spec.checkpoint > clock.ZERO:
@@ -238,7 +225,7 @@
                     # All of it saves together, or nothing is saved.
                     gangs.stop_whole(leader, job, "notice", now)
                 else:
-                    leader.stop(key, attempt, grace, "notice", now)
+                    leader.stops.order(key, attempt, grace, "notice", now)
 
     def _learn(self, machine: Machine, recorded: MachineAttempts, now: datetime) -> None:
         leader = self._leader
--- /dev/null
+++ b/roadbend/placement/machine_registry.py
@@ -0,0 +1,68 @@
+"""The machines of a partition: registered, created but not registered yet, and booting."""
+
+from collections.abc import Mapping, Sequence
+from types import MappingProxyType
+
+from roadbend.fleet.machines import Machine
+from roadbend.fleet.messages import WorkerHeartbeat
+from roadbend.log import Log
+from roadbend.placement.policy import FreeCapacity
+
+log = Log("placement")
+
+
+class MachineRegistry:
+    """The machines that one partition's leader knows."""
+
+    def __init__(self, partition: str):
+        self._partition = partition
+        self._machines: dict[str, Machine] = {}
+        # Created in this term, and not registered yet.
+        self._unregistered: set[str] = set()
+        # The registered machines by id, to be read.
+        self.by_id: Mapping[str, Machine] = MappingProxyType(self._machines)
+        # The capacities of machines that boot, as autoscaling last saw them.
+        self.booting: Sequence[FreeCapacity] = ()
+
+    def note_created(self, machine: str) -> None:
+        """Remember that a machine was created in this term, unless it has registered already."""
+        if machine not in self._machines:
+            self._unregistered.add(machine)
+
+    def note_booting(self, capacities: Sequence[FreeCapacity]) -> None:
+        """Replace the capacities of machines that boot."""
+        self.booting = capacities
+
+    def register(self, heartbeat: WorkerHeartbeat) -> Machine:
+        """Add a machine with its first heartbeat."""
+        machine = Machine(
+            heartbeat.machine,
+            heartbeat.address,
+            heartbeat.machine_type,
+            heartbeat.zone,
+            heartbeat.spot,
+        )
+        machine.newly_created = (
+            heartbeat.machine in self._unregistered and heartbeat.epoch == 1 and not heartbeat.tasks
+        )
+        self._unregistered.discard(machine.id)
+        self._machines[machine.id] = machine
+        log.info(
+            "machine-registered",
+            partition=self._partition,
+            machine=machine.id,
+            machine_type=machine.machine_type,
+            spot=machine.spot,
+        )
+        return machine
+
+    def remove(self, machine: str) -> None:
+        """Forget a machine that was deleted."""
+        self._machines.pop(machine, None)
+        self._unregistered.discard(machine)
+
+    def expect_change(self, machine: str) -> None:
+        """Have a machine's next heartbeat read in full: it may call for orders."""
+        known = self._machines.get(machine)
+        if known is not None:
+            known.unchanged_version = None
--- a/roadbend/placement/pending_queue.py
+++ b/roadbend/placement/pending_queue.py
@@ -42,6 +42,8 @@
             [],
         )
         self._took = clock.ZERO
+        # What the last step found no place for, as far as quotas permit it.
+        self.not_placed: list[PendingTasks] = []
 
     def pending(self) -> list[PendingTasks]:
         """The queue, in order; worked out anew only when the records have changed or a moment has
@@ -55,11 +57,7 @@
         out: list[PendingTasks] = []
         for name in view.assigned_jobs.get(leader.partition, ()):
             job = view.jobs[name]
-            if (
-                name in leader.context.cancelled
-                or name in leader.backoff
-                and leader.backoff[name][1] > now
-            ):
+            if name in leader.context.cancelled or leader.backoff.is_resting(name, now):
                 continue
             tasks = self.unplaced(job)
             if job.spec.gang:
@@ -90,6 +88,10 @@
         self._queue, self._took = (mark, now, out), clock.now() - now
         return out
 
+    def note_not_placed(self, items: list[PendingTasks]) -> None:
+        """Replace what the last step found no place for."""
+        self.not_placed = items
+
     def lately(self) -> list[PendingTasks]:
         """The queue as it was a moment ago, for bids and estimates. Records change many times a
         second, and what a bid promises is only a forecast; starts go by `pending`."""
@@ -104,7 +106,7 @@
 
     def _not_placed(self, job: Job) -> Ranges:
         leader = self._leader
-        job_slice = leader.job_slices().get(job.id)
+        job_slice = leader.records.job_slices().get(job.id)
         if job_slice is None:
             return job.allocation.get(leader.partition, ())
         known, mark = self._unplaced.get(job.id), (job.mod_revision, job_slice.changed)
--- a/roadbend/placement/preemption.py
+++ b/roadbend/placement/preemption.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterator
+from collections.abc import Iterable, Iterator
 from dataclasses import replace
 from datetime import datetime, timedelta
 from itertools import islice
@@ -13,6 +13,7 @@
 from roadbend.log import Log
 from roadbend.placement import gangs, policy
 from roadbend.placement.policy import Clearing, FreeCapacity, PendingTasks, Victim
+from roadbend.placement.reservations import ReservationReason
 from roadbend.placement.transaction import TransactionBuilder
 from roadbend.store.records import Attempt, Job
 
@@ -33,14 +34,16 @@
     all_of_them: bool,
     now: datetime,
 ) -> None:
-    waiting = [item for item in leader.left if item.job.spec.priority > 0 or item.guaranteed]
+    waiting = [
+        item for item in leader.queue.not_placed if item.job.spec.priority > 0 or item.guaranteed
+    ]
     if not waiting:
         return
     if not all_of_them:
         known = {capacity.id: capacity for capacity in capacities}
         capacities = [
             known.get(capacity.id, capacity)
-            for capacity in leader.capacities(transaction.ended_attempts)
+            for capacity in leader.free_capacities.usable(transaction.ended_attempts)
         ]
     running = stoppable(leader, waiting, now)
     schedule = _Clearings(
@@ -48,7 +51,7 @@
     )
     most = MAX_PREEMPTED
     for item in waiting:
-        made = sum(1 for job, _ in leader.reservations.values() if job == item.job.id)
+        made = leader.reservations.preemptions_for(item.job.id)
         if item.job.spec.gang:
             if not made:
                 names = preempt_whole(leader, item, capacities, schedule, now)
@@ -57,7 +60,7 @@
             continue
         for capacity, chosen in islice(schedule.of(item), max(0, min(most, item.count - made))):
             stop_for(leader, item, capacity, chosen, now)
-            leader.reservations[capacity.id] = (item.job.id, now + RESERVATION_LIFETIME)
+            reserve(leader, [capacity.id], item.job, now)
             schedule.taken.add(capacity.id)
             most -= 1
         if most <= 0:
@@ -86,8 +89,8 @@
     def of(self, item: PendingTasks) -> Iterator[Clearing]:
         """The machines on which room for the item can still be made, the best first."""
         spec, leader = item.job.spec, self._leader
-        kept_from = leader.withheld_types.get(item.job.id, frozenset())
-        without_image = frozenset(leader.without_image.get(item.job.id, ()))
+        kept_from = leader.exclusions.withheld_types(item.job.id)
+        without_image = leader.exclusions.without_image(item.job.id)
         kind = (
             (spec.resources, spec.machine_types, spec.zone, spec.spot, spec.image),
             (spec.priority, spec.team, item.guaranteed, kept_from, without_image),
@@ -121,11 +124,11 @@
     running: dict[str, list[Victim]] = {}
     losses: dict[str, float] = {}
     top = max(item.job.spec.priority for item in waiting)
-    for machine, rows in leader.by_machine().items():
-        if machine in leader.reservations:
+    for machine, rows in leader.records.attempts_by_machine().items():
+        if machine in leader.reservations.for_preemption:
             continue
         for key, (job_slice, attempt) in rows.items():
-            job = leader.live(key[0])
+            job = leader.records.live_job(key[0])
             if job is None or key in leader.stops:
                 continue
             beyond = over.get(job_slice.team, False) and job.id not in sure
@@ -135,7 +138,7 @@
                 # Stopped as a whole or not at all, and judged by what all of it would lose.
                 loss = losses.get(job.id)
                 if loss is None:
-                    rows_of = leader.job_slices()[job.id].attempts.items()
+                    rows_of = leader.records.job_slices()[job.id].attempts.items()
                     loss = sum(
                         work_lost(leader, (job.id, task_index), other, job, now)
                         for task_index, other in rows_of
@@ -176,7 +179,7 @@
             continue
         saves = job.spec.checkpoint > clock.ZERO
         grace = job.spec.save + timedelta(seconds=1) if saves else clock.ZERO
-        leader.stop(key, attempt, grace, "preempted", now)
+        leader.stops.order(key, attempt, grace, "preempted", now)
 
 
 def preempt_whole(
@@ -190,7 +193,11 @@
     free room too."""
     resources = item.job.spec.resources
     capacities = [capacity for capacity in capacities if capacity.id not in schedule.taken]
-    free = {r.id: r.count(resources) for r in capacities if r.id not in leader.reservations}
+    free = {
+        r.id: r.count(resources)
+        for r in capacities
+        if r.id not in leader.reservations.for_preemption
+    }
     allowed = {r.id for r in capacities if policy.allowed(item.job, r.machine_type, r.zone, r.spot)}
     have = sum(count for name, count in free.items() if name in allowed)
     plan: list[Clearing] = []
@@ -213,11 +220,17 @@
             break
         spare -= free[name]
         names.add(name)
-    for name in names:
-        leader.reservations[name] = (item.job.id, now + RESERVATION_LIFETIME)
+    reserve(leader, names, item.job, now)
     return names
 
 
+def reserve(leader: PartitionLeader, machines: Iterable[str], job: Job, now: datetime) -> None:
+    """Keep machines for the job for which lesser work on them is being stopped."""
+    leader.reservations.reserve(
+        machines, job.id, now + RESERVATION_LIFETIME, ReservationReason.PREEMPTION
+    )
+
+
 def teams_beyond(leader: PartitionLeader) -> dict[str, bool]:
     out = {}
     for team in leader.context.settings.teams.values():
--- a/roadbend/placement/queue_projection.py
+++ b/roadbend/placement/queue_projection.py
@@ -79,12 +79,14 @@
         is asked of a moment, for in a burst bids come by the dozen; what took long to work out
         serves longer."""
         leader = self._leader
-        now, mark = clock.now(), (least, avoid, len(leader.booting))
+        now, mark = clock.now(), (least, avoid, len(leader.registry.booting))
         for key, at, window, projection in self._projections:
             if key == mark and now - at < window:
                 return projection
         booting = [
-            replace(capacity) for capacity in leader.booting if capacity.id not in leader.machines
+            replace(capacity)
+            for capacity in leader.registry.booting
+            if capacity.id not in leader.machines
         ]
         timelines = [
             timeline
@@ -112,17 +114,16 @@
     def timelines(self, more: list[FreeCapacity]) -> list[MachineTimeline]:
         """The machines with what runs on them and when that is thought to end."""
         leader = self._leader
-        now, index = clock.now(), leader.by_machine()
+        now, index = clock.now(), leader.records.attempts_by_machine()
+        stops = leader.stops.by_task
         out = []
         lengths: dict[str, float | None] = {}
-        for capacity in leader.capacities():
+        for capacity in leader.free_capacities.usable():
             machine = leader.machines[capacity.id]
             releases = []
             for key, (job_slice, attempt) in index.get(capacity.id, {}).items():
-                if key in leader.stops:
-                    releases.append(
-                        (leader.stops[key].grace.total_seconds() + 1.0, job_slice.resources)
-                    )
+                if key in stops:
+                    releases.append((stops[key].grace.total_seconds() + 1.0, job_slice.resources))
                     continue
                 if job_slice.job not in lengths:
                     job = leader.context.view.jobs.get(job_slice.job)
--- a/roadbend/placement/quotas.py
+++ b/roadbend/placement/quotas.py
@@ -108,7 +108,7 @@
     for item in leader.queue.pending():
         # What has waited here for longer may wait for a machine that can't be had; other partitions
         # may have room.
-        if now - leader.queued.get(item.job.id, now) < HOLD and not yields(leader, item, overdue):
+        if leader.aging.waited(item.job.id, now) < HOLD and not yields(leader, item, overdue):
             spec = item.job.spec
             cpus, gpus = waiting.get(spec.team, (0.0, 0.0))
             waiting[spec.team] = (
--- a/roadbend/placement/restrictions.py
+++ b/roadbend/placement/restrictions.py
@@ -18,8 +18,6 @@
     from roadbend.placement.leader import PartitionLeader
 
 log = Log("placement")
-# For how long a job is kept from room that fits it for the sake of others, all in all.
-PASSED_OVER = timedelta(seconds=45)
 
 
 def note_passed_over(
@@ -30,7 +28,7 @@
     now: datetime,
 ) -> None:
     """Remembers since when jobs are kept from room that fits them for the sake of others."""
-    kept_ids = leader.reservations.keys() | leader.gang_reservations_by_machine.keys()
+    kept_ids = leader.reservations.machines()
     kept = [capacity for capacity in capacities if capacity.id in kept_ids]
     known: dict[tuple, bool] = {}
     passed = set(yielding)
@@ -45,31 +43,27 @@
             )
         if known[kind]:
             passed.add(item.job.id)
-    leader.passed_over = {job: leader.passed_over.get(job, now) for job in passed}
-
-
-def impatient(leader: PartitionLeader, job: str, now: datetime) -> bool:
-    """Whether a job has been passed over for so long that it is kept from no room any more."""
-    return now - leader.passed_over.get(job, now) >= PASSED_OVER
+    leader.aging.note_passed_over(passed, now)
 
 
 def hold_back(leader: PartitionLeader, queue: list[PendingTasks]) -> None:
     """Which types a waiting service is kept from, as when bidding."""
     machine_types, wall = leader.context.machine_types.values(), clock.wall()
     boot = max((machine_type.startup for machine_type in machine_types), default=clock.ZERO)
-    leader.withheld_types = {}
+    withheld: dict[str, frozenset[str]] = {}
     for item in queue:
         job = item.job
         if (
             job.spec.service
-            and job.id not in leader.withheld_types
+            and job.id not in withheld
             and wall - job.submitted_at < leader.context.patience(job.spec, boot)
         ):
             dear = renting.expensive_machine_types(
                 job, machine_types, leader.context.operator.dear, leader.partition
             )
             if dear:
-                leader.withheld_types[job.id] = frozenset(dear)
+                withheld[job.id] = frozenset(dear)
+    leader.exclusions.withhold_types(withheld)
 
 
 def image_first(
@@ -78,7 +72,7 @@
     """A service that would be late by its fetch keeps off machines without its image for a moment,
     where one that has the image can be cleared for it sooner: images lead placement, also against
     free room."""
-    leader.without_image = {}
+    without_image: dict[str, frozenset[str]] = {}
     wall, pulls = (
         clock.wall(),
         [machine_type.fetch_gb_per_s for machine_type in leader.context.machine_types.values()],
@@ -86,7 +80,7 @@
     for item in queue:
         spec = item.job.spec
         within = leader.context.start_within(spec)
-        if within is None or spec.gang or item.job.id in leader.without_image:
+        if within is None or spec.gang or item.job.id in without_image:
             continue
         left = within - (wall - item.job.submitted_at)
         fetch = timedelta(seconds=spec.image_gb / max(pulls, default=1.0))
@@ -97,9 +91,10 @@
             for capacity in capacities
             if spec.image in capacity.images
         ):
-            leader.without_image[item.job.id] = {
+            without_image[item.job.id] = frozenset(
                 capacity.id for capacity in capacities if spec.image not in capacity.images
-            }
+            )
+    leader.exclusions.exclude_without_image(without_image)
 
 
 def clearable(leader: PartitionLeader, capacity: FreeCapacity, spec: JobSpec) -> bool:
@@ -107,8 +102,8 @@
     if capacity.spot and not spec.spot:
         return False
     cpus, gpus, memory = capacity.cpus, capacity.gpus, capacity.memory
-    for key, (job_slice, _) in leader.by_machine().get(capacity.id, {}).items():
-        job = leader.live(key[0])
+    for key, (job_slice, _) in leader.records.attempts_by_machine().get(capacity.id, {}).items():
+        job = leader.records.live_job(key[0])
         if job is not None and job.spec.priority < spec.priority:
             cpus, gpus, memory = (
                 cpus + job_slice.resources.cpus,
@@ -127,12 +122,17 @@
     being made for other work, which is not filled while its victims go."""
     name = item.job.id
     reserved: set[str] = set()
-    if not impatient(leader, name, clock.now()):
-        reserved = {machine for machine, (job, _) in leader.reservations.items() if job != name}
+    if not leader.aging.is_starving(name, clock.now()):
+        reserved = {
+            machine
+            for machine, row in leader.reservations.for_preemption.items()
+            if row.job != name
+        }
         reserved |= gang_reservations.kept_from(leader, item)
-    if name in leader.lost_on:
-        # A machine ignores an order for an attempt that it still holds, ended ones too.
-        reserved |= leader.lost_on[name][1]
-    return reserved | leader.avoid.get(name, {}).keys() | leader.without_image.get(
-        name, set()
-    ), leader.withheld_types.get(name, ())
+    exclusions = leader.exclusions
+    barred = reserved.union(
+        leader.gang_attempts.lost_on(name),
+        exclusions.failed_on(name),
+        exclusions.without_image(name),
+    )
+    return barred, exclusions.withheld_types(name)
--- a/roadbend/placement/starts.py
+++ b/roadbend/placement/starts.py
@@ -8,6 +8,7 @@
 from typing import TYPE_CHECKING
 
 from roadbend import clock
+from roadbend.fleet.terminations import TaskKey
 from roadbend.log import Log
 from roadbend.placement import (
     apart_gangs,
@@ -31,21 +32,21 @@
 def start(leader: PartitionLeader, transaction: TransactionBuilder, now: datetime) -> bool:
     """Write-ahead of starts. The order goes out only with a report's response, after the answer."""
     queue = leader.queue.pending()
-    leader.queued = {item.job.id: leader.queued.get(item.job.id, now) for item in queue}
+    leader.aging.note_queue((item.job.id for item in queue), now)
     if not queue:
-        leader.left = []
+        leader.queue.note_not_placed([])
         return False
     # Most machines are full. Only services that must start soon look at those, for what could be
     # cleared there.
     soon = any(leader.context.start_within(item.job.spec) is not None for item in queue)
     least = None if soon else policy.least_of(item.job.spec.resources for item in queue)
-    capacities = leader.capacities(transaction.ended_attempts, least)
+    capacities = leader.free_capacities.usable(transaction.ended_attempts, least)
     restrictions.hold_back(leader, queue)
     restrictions.image_first(leader, queue, capacities)
     overdue = leader.context.overdue(now)
     limits = QuotaAllowance(
         partial(quotas.team_left, leader, transaction),
-        lambda job: now - leader.queued.get(job, now) < quotas.HOLD,
+        lambda job: leader.aging.waited(job, now) < quotas.HOLD,
     )
     ready, early = [], []
     for item in queue:
@@ -58,29 +59,24 @@
             [
                 item
                 for item in ready
-                if item.job.id not in yielding or restrictions.impatient(leader, item.job.id, now)
+                if item.job.id not in yielding or leader.aging.is_starving(item.job.id, now)
             ],
         ),
         capacities,
         transaction.free,
         partial(restrictions.bars, leader)
-        if leader.avoid
-        or leader.reservations
-        or leader.gang_reservations_by_machine
-        or leader.withheld_types
-        or leader.without_image
-        or leader.lost_on
+        if leader.exclusions or leader.reservations or leader.gang_attempts.any_lost()
         else None,
         limits,
     )
     left += [item for item in early if apart_gangs.keeps_room(leader, item.job, now)]
-    leader.left = quotas.within(limits, left)
+    leader.queue.note_not_placed(quotas.within(limits, left))
     for rows in grouped(leader, placed):
         if not record_start(leader, transaction, rows, now):
             more = True
             break
     gang_reservations.keep_for_gangs(leader, now)
-    if leader.left and not more:
+    if leader.queue.not_placed and not more:
         preemption.preempt(leader, transaction, capacities, least is None, now)
     return more
 
@@ -92,11 +88,11 @@
     for item, task_index, capacity in placed:
         name, shard = item.job.id, -1
         if not item.job.spec.gang:
-            job_slice = leader.job_slices().get(name)
+            job_slice = leader.records.job_slices().get(name)
             shard = (
-                task_index // leader.width
+                task_index // leader.records.shard_width
                 if job_slice is None
-                else job_slice.shard_of(task_index, leader.width)
+                else job_slice.shard_of(task_index, leader.records.shard_width)
             )
         groups.setdefault((name, shard), []).append((item, task_index, capacity))
     return list(groups.values())
@@ -128,9 +124,9 @@
     if apart_gangs.is_apart(job):
         apart_gangs.add_conditions(leader, transaction, job)
         number = next(iter(pieces[0].attempts.values())).number
-        transaction.after.append(partial(leader.joined.__setitem__, job.id, number))
+        transaction.after.append(partial(leader.gang_attempts.note_joined, job.id, number))
     transaction.charge(job.spec.team, job.spec.resources, len(share))
-    leader.waits.append(now - leader.queued.get(job.id, now))
+    leader.aging.note_start(job.id, now)
     if len(share) < len(rows):
         transaction.after.append(partial(gangs.note_filling, leader, pieces[0]))
     if job.spec.gang or leader.context.start_within(job.spec) is not None:
@@ -164,21 +160,17 @@
     leader: PartitionLeader, transaction: TransactionBuilder, job: Job, rows: list[Placed]
 ) -> list[SliceShard]:
     """The slices with the new attempts; a gang's tasks have one attempt number."""
-    job_slice, pieces = leader.job_slices().get(job.id), {}
+    job_slice, pieces = leader.records.job_slices().get(job.id), {}
     common = gangs.attempt_number(leader, job) if job.spec.gang else None
     for _, task_index, capacity in rows:
         at = (
-            task_index // leader.width
+            task_index // leader.records.shard_width
             if job_slice is None
-            else job_slice.shard_of(task_index, leader.width)
+            else job_slice.shard_of(task_index, leader.records.shard_width)
         )
         piece = pieces.get(at) or transaction.slice(job.id, job.spec.team, job.spec.resources, at)
-        if common is None:
-            leader.sequence += 1
-        attempt = Attempt(
-            (leader.leadership.term << 32) | leader.sequence if common is None else common,
-            capacity.id,
-        )
+        number = leader.attempt_numbers.next() if common is None else common
+        attempt = Attempt(number, capacity.id)
         pieces[at] = replace(piece, attempts={**piece.attempts, task_index: attempt})
     return list(pieces.values())
 
@@ -187,4 +179,4 @@
     for piece in pieces:
         for task_index in tasks & piece.attempts.keys():
             attempt = piece.attempts[task_index]
-            leader.urgent.setdefault(attempt.machine, []).append(((piece.job, task_index), attempt))
+            leader.direct_starts.add(TaskKey(piece.job, task_index), attempt)
--- a/roadbend/placement/transaction.py
+++ b/roadbend/placement/transaction.py
@@ -52,6 +52,12 @@
     def free(self) -> int:
         return max(0, self._most - len(self.changes))
 
+    def machines(self) -> frozenset[str]:
+        """Return the machines that the changed shards name."""
+        return frozenset(
+            attempt.machine for shard in self.slices.values() for attempt in shard.attempts.values()
+        )
+
     def most_slices(self, width: int) -> int:
         """How many slices of so many tasks an empty transaction takes, beside a team's record."""
         weight = min(self._value, width * ATTEMPT_BYTES + SLICE_BYTES)
--- a/roadbend/recovery/adoption.py
+++ b/roadbend/recovery/adoption.py
@@ -57,13 +57,13 @@
         return False
 
     def _order(self, held: HeldAttempt) -> tuple:
-        job = self._leader.live(held.job)
+        job = self._leader.records.live_job(held.job)
         service = job is not None and job.spec.service
         return (not service, -(job.spec.priority if job is not None else 0), held.since)
 
     def _adopt_one(self, transaction: TransactionBuilder, held: HeldAttempt) -> bool:
         """Puts one attempt into the transaction; False where that has no room for it."""
-        job = self._leader.live(held.job)
+        job = self._leader.records.live_job(held.job)
         if job is None or keys.job_key(job.id) in transaction.changes:
             return False
         piece = self._with_attempt(transaction, job, held)
@@ -85,9 +85,13 @@
         self, transaction: TransactionBuilder, job: Job, held: HeldAttempt
     ) -> SliceShard:
         """The slice that names the attempt, or says that its task is done."""
-        leader, job_slice = self._leader, self._leader.job_slices().get(job.id)
-        own_shard = held.index // leader.width
-        shard = own_shard if job_slice is None else job_slice.shard_of(held.index, leader.width)
+        leader, job_slice = self._leader, self._leader.records.job_slices().get(job.id)
+        own_shard = held.index // leader.records.shard_width
+        shard = (
+            own_shard
+            if job_slice is None
+            else job_slice.shard_of(held.index, leader.records.shard_width)
+        )
         piece = transaction.slice(job.id, job.spec.team, job.spec.resources, shard)
         if held.decision is Decision.RECORD_DONE:
             return replace(piece, done=ranges.union(piece.done, ((held.index, held.index + 1),)))
@@ -119,7 +123,7 @@
             return
         for other, held in job.allocation.items():
             if ranges.has(held, index):
-                key = keys.slice_key(other, job.id, index // self._leader.width)
+                key = keys.slice_key(other, job.id, index // self._leader.records.shard_width)
                 transaction.conditions[key] = self._leader.context.view.mod_revision(key)
                 job = job.with_partition(other, ranges.minus(held, one))
         transaction.set_job(
--- a/roadbend/recovery/judgement.py
+++ b/roadbend/recovery/judgement.py
@@ -46,7 +46,7 @@
 
     def _facts(self, held: HeldAttempt, now: datetime) -> Facts:
         leader = self._leader
-        job, machine = leader.live(held.job), leader.machines.get(held.machine)
+        job, machine = leader.records.live_job(held.job), leader.machines.get(held.machine)
         others = self._held.others(held)
         stays = (
             machine is not None
--- a/roadbend/recovery/machines.py
+++ b/roadbend/recovery/machines.py
@@ -48,7 +48,7 @@
         """Whether the cloud lists a machine as running, or the records name it."""
         row = self._inventory.rows.get(name)
         listed = row is not None and row.status == "running"
-        return listed or name in self._leader.by_machine()
+        return listed or name in self._leader.records.attempts_by_machine()
 
     def evidence(self, lost_writes: bool) -> Evidence:
         """What is known of the partition's machines now. Where writes are lost a machine that is
@@ -62,7 +62,7 @@
     def _presences(self) -> dict[str, Presence]:
         leader, inventory = self._leader, self._inventory
         listed = {row.id for row in inventory.rows.values() if row.zone == leader.partition}
-        names = listed | leader.by_machine().keys() | leader.machines.keys()
+        names = listed | leader.records.attempts_by_machine().keys() | leader.machines.keys()
         return {name: self._presence(name) for name in names}
 
     def _presence(self, name: str) -> Presence:
@@ -84,7 +84,7 @@
         do, and a controller with a small share of a core has reports to answer meanwhile."""
         began, leader = clock.now(), self._leader
         differing, matching = [], 0
-        for name, rows in leader.by_machine().items():
+        for name, rows in leader.records.attempts_by_machine().items():
             machine = leader.machines.get(name)
             if machine is not None and machine.token_confirmed and self._matches(machine, rows):
                 matching += len(rows)
@@ -97,7 +97,7 @@
         return replace(found, matching=found.matching + matching)
 
     def _matches(self, machine: Machine, rows: MachineAttempts) -> bool:
-        tasks, live = machine.tasks, self._leader.live
+        tasks, live = machine.tasks, self._leader.records.live_job
         if len(tasks) != len(rows) or machine.unrecorded_tasks:
             return False
         for key, (_, attempt) in rows.items():
@@ -113,10 +113,10 @@
         leader, term = self._leader, self._leader.leadership.term
         recorded, live, shown = set(), set(), set()
         for name in names:
-            for (job, index), (_, attempt) in leader.by_machine()[name].items():
+            for (job, index), (_, attempt) in leader.records.attempts_by_machine()[name].items():
                 if attempt.number >> ATTEMPT_TERM_BITS < term:
                     recorded.add(Recorded(TaskId(job, index), attempt.number, name))
-                if leader.live(job) is not None:
+                if leader.records.live_job(job) is not None:
                     live.add(job)
             machine = leader.machines.get(name)
             for (job, index), seen in machine.tasks.items() if machine is not None else ():
--- a/roadbend/recovery/partition.py
+++ b/roadbend/recovery/partition.py
@@ -141,7 +141,7 @@
     def spaces_out(self, key: TaskKey, stop: StopOrder, now: datetime) -> bool:
         """One kill by the report's answer, and a direct one only if that brought nothing; none
         for a task that its machine shows as ended, or whose end is recorded."""
-        if self.leader.recorded_attempt(key) != Attempt(stop.attempt, stop.machine):
+        if self.leader.records.recorded_attempt(key) != Attempt(stop.attempt, stop.machine):
             return True
         if stop.sent_at is not None and now - stop.sent_at < KILL_AGAIN:
             return True
@@ -266,7 +266,7 @@
                 decision=held.decision,
             )
             if held.decision in (Decision.ADOPT, Decision.RECORD_DONE):
-                self.leader.wake_up.set()
+                self.leader.steps.request()
         self._note_loss()
 
     def _note_loss(self) -> None:
@@ -275,7 +275,7 @@
         if self.lost_writes or not self.cold:
             return
         for held in self.held.all():
-            job = self.leader.live(held.job)
+            job = self.leader.records.live_job(held.job)
             if job is not None and held.attempt >> ATTEMPT_TERM_BITS < self.leader.leadership.term:
                 log.error(
                     "lost-writes-detected",
--- a/roadbend/test_gang_phases.py
+++ b/roadbend/test_gang_phases.py
@@ -8,6 +8,7 @@
 from roadbend.fakes.submission import gang, job
 from roadbend.fakes.world import World, world
 from roadbend.placement import gang_reservations, preemption
+from roadbend.placement.reservations import ReservationReason
 from roadbend.settings import Team
 from roadbend.store import keys
 from roadbend.test_gangs import NAME, TEAMS, attempts, begun, running
@@ -208,7 +209,9 @@
         async def reserve() -> None:
             while True:
                 until = clock.now() + preemption.RESERVATION_LIFETIME
-                leader.reservations.update({m: (NAME, until) for m in leader.machines})
+                leader.reservations.reserve(
+                    leader.machines, NAME, until, ReservationReason.PREEMPTION
+                )
                 await trio.sleep(0.05)
 
         w.nursery.start_soon(reserve)
@@ -228,7 +231,7 @@
         await trio.sleep(3)
         leader = w.controllers["node-0"].leaders["east"]
         until = clock.now() + gang_reservations.KEEP
-        leader.gang_reservations_by_machine.update({m: (NAME, until) for m in leader.machines})
+        leader.reservations.reserve(leader.machines, NAME, until, ReservationReason.GANG)
         small = dict(yard="east", vcpus=2.0, gpus=0.0, memoryGb=1.0, loaners=False, dueS=None)
         assert await w.submit(0, job(2, **small), 5.0) == 201
         assert await w.submit(0, job(3, rank="production", **small), 5.0) == 201
--- a/roadbend/test_growth.py
+++ b/roadbend/test_growth.py
@@ -18,13 +18,13 @@
 from roadbend.fakes.world import world
 from roadbend.http.client import NoAnswerError
 from roadbend.placement import (
-    ends,
+    aging,
+    failure_backoff,
     forecast,
     gang_reservations,
     policy,
     preemption,
     quotas,
-    restrictions,
     starts,
 )
 from roadbend.placement.forecast import MachineTimeline
@@ -521,7 +521,7 @@
         del begun[:]
         began = trio.current_time()
         for _ in range(200):
-            leader.wake_up.set()
+            leader.steps.request()
             await trio.sleep(0.05)
         # A third of the time at the most; and it goes on.
         assert 5 <= len(begun) <= (trio.current_time() - began) / 0.9 + 1
@@ -532,10 +532,10 @@
     other is a rest after failures, its team's limit kept for work whose machine boots, and all
     that it is passed over for: room left to a job of another partition, being made, or kept for a
     gang."""
-    assert ends.BACKOFF_MOST + quotas.HOLD + restrictions.PASSED_OVER < timedelta(seconds=90)
-    assert quotas.YIELD < restrictions.PASSED_OVER
-    assert preemption.RESERVATION_LIFETIME < restrictions.PASSED_OVER
-    assert gang_reservations.KEEP < restrictions.PASSED_OVER
+    assert failure_backoff.MAX_REST + quotas.HOLD + aging.MAX_PASSED_OVER < timedelta(seconds=90)
+    assert quotas.YIELD < aging.MAX_PASSED_OVER
+    assert preemption.RESERVATION_LIFETIME < aging.MAX_PASSED_OVER
+    assert gang_reservations.KEEP < aging.MAX_PASSED_OVER
     # A job that no partition can start is offered everywhere well before that, its turn among
     # others counted.
     assert (
--- a/roadbend/test_ran_twice.py
+++ b/roadbend/test_ran_twice.py
@@ -68,13 +68,13 @@
         cut_off(w, machine)
         await trio.sleep(15)
         w.state.down = True
-        assert await w.until(lambda: TASK in leader.ended, 20, 0.01), "the lease as proof"
+        assert await w.until(lambda: TASK in leader.terminations, 20, 0.01), "the lease as proof"
         heal(w, machine)
         await trio.sleep(3)
         # The records are back, and the machine reports before its task's end has reached them.
         w.state.restore()
         assert await w.until(lambda: controller.election.may_start(clock.now()), 5, 0.005)
-        assert TASK in leader.ended
+        assert TASK in leader.terminations
         await report_now(w, machine)
         cut_off(w, machine)
         assert await w.until(lambda: w.board.running("run-000001"), 60)
@@ -100,7 +100,7 @@
         await trio.sleep(15)
         held = worker.heartbeat()
         w.state.slow = 0.6
-        assert await w.until(lambda: TASK in leader.ended._in_transaction, 20, 0.005)
+        assert await w.until(lambda: TASK in leader.terminations._in_transaction, 20, 0.005)
         assert worker.epoch == 2 and held["stint"] == 1
         assert (await w.call(0, "POST", "/hello", held))[0] == 200
         await report_now(w, machine)
@@ -138,17 +138,19 @@
         w.state.deaf.add("node-0")
         async with trio.open_nursery() as nursery:
             nursery.start_soon(leader.heartbeats.handle, parse_heartbeat(first))
-            assert await w.until(lambda: TASK in leader.by_machine()[machine], 0.38, 0.005)
+            assert await w.until(
+                lambda: TASK in leader.records.attempts_by_machine()[machine], 0.38, 0.005
+            )
             await report_now(w, machine)
-            attempt = leader.by_machine()[machine][TASK][1]
+            attempt = leader.records.attempts_by_machine()[machine][TASK][1]
             if stopped_while_it_waits:
                 cut_off(w, machine)
-                leader.stop(TASK, attempt, timedelta(seconds=5), "test", clock.now())
+                leader.stops.order(TASK, attempt, timedelta(seconds=5), "test", clock.now())
         w.state.deaf.clear()
         assert worker.tasks[(f"{TASK[0]}/0", attempt.number)].state != "ended"
         # The task is to be stopped, nothing reaches the machine, and the report from between comes.
         cut_off(w, machine)
-        leader.stop(TASK, attempt, timedelta(seconds=5), "test", clock.now())
+        leader.stops.order(TASK, attempt, timedelta(seconds=5), "test", clock.now())
         await w.call(0, "POST", "/hello", between)
         await trio.sleep(17)
         heal(w, machine)
@@ -174,7 +176,7 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(heartbeat)
             await trio.sleep(0.05)
-            leader.gone(machine, "deleted")
+            leader.terminate_attempts(machine, "deleted")
         assert answers == [None]
 
 
@@ -191,10 +193,10 @@
         known = leader.machines[machine]
         await trio.sleep_until(worker._answered + LEASE_S - 0.05)
         sent, epoch, body = trio.current_time(), worker.epoch, worker.heartbeat()
-        while TASK not in leader.ended and trio.current_time() < sent + 3.9:
+        while TASK not in leader.terminations and trio.current_time() < sent + 3.9:
             controller.fleet.failure_detector._expire(leader, machine)
             await trio.sleep(0.05)
-        assert TASK in leader.ended
+        assert TASK in leader.terminations
         heartbeat = parse_heartbeat(body)
         assert known.admit(heartbeat, leader.heartbeats.token(known), clock.now())
         answer = {"baton": leader.heartbeats.token(known), "orders": []}
@@ -209,15 +211,15 @@
         assert await w.until(lambda: w.board.running("run-000001"), 60)
         controller, machine = w.controllers["node-0"], home(w)
         leader, worker = controller.leaders["east"], w.cloud.machines[machine].worker
-        attempt = leader.recorded_attempt(TaskKey(*TASK))
+        attempt = leader.records.recorded_attempt(TaskKey(*TASK))
         w.state.down = True
-        leader.ended.note(TASK, Termination(attempt.number, machine, False, "error"))
+        leader.terminations.note(TASK, Termination(attempt.number, machine, False, "error"))
         before = len(worker.orders)
         await controller.fleet.commands._start_directly(
             leader, machine, [(TaskKey(*TASK), attempt)]
         )
         assert len(worker.orders) == before and TASK not in leader.machines[machine].direct
-        leader.ended.withdraw(TASK, machine)
+        leader.terminations.withdraw(TASK, machine)
         w.state.restore()
         await trio.sleep(3)
         # One that goes out may be carried out by a machine that has just begun anew.
@@ -235,11 +237,14 @@
         assert await w.submit(0, job(1, **SERVICE), None) == 201
         assert await w.until(lambda: w.board.running("run-000001"), 60)
         leader = w.controllers["node-0"].leaders["east"]
-        attempt = leader.recorded_attempt(TaskKey(*TASK))
-        leader.ended.note(TASK, Termination(attempt.number, "m-before", False, "absent"))
-        leader.wake_up.set()
+        attempt = leader.records.recorded_attempt(TaskKey(*TASK))
+        leader.terminations.note(TASK, Termination(attempt.number, "m-before", False, "absent"))
+        leader.steps.request()
         await trio.sleep(5)
-        assert leader.recorded_attempt(TaskKey(*TASK)) == attempt and TASK not in leader.ended
+        assert (
+            leader.records.recorded_attempt(TaskKey(*TASK)) == attempt
+            and TASK not in leader.terminations
+        )
         assert len(w.board.starts) == 1
 
 
@@ -254,11 +259,11 @@
             w.state.down = True
             raise ConflictError(["r/job/run-000001"])
 
-        monkeypatch.setattr("roadbend.placement.leader.commit", conflict)
+        monkeypatch.setattr("roadbend.placement.transaction_sender.commit", conflict)
         assert await w.submit(0, job(1, **SERVICE), None) == 201
         assert await w.until(lambda: tried, 60)
         await trio.sleep(4)
-        assert leader.in_doubt == tried[0] and len(tried) == 1
+        assert leader.transactions.in_doubt == tried[0] and len(tried) == 1
         monkeypatch.undo()
         w.state.restore()
         assert await w.until(lambda: w.board.running("run-000001"), 60)
@@ -310,7 +315,7 @@
     view.put(other.key, other.to_value(), 6)
     work = view.job_slices["east"]["run-000001"]
     before = dict(work.attempts)
-    leader = SimpleNamespace(width=width, partition="east")
+    leader = SimpleNamespace(records=SimpleNamespace(shard_width=width), partition="east")
     transaction = TransactionBuilder(view, "east", Leadership("east", 7, 1, clock.ORIGIN), settings)
     found = [
         (n, Termination(before[n].number, before[n].machine, False, "error")) for n in (3, width)
--- a/roadbend/test_upgrade.py
+++ b/roadbend/test_upgrade.py
@@ -376,7 +376,7 @@
     large = SliceShard("run-1", "east", "red", SPEC.resources, ((200, 210),), run)
     view.put(large.key, large.to_value(), 5)
     work = view.job_slices["east"]["run-1"]
-    leader = SimpleNamespace(width=settings.shard_width)
+    leader = SimpleNamespace(records=SimpleNamespace(shard_width=settings.shard_width))
     less = replace(
         large,
         attempts={task_index: attempt for task_index, attempt in run.items() if task_index != 3},
