--- a/roadbend/fleet/direct_commands.py
+++ b/roadbend/fleet/direct_commands.py
@@ -109,7 +109,7 @@
                 not rows
                 or leader.machines.get(name) is not machine
                 or not machine.token_confirmed
-                or not leader.free_capacities.is_usable(
+                or not leader.usable_machines.is_usable(
                     machine, now, self._context.settings.heartbeat_interval * 2.2
                 )
                 or election.leadership(leader.partition) != leader.leadership
--- a/roadbend/placement/gang_reservations.py
+++ b/roadbend/placement/gang_reservations.py
@@ -8,8 +8,9 @@
 from typing import TYPE_CHECKING
 
 from roadbend.log import Log
-from roadbend.placement import policy
-from roadbend.placement.policy import FreeCapacity, PendingTasks
+from roadbend.placement import free_capacity
+from roadbend.placement.free_capacity import FreeCapacity
+from roadbend.placement.queue_order import PendingTasks
 from roadbend.placement.reservations import ReservationReason
 
 if TYPE_CHECKING:
@@ -66,7 +67,7 @@
     chosen, places = [], 0
     rows = [
         (places_on(leader, item, capacity), capacity.id)
-        for capacity in leader.free_capacities.usable()
+        for capacity in leader.usable_machines.capacities()
     ]
     for count, machine in sorted(rows, key=lambda row: (-row[0], row[1])):
         if count == 0 or places >= item.count * SPARE:
@@ -81,7 +82,7 @@
 def places_on(leader: PartitionLeader, item: PendingTasks, capacity: FreeCapacity) -> int:
     """How many tasks of a gang fit on a machine once all that ends by itself has ended."""
     job = item.job
-    if not policy.allowed(job, capacity.machine_type, capacity.zone, capacity.spot):
+    if not free_capacity.allowed(job, capacity.machine_type, capacity.zone, capacity.spot):
         return 0
     trial = FreeCapacity(
         capacity.id,
--- a/roadbend/placement/leader.py
+++ b/roadbend/placement/leader.py
@@ -22,7 +22,6 @@
 from roadbend.placement.direct_starts import DirectStarts
 from roadbend.placement.exclusions import PlacementExclusions
 from roadbend.placement.failure_backoff import FailureBackoff
-from roadbend.placement.free_capacities import FreeCapacities
 from roadbend.placement.gang_attempts import GangAttempts
 from roadbend.placement.heartbeats import HeartbeatHandler
 from roadbend.placement.machine_registry import MachineRegistry
@@ -34,6 +33,7 @@
 from roadbend.placement.step_signal import StepSignal
 from roadbend.placement.stop_orders import StopOrders
 from roadbend.placement.transaction_sender import TransactionSender
+from roadbend.placement.usable_machines import UsableMachines
 from roadbend.store.client import UnavailableError
 from roadbend.store.records import Attempt
 
@@ -64,7 +64,7 @@
         self.records = PartitionRecords(context, leadership)
         self.registry = MachineRegistry(self.partition)
         self.machines = self.registry.by_id
-        self.free_capacities = FreeCapacities(self.records, self.registry)
+        self.usable_machines = UsableMachines(self.records, self.registry)
         self.terminations = Terminations()
         self.stops = StopOrders(self.records, self.registry)
         self.aging = JobAging()
--- a/roadbend/placement/machine_registry.py
+++ b/roadbend/placement/machine_registry.py
@@ -6,7 +6,7 @@
 from roadbend.fleet.machines import Machine
 from roadbend.fleet.messages import WorkerHeartbeat
 from roadbend.log import Log
-from roadbend.placement.policy import FreeCapacity
+from roadbend.placement.free_capacity import FreeCapacity
 
 log = Log("placement")
 
--- a/roadbend/placement/restrictions.py
+++ b/roadbend/placement/restrictions.py
@@ -3,15 +3,16 @@
 
 from __future__ import annotations
 
-from collections.abc import Container
 from datetime import datetime, timedelta
 from typing import TYPE_CHECKING
 
 from roadbend import clock
 from roadbend.autoscaler import policy as renting
 from roadbend.log import Log
-from roadbend.placement import gang_reservations, policy
-from roadbend.placement.policy import FreeCapacity, PendingTasks
+from roadbend.placement import free_capacity, gang_reservations
+from roadbend.placement.bin_packing import Exclusions
+from roadbend.placement.free_capacity import FreeCapacity
+from roadbend.placement.queue_order import PendingTasks
 from roadbend.store.records import JobSpec
 
 if TYPE_CHECKING:
@@ -38,7 +39,9 @@
         if kind not in known:
             known[kind] = any(
                 capacity.fits(spec.resources)
-                and policy.allowed(item.job, capacity.machine_type, capacity.zone, capacity.spot)
+                and free_capacity.allowed(
+                    item.job, capacity.machine_type, capacity.zone, capacity.spot
+                )
                 for capacity in kept
             )
         if known[kind]:
@@ -117,7 +120,7 @@
     )
 
 
-def bars(leader: PartitionLeader, item: PendingTasks) -> tuple[Container[str], Container[str]]:
+def bars(leader: PartitionLeader, item: PendingTasks) -> Exclusions:
     """Machines and types that an item keeps off: those where its job just failed, and room that is
     being made for other work, which is not filled while its victims go."""
     name = item.job.id
@@ -135,4 +138,4 @@
         exclusions.failed_on(name),
         exclusions.without_image(name),
     )
-    return barred, exclusions.withheld_types(name)
+    return Exclusions(barred, exclusions.withheld_types(name))
--- a/roadbend/placement/free_capacities.py
+++ b/roadbend/placement/usable_machines.py
@@ -7,23 +7,22 @@
 from roadbend.autoscaler.cloud import MachineType
 from roadbend.fleet.machines import Machine
 from roadbend.fleet.terminations import TaskKey
-from roadbend.placement import policy
+from roadbend.placement.free_capacity import RESOURCE_TOLERANCE, FreeCapacity
 from roadbend.placement.machine_registry import MachineRegistry
 from roadbend.placement.partition_records import PartitionRecords
-from roadbend.placement.policy import FreeCapacity
 from roadbend.store.records import Resources
 
 # A machine that has not been heard for so many times the heartbeat interval gets no work.
 SILENT_HEARTBEATS = 2.2
 
 
-class FreeCapacities:
+class UsableMachines:
     """Works out the free capacities of one partition."""
 
     def __init__(self, records: PartitionRecords, registry: MachineRegistry):
         self._records, self._registry, self._context = records, registry, records.context
 
-    def usable(
+    def capacities(
         self, ended: Iterable[TaskKey] = (), at_least: Resources | None = None
     ) -> list[FreeCapacity]:
         """Return the machines that may be given work, with what the records leave free on them.
@@ -41,16 +40,16 @@
                 continue
             version = versions.get(machine.id, 0)
             if machine.free is None or machine.free[0] != version:
-                machine.free = (version, *self._unrecorded(machine.id, machine_type.capacity))
+                machine.free = (version, *self._left_by_records(machine.id, machine_type.capacity))
             _, cpus, gpus, memory = machine.free
             for resources in released.get(machine.id, ()):
                 cpus += resources.cpus
                 gpus += resources.gpus
                 memory += resources.memory
             if at_least is not None and (
-                at_least.gpus > gpus + policy.EPS
-                or at_least.cpus > cpus + policy.EPS
-                or at_least.memory > memory + policy.EPS
+                at_least.gpus > gpus + RESOURCE_TOLERANCE
+                or at_least.cpus > cpus + RESOURCE_TOLERANCE
+                or at_least.memory > memory + RESOURCE_TOLERANCE
             ):
                 continue
             capacities.append(_free_capacity(machine, machine_type, cpus, gpus, memory))
@@ -81,7 +80,7 @@
                 released.setdefault(attempt.machine, []).append(job_slice.resources)
         return released
 
-    def _unrecorded(self, machine: str, whole: Resources) -> tuple[float, float, float]:
+    def _left_by_records(self, machine: str, whole: Resources) -> tuple[float, float, float]:
         """Return what the records leave free of a machine: CPUs, GPUs and memory."""
         cpus, gpus, memory = whole.cpus, whole.gpus, whole.memory
         for job_slice, _ in self._records.attempts_by_machine().get(machine, {}).values():
