--- a/roadbend/placement/leader.py
+++ b/roadbend/placement/leader.py
@@ -14,7 +14,7 @@
 from roadbend import clock
 from roadbend.fleet.terminations import TaskKey, Termination, Terminations
 from roadbend.log import Log
-from roadbend.partitions.election import Leadership
+from roadbend.partitions.leadership import Leadership
 from roadbend.placement import ends, gangs, quotas, starts
 from roadbend.placement.aging import JobAging
 from roadbend.placement.attempt_numbers import AttemptNumbers
