--- a/roadbend/placement/partition_records.py
+++ b/roadbend/placement/partition_records.py
@@ -1,7 +1,7 @@
 """What the records say about one partition, as its leader reads them in the record view."""
 
 from roadbend.fleet.terminations import TaskKey
-from roadbend.partitions.election import Leadership
+from roadbend.partitions.leadership import Leadership
 from roadbend.placement.context import ControllerContext
 from roadbend.store import records
 from roadbend.store.record_view import JobSlice, MachineAttempts
