--- a/roadbend/placement/leader.py
+++ b/roadbend/placement/leader.py
@@ -44,8 +44,6 @@
 # long that may be: where steps take long, heartbeats are to be answered between them.
 STEP_REST_FACTOR = 2
 MAX_STEP_REST = timedelta(seconds=1)
-# Most machines remembered as deleted.
-MAX_DELETED = 32_768
 # Sends a machine its starts, for a leader.
 SendLeaderStarts = Callable[["PartitionLeader", str, list[tuple[TaskKey, Attempt]]], None]
 
@@ -166,7 +164,5 @@
             self.registry.expect_change(machine)
             if cause == "deleted":
                 self.registry.remove(machine)
-                self.context.deleted[machine] = clock.now()
-                while len(self.context.deleted) > MAX_DELETED:
-                    self.context.deleted.popitem(last=False)
+                self.context.deleted_machines.add(machine)
         self.steps.request()
--- a/roadbend/placement/partition_records.py
+++ b/roadbend/placement/partition_records.py
@@ -26,7 +26,7 @@
 
     def live_job(self, job: str) -> Job | None:
         """Return a job that is neither over nor cancelled."""
-        return None if job in self.context.cancelled else self.context.view.jobs.get(job)
+        return None if job in self.context.cancellations.jobs else self.context.view.jobs.get(job)
 
     def recorded_attempt(self, key: TaskKey) -> Attempt | None:
         """Return the attempt of a task that the records name."""
