--- a/roadbend/controller/controller.py
+++ b/roadbend/controller/controller.py
@@ -23,6 +23,7 @@
 from roadbend.http.server import Request, Response, Server
 from roadbend.intake.limit import AdaptiveLimit
 from roadbend.intake.users import JobApi
+from roadbend.listen_address import listen_address
 from roadbend.log import Log
 from roadbend.partitions.election import LeaderElection
 from roadbend.peers import frames
@@ -212,8 +213,10 @@
         )
         async with trio.open_nursery() as nursery:
             self._partition_leaders.start_in(nursery)
-            await nursery.start(self._net.listen, self.settings.listen, self._server.serve)
-            await nursery.start(self._net.listen, self.settings.back, self.peers.serve)
+            with listen_address("client_listen"):
+                await nursery.start(self._net.listen, self.settings.listen, self._server.serve)
+            with listen_address("back"):
+                await nursery.start(self._net.listen, self.settings.back, self.peers.serve)
             for link in self.peers.links.values():
                 nursery.start_soon(link.run, self._exchange)
             self._start_work(nursery)
