--- a/roadbend/placement/machine_registry.py
+++ b/roadbend/placement/machine_registry.py
@@ -42,7 +42,7 @@
             heartbeat.zone,
             heartbeat.spot,
         )
-        machine.newly_created = (
+        machine.token.newly_created = (
             heartbeat.machine in self._unregistered and heartbeat.epoch == 1 and not heartbeat.tasks
         )
         self._unregistered.discard(machine.id)
@@ -65,4 +65,4 @@
         """Have a machine's next heartbeat read in full: it may call for orders."""
         known = self._machines.get(machine)
         if known is not None:
-            known.unchanged_version = None
+            known.last_evaluation.invalidate()
--- a/roadbend/placement/usable_machines.py
+++ b/roadbend/placement/usable_machines.py
@@ -57,15 +57,16 @@
 
     def is_usable(self, machine: Machine, now: datetime, silent_after: timedelta) -> bool:
         """Whether a machine may be given work."""
+        lifecycle, token = machine.lifecycle, machine.token
         return (
-            machine.draining is None
-            and machine.reclaim_at is None
-            and not machine.fencing
+            lifecycle.draining is None
+            and lifecycle.reclaim_at is None
+            and not lifecycle.fencing
             and machine.unrecorded_tasks == 0
             # Until a machine has carried our token it may be a late copy of a heartbeat that we
             # see; one that was created in this term and registers now is no such thing.
-            and (machine.token_confirmed or machine.newly_created)
-            and machine.fresh(now, silent_after)
+            and (token.confirmed or token.newly_created)
+            and machine.contact.fresh(now, silent_after)
             and len(machine.failures) < self._context.operator.error_limit
         )
 
