--- a/roadbend/bidding/gang_release.py
+++ b/roadbend/bidding/gang_release.py
@@ -54,5 +54,5 @@
             return True
         waits_long = leader.aging.waited(job.id, now) >= LONG_WAIT
         return apart_gangs.is_apart(job) and (
-            waits_long or job.leader.gang_attempts.is_to_release(id)
+            waits_long or leader.gang_attempts.is_to_release(job.id)
         )
