--- a/roadbend/placement/leader.py
+++ b/roadbend/placement/leader.py
@@ -12,7 +12,7 @@
 import trio
 
 from roadbend import clock
-from roadbend.fleet.terminations import TaskKey, Termination, Terminations
+from roadbend.fleet.terminations import TaskKey, Termination, TerminationEvidence, Terminations
 from roadbend.log import Log
 from roadbend.partitions.leadership import Leadership
 from roadbend.placement import ends, gangs, quotas, starts
@@ -153,16 +153,16 @@
         self.reservations.drop_stale({item.job.id for item in self.queue.not_placed}, now)
         self.backoff.drop_expired(now)
 
-    def terminate_attempts(self, machine: str, cause: str) -> None:
+    def terminate_attempts(self, machine: str, evidence: TerminationEvidence) -> None:
         """Note as terminated all that is recorded on a machine.
 
-        The evidence is from outside a heartbeat: `deleted` is the cloud's answer to a deletion,
-        `lease` a worker lease that ran out."""
+        The evidence is from outside a heartbeat: the cloud's answer to a deletion, or a worker
+        lease that ran out."""
         with self.lock:
             for key, (_, attempt) in self.records.attempts_by_machine().get(machine, {}).items():
-                self.terminations.note(key, Termination(attempt.number, machine, False, cause))
+                self.terminations.note(key, Termination(attempt.number, machine, False, evidence))
             self.registry.expect_change(machine)
-            if cause == "deleted":
+            if evidence == TerminationEvidence.DELETED:
                 self.registry.remove(machine)
                 self.context.deleted_machines.add(machine)
         self.steps.request()
--- a/roadbend/placement/machine_registry.py
+++ b/roadbend/placement/machine_registry.py
@@ -43,7 +43,9 @@
             heartbeat.spot,
         )
         machine.token.newly_created = (
-            heartbeat.machine in self._unregistered and heartbeat.epoch == 1 and not heartbeat.tasks
+            heartbeat.machine in self._unregistered
+            and heartbeat.position.epoch == 1
+            and not heartbeat.tasks
         )
         self._unregistered.discard(machine.id)
         self._machines[machine.id] = machine
