--- a/roadbend/recovery/survey.py
+++ b/roadbend/recovery/survey.py
@@ -12,6 +12,7 @@
 
 from roadbend.autoscaler.cloud import Cloud, CloudBusyError
 from roadbend.autoscaler.messages import ListedMachine
+from roadbend.errors import RetryableError
 from roadbend.fleet import messages
 from roadbend.http.client import Client, NoAnswerError
 from roadbend.http.net import Net
@@ -70,7 +71,7 @@
     machines: dict[str, Presence] = field(default_factory=dict)
 
 
-class SurveyError(Exception):
+class SurveyError(RetryableError):
     """The state service or the cloud could not be read; the message says which."""
 
 
