--- a/roadbend/fleet/leader.py
+++ b/roadbend/fleet/leader.py
@@ -3,6 +3,7 @@
 `roadbend.placement` provides both; it is not imported here, because it uses this package itself.
 """
 
+from collections.abc import ItemsView, Mapping
 from contextlib import AbstractContextManager
 from datetime import datetime, timedelta
 from typing import Any, Protocol
@@ -48,18 +49,70 @@
         """Whether the direct command for a stop may wait."""
 
 
+class LeaderRecords(Protocol):
+    """The records of a leader's partition."""
+
+    def attempts_by_machine(self) -> dict[str, MachineAttempts]:
+        """Return the recorded attempts by machine."""
+
+    def live_job(self, job: str) -> Job | None:
+        """Return a job that is neither over nor cancelled."""
+
+
+class LeaderStops(Protocol):
+    """The tasks that a leader wants stopped."""
+
+    def __contains__(self, key: tuple[str, int]) -> bool:
+        """Whether a task is to be stopped."""
+
+    def items(self) -> ItemsView[TaskKey, StopOrder]:
+        """Return the tasks with their orders."""
+
+    def order_all_cancelled(self, now: datetime) -> None:
+        """Stop the tasks of jobs that are over or cancelled."""
+
+
+class LeaderMachines(Protocol):
+    """Which machines a leader may give work."""
+
+    def is_usable(self, machine: Machine, now: datetime, silent_after: timedelta) -> bool:
+        """Whether a machine that has not been silent for so long may be given work."""
+
+
 class Leader(Protocol):
     """The leader of one partition for one term."""
 
-    partition: str
-    leadership: Leadership
-    machines: dict[str, Machine]
-    stops: dict[TaskKey, StopOrder]
-    ended: Terminations
+    @property
+    def partition(self) -> str:
+        """The partition's name."""
+
+    @property
+    def leadership(self) -> Leadership:
+        """The leadership under which the partition is led."""
 
     @property
     def lock(self) -> AbstractContextManager[Any]:
-        """Guards the fields."""
+        """Guards the state."""
+
+    @property
+    def machines(self) -> Mapping[str, Machine]:
+        """The registered machines by id."""
+
+    @property
+    def records(self) -> LeaderRecords:
+        """The partition's records."""
+
+    @property
+    def stops(self) -> LeaderStops:
+        """The tasks that are to be stopped."""
+
+    @property
+    def terminations(self) -> Terminations:
+        """The terminated attempts that are not recorded yet."""
+
+    @property
+    def usable_machines(self) -> LeaderMachines:
+        """Which machines may be given work."""
 
     @property
     def heartbeats(self) -> LeaderHeartbeats:
@@ -69,17 +122,5 @@
     def recovery(self) -> StopSpacing:
         """What recovery holds back."""
 
-    def by_machine(self) -> dict[str, MachineAttempts]:
-        """Return the recorded attempts by machine."""
-
-    def live(self, job: str) -> Job | None:
-        """Return a job that is neither over nor cancelled."""
-
-    def usable(self, machine: Machine, now: datetime, silent: timedelta) -> bool:
-        """Whether a machine may be given work; `silent`: how long it may have been silent."""
-
-    def gone(self, machine: str, cause: TerminationEvidence) -> None:
+    def terminate_attempts(self, machine: str, evidence: TerminationEvidence) -> None:
         """Note evidence from outside a heartbeat that all attempts of a machine are terminated."""
-
-    def stop_dead(self, now: datetime) -> None:
-        """Stop the tasks of jobs that are over or cancelled."""
