--- a/roadbend/bidding/gang_release.py
+++ b/roadbend/bidding/gang_release.py
@@ -29,7 +29,7 @@
             job = self._context.view.jobs[name]
             if not self._is_due(leader, job, now):
                 continue
-            conditions = apart_gangs.may_release(leader, job)
+            conditions = leader.apart_gangs.may_release(job)
             if conditions is None or len(conditions) > max_conditions(self._context.settings):
                 continue
             released = replace(job, allocation={})
--- a/roadbend/controller/controller.py
+++ b/roadbend/controller/controller.py
@@ -83,7 +83,7 @@
         self.fleet = Fleet(self.context, net, self.cloud, self.peers, leaders)
         self.autoscaler = Autoscaler(self.context, self.cloud, self.fleet, leaders, rng)
         self.bidding = Bidding(self.context, self.peers, leaders, self.autoscaler.closed, rng)
-        self._partition_leaders = PartitionLeaders(
+        self.partition_leaders = PartitionLeaders(
             self.context, self.fleet, self.autoscaler, leaders
         )
         cancellations = ConfirmedCancellations(settings.cancel_within)
@@ -92,8 +92,8 @@
         self._router = self._make_router(cancellations)
         self._server = self._make_server(settings)
         self.peers.handlers[frames.FrameKind.HEARTBEAT] = self._exchange.on_call
-        self.view.watchers.append(self._partition_leaders.on_record)
-        self.election.changed.append(self._partition_leaders.on_leadership)
+        self.view.watchers.append(self.partition_leaders.on_record)
+        self.election.changed.append(self.partition_leaders.on_leadership)
         # What else runs as long as the controller does, such as recovery where it is switched on.
         self.background: list[Callable[[], Awaitable[None]]] = []
 
@@ -186,7 +186,7 @@
     @property
     def leaders(self) -> dict[str, PartitionLeader]:
         """The partitions that this controller leads, each with what does the work."""
-        return self._partition_leaders.leaders
+        return self.partition_leaders.leaders
 
     @property
     def began(self) -> datetime:
@@ -210,7 +210,7 @@
             incarnation=self.incarnation,
         )
         async with trio.open_nursery() as nursery:
-            self._partition_leaders.start_in(nursery)
+            self.partition_leaders.start_in(nursery)
             with listen_address("client_listen"):
                 await nursery.start(self._net.listen, self.settings.listen, self._server.serve)
             with listen_address("back"):
--- a/roadbend/controller/leaders.py
+++ b/roadbend/controller/leaders.py
@@ -1,11 +1,14 @@
 """Begin and end the work on partitions with their leaderships, and wake it up on changes."""
 
+from collections.abc import Callable
+
 import trio
 
 from roadbend.autoscaler.service import Autoscaler
 from roadbend.fleet.service import Fleet
 from roadbend.placement.context import ControllerContext
 from roadbend.placement.leader import PartitionLeader
+from roadbend.placement.recovery_hooks import PartitionRecovery
 
 TERM_PREFIX, JOB_PREFIX, TEAM_PREFIX = "r/term/", "r/job/", "r/team/"
 
@@ -24,6 +27,8 @@
         self._context = context
         self._fleet = fleet
         self._autoscaler = autoscaler
+        # Gives what is asked before a partition's records are acted on, where recovery is on.
+        self.recovery_of: Callable[[PartitionLeader], PartitionRecovery] = _no_recovery
         self._nursery: trio.Nursery | None = None
 
     def start_in(self, nursery: trio.Nursery) -> None:
@@ -37,7 +42,7 @@
             self.leaders.pop(partition, None)
             return
         leader = PartitionLeader(self._context, leadership, self._fleet.commands.order_now)
-        leader.recovery = self._context.recovery.for_partition(leader)
+        leader.use_recovery(self.recovery_of(leader))
         self.leaders[partition] = leader
         if self._nursery is not None:
             self._nursery.start_soon(leader.run)
@@ -59,3 +64,7 @@
             assigned = self._context.view.assigned_jobs.get(partition, ())
             if job in assigned or job in leader.records.job_slices():
                 leader.steps.request()
+
+
+def _no_recovery(_leader: PartitionLeader) -> PartitionRecovery:
+    return PartitionRecovery()
--- a/roadbend/placement/attempt_numbers.py
+++ b/roadbend/placement/attempt_numbers.py
@@ -7,7 +7,7 @@
 class AttemptNumbers:
     """Gives out the attempt numbers of one leadership."""
 
-    def __init__(self, term: int):
+    def __init__(self, term: int) -> None:
         self._term, self._sequence = term, 0
 
     def next(self, mark: int = 0) -> int:
--- a/roadbend/placement/direct_starts.py
+++ b/roadbend/placement/direct_starts.py
@@ -12,7 +12,7 @@
 class DirectStarts:
     """The direct starts of one partition that wait to be sent."""
 
-    def __init__(self, send: SendStarts | None = None):
+    def __init__(self, send: SendStarts | None = None) -> None:
         self._send = send
         self._by_machine: dict[str, list[tuple[TaskKey, Attempt]]] = {}
 
--- a/roadbend/placement/ends.py
+++ b/roadbend/placement/ends.py
@@ -1,25 +1,20 @@
 """Ends of attempts into the records, and slices and jobs that are over out of them."""
 
-from __future__ import annotations
-
 from collections.abc import Container
 from dataclasses import dataclass, field, replace
 from datetime import datetime, timedelta
 from functools import partial
-from typing import TYPE_CHECKING
 
 from roadbend.fleet.terminations import Termination
 from roadbend.log import Log
 from roadbend.placement import gangs
+from roadbend.placement.partition_state import PartitionState
 from roadbend.placement.transaction import TransactionBuilder
 from roadbend.store import keys, ranges
 from roadbend.store.ranges import Ranges
 from roadbend.store.record_view import JobSlice
 from roadbend.store.records import Attempt, Job, SliceShard
 
-if TYPE_CHECKING:
-    from roadbend.placement.leader import PartitionLeader
-
 log = Log("placement")
 # Shards of a job that is still running leave the records when there are this many to go.
 FOLD = 4
@@ -47,199 +42,284 @@
         self.ended = [row for row in self.ended if self.job_slice.shard_of(row[0], width) in shards]
 
 
-def record_ends(leader: PartitionLeader, transaction: TransactionBuilder, now: datetime) -> bool:
-    """Puts ends into the transaction, and takes slices and jobs that are over out of the records;
-    says whether more is left for the next one."""
-    more = False
-    for name, found in ends_by_job(leader).items():
-        job_slice = leader.records.job_slices().get(name)
-        if job_slice is None:
-            continue
-        ends = collect(leader, transaction, name, job_slice, found)
-        more = plan_splits(leader, transaction, ends) or more
-        if ends.job is not None and ends.job.spec.gang and any(f.done for _, f in ends.ended):
-            written = end_gang(
-                transaction,
-                ends.job,
-                ends.touched,
-                [piece for n, piece in job_slice.shards.items() if n not in ends.touched],
-            )
-            if written is None:
+class TerminationRecorder:
+    """Records one partition's terminated attempts, and takes out what is over."""
+
+    def __init__(self, state: PartitionState) -> None:
+        self._records = state.records
+        self._terminations = state.terminations
+        self._backoff = state.backoff
+        self._exclusions = state.exclusions
+        self._gang_attempts = state.gang_attempts
+        self._machines = state.registry.by_id
+        self._context = state.records.context
+        self._partition = state.records.partition
+
+    def record_ends(self, transaction: TransactionBuilder, now: datetime) -> bool:
+        """Puts ends into the transaction, and takes slices and jobs that are over out of the
+        records; says whether more is left for the next one."""
+        more = False
+        for name, found in self.ends_by_job().items():
+            job_slice = self._records.job_slices().get(name)
+            if job_slice is None:
+                continue
+            ends = self.collect(transaction, name, job_slice, found)
+            more = self.plan_splits(transaction, ends) or more
+            if ends.job is not None and ends.job.spec.gang and any(f.done for _, f in ends.ended):
+                written = end_gang(
+                    transaction,
+                    ends.job,
+                    ends.touched,
+                    [piece for n, piece in job_slice.shards.items() if n not in ends.touched],
+                )
+                if written is None:
+                    return True
+                # What is left out is recorded next, like the end of a cancelled task: the job is
+                # over.
+                more = more or written != ends.touched.keys()
+                ends.keep_only(written, self._records.shard_width)
+                self.note_ends(transaction, ends, now)
+                continue
+            result = self.record_job(transaction, ends)
+            if result is None:
                 return True
-            # What is left out is recorded next, like the end of a cancelled task: the job is over.
-            more = more or written != ends.touched.keys()
-            ends.keep_only(written, leader.records.shard_width)
-            note_ends(leader, transaction, ends, now)
-            continue
-        result = record_job(leader, transaction, ends)
-        if result is None:
-            return True
-        more = more or result
-        note_ends(leader, transaction, ends, now)
-    return more
-
-
-def ends_by_job(leader: PartitionLeader) -> dict[str, list[tuple[int, Termination]]]:
-    """The ends to be recorded, by job; also the jobs with slices of which nothing runs."""
-    by_job: dict[str, list[tuple[int, Termination]]] = {}
-    for (job, task_index), end in leader.terminations.items():
-        by_job.setdefault(job, []).append((task_index, end))
-    # Slices of cancelled jobs with nothing left, and slices all done, also end here.
-    for name, job_slice in leader.records.job_slices().items():
-        if not job_slice.attempts:
-            by_job.setdefault(name, [])
-    return by_job
-
-
-def collect(
-    leader: PartitionLeader,
-    transaction: TransactionBuilder,
-    name: str,
-    job_slice: JobSlice,
-    found: list[tuple[int, Termination]],
-) -> JobTerminations:
-    """The shards of one job without the attempts that have ended."""
-    job = leader.context.view.jobs.get(name)
-    ends = JobTerminations(name, job, job_slice)
-    counts_done = job is not None and not job.spec.service and not job.spec.gang
-    for task_index, end in found:
-        attempt = job_slice.attempts.get(task_index)
-        if attempt != Attempt(end.attempt, end.machine):
-            continue
-        at = job_slice.shard_of(task_index, leader.records.shard_width)
-        piece = ends.touched.get(at) or transaction.slice(
-            name, job_slice.team, job_slice.resources, at
-        )
-        run = {n: a for n, a in piece.attempts.items() if n != task_index}
-        done = piece.done
-        if end.done and counts_done:
-            done = ranges.union(done, ((task_index, task_index + 1),))
-        ends.touched[at] = replace(piece, attempts=run, done=done)
-        ends.ended.append((task_index, end))
-    return ends
-
-
-def plan_splits(
-    leader: PartitionLeader, transaction: TransactionBuilder, ends: JobTerminations
-) -> bool:
-    """What a version with larger values wrote and is too large now is split as it is written.
-    Where that can't be done in one transaction, the ends wait until fewer of its tasks are left;
-    says whether the next transaction may do better.
-
-    A split also writes the shards that take its tasks. None of them may be written twice in one
-    transaction, for the second writing would lose what the first one moved there: so one shard is
-    split at a time, and the ends in the job's other shards wait for the next transaction."""
-    wide = [n for n, piece in ends.touched.items() if not transaction.fits(piece)]
-    for n in wide:
-        plan = split(leader, transaction, ends.job_slice, ends.touched[n])
-        if plan:
-            waiting = len(ends.touched) > 1
-            ends.plans = {n: plan}
-            ends.keep_only({n}, leader.records.shard_width)
-            return waiting
-    ends.keep_only(ends.touched.keys() - set(wide), leader.records.shard_width)
-    return bool(wide) and bool(transaction.changes)
-
-
-def record_job(
-    leader: PartitionLeader, transaction: TransactionBuilder, ends: JobTerminations
-) -> bool | None:
-    """Writes one job's ends; says whether some of them wait for the next transaction. None: all
-    do, for this one has no room left."""
-    over, whole = shards_over(leader, ends)
-    record_keys = [
-        keys.slice_key(leader.partition, ends.name, n) for n in ends.touched.keys() | over.keys()
-    ]
-    record_keys += [piece.key for plan in ends.plans.values() for piece in plan]
-    if ends.job is not None and over:
-        record_keys += [keys.job_key(ends.name), keys.job_end_key(ends.name)]
-    if not record_keys:
-        return False
-    partly = not transaction.room_for(*record_keys)
-    if partly:
-        if transaction.changes:
-            return None
-        # Wider than one transaction: some of it now, the rest in the next.
-        some = sorted(over.keys() | ends.touched.keys())[: max(1, transaction.free - 2)]
-        over = {n: piece for n, piece in over.items() if n in some}
-        ends.keep_only([n for n in some if n not in ends.plans], leader.records.shard_width)
-        whole = False
-    write_slices(leader, transaction, ends, over)
-    if ends.job is not None and over:
-        write_job(leader, transaction, ends.job, over, whole)
-    return partly
-
-
-def shards_over(
-    leader: PartitionLeader, ends: JobTerminations
-) -> tuple[dict[int, SliceShard], bool]:
-    """The shards that leave the records, and whether the partition is through with all that it
-    holds of the job."""
-    shards = {**ends.job_slice.shards, **ends.touched}
-    idle = {n: piece for n, piece in shards.items() if not piece.attempts}
-    if ends.job is None:
-        return idle, len(idle) == len(shards)
-    done = ranges.normal(pair for piece in shards.values() for pair in piece.done)
-    held = ends.job.allocation.get(leader.partition, ())
-    if len(idle) == len(shards) and not ranges.minus(held, done):
-        return idle, True
-    # A wide array's shards leave the records a few at a time, not one by one.
-    over = {
-        n: piece
-        for n, piece in idle.items()
-        if not ranges.minus(within(leader, held, n), piece.done)
-    }
-    return (over if len(over) >= FOLD else {}), False
-
-
-def write_slices(
-    leader: PartitionLeader,
-    transaction: TransactionBuilder,
-    ends: JobTerminations,
-    over: dict[int, SliceShard],
-) -> None:
-    """The changed shards, split where they must be, and those that leave the records."""
-    for n, piece in ends.touched.items():
-        if n in ends.plans:
-            for row in ends.plans[n]:
-                transaction.set_slice(row)
-            into = len(ends.plans[n])
-            log.info(
-                "shard-split", partition=leader.partition, job=ends.name, shard=n, into_shards=into
+            more = more or result
+            self.note_ends(transaction, ends, now)
+        return more
+
+    def ends_by_job(self) -> dict[str, list[tuple[int, Termination]]]:
+        """The ends to be recorded, by job; also the jobs with slices of which nothing runs."""
+        by_job: dict[str, list[tuple[int, Termination]]] = {}
+        for (job, task_index), end in self._terminations.items():
+            by_job.setdefault(job, []).append((task_index, end))
+        # Slices of cancelled jobs with nothing left, and slices all done, also end here.
+        for name, job_slice in self._records.job_slices().items():
+            if not job_slice.attempts:
+                by_job.setdefault(name, [])
+        return by_job
+
+    def collect(
+        self,
+        transaction: TransactionBuilder,
+        name: str,
+        job_slice: JobSlice,
+        found: list[tuple[int, Termination]],
+    ) -> JobTerminations:
+        """The shards of one job without the attempts that have ended."""
+        job = self._context.view.jobs.get(name)
+        ends = JobTerminations(name, job, job_slice)
+        counts_done = job is not None and not job.spec.service and not job.spec.gang
+        for task_index, end in found:
+            attempt = job_slice.attempts.get(task_index)
+            if attempt != Attempt(end.attempt, end.machine):
+                continue
+            at = job_slice.shard_of(task_index, self._records.shard_width)
+            piece = ends.touched.get(at) or transaction.slice(
+                name, job_slice.team, job_slice.resources, at
             )
-        elif n not in over:
-            # Fewer attempts never make the record larger than a range each.
-            transaction.set_slice(piece)
-    for piece in over.values():
-        transaction.drop_slice(piece)
-
-
-def write_job(
-    leader: PartitionLeader,
-    transaction: TransactionBuilder,
-    job: Job,
-    over: dict[int, SliceShard],
-    whole: bool,
-) -> None:
-    """The job's record, or its end, once shards of it are over."""
-    held = job.allocation.get(leader.partition, ())
-    all_done = ranges.normal([*job.done, *(pair for piece in over.values() for pair in piece.done)])
-    if whole and ranges.size(all_done) >= job.spec.task_count:
-        transaction.end_job(job, "done", job.spec.task_count)
-    else:
-        rest = job.with_partition(leader.partition, ranges.minus(held, all_done))
-        transaction.set_job(replace(rest, done=all_done))
+            run = {n: a for n, a in piece.attempts.items() if n != task_index}
+            done = piece.done
+            if end.done and counts_done:
+                done = ranges.union(done, ((task_index, task_index + 1),))
+            ends.touched[at] = replace(piece, attempts=run, done=done)
+            ends.ended.append((task_index, end))
+        return ends
+
+    def plan_splits(self, transaction: TransactionBuilder, ends: JobTerminations) -> bool:
+        """What a version with larger values wrote and is too large now is split as it is written.
+        Where that can't be done in one transaction, the ends wait until fewer of its tasks are
+        left; says whether the next transaction may do better.
+
+        A split also writes the shards that take its tasks. None of them may be written twice in one
+        transaction, for the second writing would lose what the first one moved there: so one shard
+        is split at a time, and the ends in the job's other shards wait for the next transaction."""
+        wide = [n for n, piece in ends.touched.items() if not transaction.fits(piece)]
+        for n in wide:
+            plan = self.split(transaction, ends.job_slice, ends.touched[n])
+            if plan:
+                waiting = len(ends.touched) > 1
+                ends.plans = {n: plan}
+                ends.keep_only({n}, self._records.shard_width)
+                return waiting
+        ends.keep_only(ends.touched.keys() - set(wide), self._records.shard_width)
+        return bool(wide) and bool(transaction.changes)
+
+    def record_job(self, transaction: TransactionBuilder, ends: JobTerminations) -> bool | None:
+        """Writes one job's ends; says whether some of them wait for the next transaction. None: all
+        do, for this one has no room left."""
+        over, whole = self.shards_over(ends)
+        record_keys = [
+            keys.slice_key(self._partition, ends.name, n) for n in ends.touched.keys() | over.keys()
+        ]
+        record_keys += [piece.key for plan in ends.plans.values() for piece in plan]
+        if ends.job is not None and over:
+            record_keys += [keys.job_key(ends.name), keys.job_end_key(ends.name)]
+        if not record_keys:
+            return False
+        partly = not transaction.room_for(*record_keys)
+        if partly:
+            if transaction.changes:
+                return None
+            # Wider than one transaction: some of it now, the rest in the next.
+            some = sorted(over.keys() | ends.touched.keys())[: max(1, transaction.free - 2)]
+            over = {n: piece for n, piece in over.items() if n in some}
+            ends.keep_only([n for n in some if n not in ends.plans], self._records.shard_width)
+            whole = False
+        self.write_slices(transaction, ends, over)
+        if ends.job is not None and over:
+            self.write_job(transaction, ends.job, over, whole)
+        return partly
+
+    def shards_over(self, ends: JobTerminations) -> tuple[dict[int, SliceShard], bool]:
+        """The shards that leave the records, and whether the partition is through with all that it
+        holds of the job."""
+        shards = {**ends.job_slice.shards, **ends.touched}
+        idle = {n: piece for n, piece in shards.items() if not piece.attempts}
+        if ends.job is None:
+            return idle, len(idle) == len(shards)
+        done = ranges.normal(pair for piece in shards.values() for pair in piece.done)
+        held = ends.job.allocation.get(self._partition, ())
+        if len(idle) == len(shards) and not ranges.minus(held, done):
+            return idle, True
+        # A wide array's shards leave the records a few at a time, not one by one.
+        over = {
+            n: piece
+            for n, piece in idle.items()
+            if not ranges.minus(self.within(held, n), piece.done)
+        }
+        return (over if len(over) >= FOLD else {}), False
+
+    def write_slices(
+        self,
+        transaction: TransactionBuilder,
+        ends: JobTerminations,
+        over: dict[int, SliceShard],
+    ) -> None:
+        """The changed shards, split where they must be, and those that leave the records."""
+        for n, piece in ends.touched.items():
+            if n in ends.plans:
+                for row in ends.plans[n]:
+                    transaction.set_slice(row)
+                into = len(ends.plans[n])
+                log.info(
+                    "shard-split",
+                    partition=self._partition,
+                    job=ends.name,
+                    shard=n,
+                    into_shards=into,
+                )
+            elif n not in over:
+                # Fewer attempts never make the record larger than a range each.
+                transaction.set_slice(piece)
+        for piece in over.values():
+            transaction.drop_slice(piece)
 
+    def write_job(
+        self,
+        transaction: TransactionBuilder,
+        job: Job,
+        over: dict[int, SliceShard],
+        whole: bool,
+    ) -> None:
+        """The job's record, or its end, once shards of it are over."""
+        held = job.allocation.get(self._partition, ())
+        all_done = ranges.normal(
+            [*job.done, *(pair for piece in over.values() for pair in piece.done)]
+        )
+        if whole and ranges.size(all_done) >= job.spec.task_count:
+            transaction.end_job(job, "done", job.spec.task_count)
+        else:
+            rest = job.with_partition(self._partition, ranges.minus(held, all_done))
+            transaction.set_job(replace(rest, done=all_done))
+
+    def note_ends(
+        self, transaction: TransactionBuilder, ends: JobTerminations, now: datetime
+    ) -> None:
+        """What follows once the transaction is carried out, and what its later partitions may count
+        on."""
+        for task_index, end in ends.ended:
+            transaction.ended_attempts.add((ends.name, task_index))
+            transaction.charge(ends.job_slice.team, ends.job_slice.resources, -1)
+            transaction.after.append(partial(self.note_end, ends.name, task_index, end, now))
+
+    def split(
+        self, transaction: TransactionBuilder, job_slice: JobSlice, piece: SliceShard
+    ) -> list[SliceShard]:
+        """A slice that is larger than values may be now, in pieces that one transaction takes: its
+        attempts go where they would be written today, so a task is in one record before and after.
+        The one that gives comes first: a version that keeps a task where it read it first would
+        otherwise lose it. Empty where that can't be done yet."""
+        homes: dict[int, dict[int, Attempt]] = {}
+        for task_index, attempt in piece.attempts.items():
+            homes.setdefault(task_index // self._records.shard_width, {})[task_index] = attempt
+        kept, pieces = dict(piece.attempts), []
+        for at, rows in sorted(homes.items(), key=lambda row: -len(row[1])):
+            if transaction.fits(replace(piece, attempts=kept)):
+                break
+            if at == piece.shard:
+                continue
+            other = transaction.slice(job_slice.job, job_slice.team, job_slice.resources, at)
+            other = replace(other, attempts={**other.attempts, **rows})
+            if transaction.fits(other):
+                pieces.append(other)
+                kept = {
+                    task_index: attempt
+                    for task_index, attempt in kept.items()
+                    if task_index not in rows
+                }
+        giving = replace(piece, attempts=kept)
+        pieces.insert(0, giving)
+        return (
+            pieces
+            if transaction.fits(giving) and transaction.room_for(*(row.key for row in pieces))
+            else []
+        )
 
-def note_ends(
-    leader: PartitionLeader, transaction: TransactionBuilder, ends: JobTerminations, now: datetime
-) -> None:
-    """What follows once the transaction is carried out, and what its later partitions may count
-    on."""
-    for task_index, end in ends.ended:
-        transaction.ended_attempts.add((ends.name, task_index))
-        transaction.charge(ends.job_slice.team, ends.job_slice.resources, -1)
-        transaction.after.append(partial(note_end, leader, ends.name, task_index, end, now))
+    def within(self, held: Ranges, shard: int) -> Ranges:
+        """The held tasks whose attempts are written into this shard."""
+        if shard < 0:
+            return held
+        low, high = shard * self._records.shard_width, (shard + 1) * self._records.shard_width
+        return tuple((max(a, low), min(b, high)) for a, b in held if a < high and b > low)
+
+    def note_end(self, job: str, task_index: int, end: Termination, now: datetime) -> None:
+        self._context.observer.attempt_ended(self._partition, job, task_index, end)
+        log.debug(
+            "attempt-end-recorded",
+            partition=self._partition,
+            task=f"{job}/{task_index}",
+            machine=end.machine,
+            cause=end.cause,
+        )
+        if (
+            end.cause in gangs.REPLACED
+            and (known := self._records.live_job(job)) is not None
+            and known.spec.gang
+        ):
+            self._gang_attempts.note_lost(job, end.attempt, end.machine)
+        if end.cause == "done":
+            machine = self._machines.get(end.machine)
+            if machine is not None:
+                machine.failures.clear()
+                seen, known = machine.tasks.get((job, task_index)), self._context.view.jobs.get(job)
+                if known is not None and seen is not None and seen.running_since is not None:
+                    self._context.run_times.learn(known, seen.since - seen.running_since)
+            self._backoff.clear(job)
+        elif end.cause in ("error", "unknown", "no_room", "busy"):
+            pause = AVOID if end.cause == "error" else AVOID / 5
+            self._exclusions.exclude(job, end.machine, now + pause)
+            if end.cause == "error":
+                machine = self._machines.get(end.machine)
+                if machine is not None:
+                    machine.failures[job] = now
+                times = self._backoff.note_failure(job, now)
+                log.info(
+                    "task-failed",
+                    partition=self._partition,
+                    task=f"{job}/{task_index}",
+                    machine=end.machine,
+                    failures=times,
+                )
 
 
 def end_gang(
@@ -270,87 +350,3 @@
         if not piece.attempts and transaction.room_for(piece.key):
             transaction.drop_slice(piece)
     return written
-
-
-def split(
-    leader: PartitionLeader, transaction: TransactionBuilder, job_slice: JobSlice, piece: SliceShard
-) -> list[SliceShard]:
-    """A slice that is larger than values may be now, in pieces that one transaction takes: its
-    attempts go where they would be written today, so a task is in one record before and after.
-    The one that gives comes first: a version that keeps a task where it read it first would
-    otherwise lose it. Empty where that can't be done yet."""
-    homes: dict[int, dict[int, Attempt]] = {}
-    for task_index, attempt in piece.attempts.items():
-        homes.setdefault(task_index // leader.records.shard_width, {})[task_index] = attempt
-    kept, pieces = dict(piece.attempts), []
-    for at, rows in sorted(homes.items(), key=lambda row: -len(row[1])):
-        if transaction.fits(replace(piece, attempts=kept)):
-            break
-        if at == piece.shard:
-            continue
-        other = transaction.slice(job_slice.job, job_slice.team, job_slice.resources, at)
-        other = replace(other, attempts={**other.attempts, **rows})
-        if transaction.fits(other):
-            pieces.append(other)
-            kept = {
-                task_index: attempt
-                for task_index, attempt in kept.items()
-                if task_index not in rows
-            }
-    giving = replace(piece, attempts=kept)
-    pieces.insert(0, giving)
-    return (
-        pieces
-        if transaction.fits(giving) and transaction.room_for(*(row.key for row in pieces))
-        else []
-    )
-
-
-def within(leader: PartitionLeader, held: Ranges, shard: int) -> Ranges:
-    """The held tasks whose attempts are written into this shard."""
-    if shard < 0:
-        return held
-    low, high = shard * leader.records.shard_width, (shard + 1) * leader.records.shard_width
-    return tuple((max(a, low), min(b, high)) for a, b in held if a < high and b > low)
-
-
-def note_end(
-    leader: PartitionLeader, job: str, task_index: int, end: Termination, now: datetime
-) -> None:
-    leader.context.observer.attempt_ended(leader.partition, job, task_index, end)
-    log.debug(
-        "attempt-end-recorded",
-        partition=leader.partition,
-        task=f"{job}/{task_index}",
-        machine=end.machine,
-        cause=end.cause,
-    )
-    if (
-        end.cause in gangs.REPLACED
-        and (known := leader.records.live_job(job)) is not None
-        and known.spec.gang
-    ):
-        leader.gang_attempts.note_lost(job, end.attempt, end.machine)
-    if end.cause == "done":
-        machine = leader.machines.get(end.machine)
-        if machine is not None:
-            machine.failures.clear()
-            seen, known = machine.tasks.get((job, task_index)), leader.context.view.jobs.get(job)
-            if known is not None and seen is not None and seen.running_since is not None:
-                leader.context.run_times.learn(known, seen.since - seen.running_since)
-        leader.backoff.clear(job)
-    elif end.cause in ("error", "unknown", "no_room", "busy"):
-        pause = AVOID if end.cause == "error" else AVOID / 5
-        leader.exclusions.exclude(job, end.machine, now + pause)
-        if end.cause == "error":
-            machine = leader.machines.get(end.machine)
-            if machine is not None:
-                machine.failures[job] = now
-            times = leader.backoff.note_failure(job, now)
-            log.info(
-                "task-failed",
-                partition=leader.partition,
-                task=f"{job}/{task_index}",
-                machine=end.machine,
-                failures=times,
-            )
--- a/roadbend/placement/failure_backoff.py
+++ b/roadbend/placement/failure_backoff.py
@@ -27,10 +27,9 @@
     def __init__(self) -> None:
         self._rests: dict[str, _Rest] = {}
 
-    def is_resting(self, job: str, now: datetime) -> bool:
-        """Whether a job is not to be started now."""
-        rest = self._rests.get(job)
-        return rest is not None and rest.until > now
+    def resting(self, now: datetime) -> set[str]:
+        """Return the jobs that are not to be started now."""
+        return {job for job, rest in self._rests.items() if rest.until > now}
 
     def note_failure(self, job: str, now: datetime) -> int:
         """Take in a failed task; return how often the job has failed in a row.
--- a/roadbend/placement/gang_reservations.py
+++ b/roadbend/placement/gang_reservations.py
@@ -2,19 +2,15 @@
 a wide gang might never find enough of it at one moment. After a while room is kept for one gang at
 a time, for less long than any other job may be kept from room that fits it."""
 
-from __future__ import annotations
-
 from datetime import datetime, timedelta
-from typing import TYPE_CHECKING
 
 from roadbend.log import Log
 from roadbend.placement import free_capacity
 from roadbend.placement.free_capacity import FreeCapacity
+from roadbend.placement.partition_state import PartitionState
 from roadbend.placement.queue_order import PendingTasks
 from roadbend.placement.reservations import ReservationReason
-
-if TYPE_CHECKING:
-    from roadbend.placement.leader import PartitionLeader
+from roadbend.placement.usable_machines import UsableMachines
 
 log = Log("placement")
 # How long a gang waits before room is kept for it, how long that is, and for how long then not.
@@ -25,76 +21,83 @@
 SPARE = 1.5
 
 
-def keep_for_gangs(leader: PartitionLeader, now: datetime) -> None:
-    """Reserves machines for the first of the gangs that have waited for long, if it could begin
-    on them once what runs there has ended."""
-    gangs = [item for item in leader.queue.not_placed if item.job.spec.gang]
-    if not gangs or leader.reservations.gangs_paused(now):
-        return
-    for item in gangs:
-        if leader.aging.waited(item.job.id, now) < PATIENCE:
-            continue
-        machines = machines_for(leader, item)
-        if not machines:
-            continue
-        log.info(
-            "gang-capacity-reserved",
-            partition=leader.partition,
-            job=item.job.id,
-            machines=len(machines),
-        )
-        until = now + KEEP
-        leader.reservations.reserve(machines, item.job.id, until, ReservationReason.GANG)
-        leader.reservations.pause_gangs(until + PAUSE)
-        return
+class GangReservations:
+    """Keeps machines of one partition for gangs."""
 
+    def __init__(self, state: PartitionState, usable_machines: UsableMachines) -> None:
+        self._records = state.records
+        self._aging = state.aging
+        self._reservations = state.reservations
+        self._partition = state.records.partition
+        self._usable_machines = usable_machines
 
-def kept_from(leader: PartitionLeader, item: PendingTasks) -> set[str]:
-    """The machines that an item keeps off for the sake of a gang. Work of higher priority does
-    not wait for one."""
-    out = set()
-    for machine, row in leader.reservations.for_gangs.items():
-        gang = leader.records.live_job(row.job)
-        if row.job != item.job.id and gang is not None:
-            if gang.spec.priority >= item.job.spec.priority:
-                out.add(machine)
-    return out
+    def keep_for_gangs(self, not_placed: list[PendingTasks], now: datetime) -> None:
+        """Reserves machines for the first of the gangs that have waited for long, if it could begin
+        on them once what runs there has ended."""
+        gangs = [item for item in not_placed if item.job.spec.gang]
+        if not gangs or self._reservations.gangs_paused(now):
+            return
+        for item in gangs:
+            if self._aging.waited(item.job.id, now) < PATIENCE:
+                continue
+            machines = self.machines_for(item)
+            if not machines:
+                continue
+            log.info(
+                "gang-capacity-reserved",
+                partition=self._partition,
+                job=item.job.id,
+                machines=len(machines),
+            )
+            until = now + KEEP
+            self._reservations.reserve(machines, item.job.id, until, ReservationReason.GANG)
+            self._reservations.pause_gangs(until + PAUSE)
+            return
 
+    def kept_from(self, item: PendingTasks) -> set[str]:
+        """The machines that an item keeps off for the sake of a gang. Work of higher priority does
+        not wait for one."""
+        out = set()
+        for machine, row in self._reservations.for_gangs.items():
+            gang = self._records.live_job(row.job)
+            if row.job != item.job.id and gang is not None:
+                if gang.spec.priority >= item.job.spec.priority:
+                    out.add(machine)
+        return out
 
-def machines_for(leader: PartitionLeader, item: PendingTasks) -> list[str]:
-    """The machines with the most room for the gang, counting what will end by itself as free; none
-    where all of them together are too few."""
-    chosen, places = [], 0
-    rows = [
-        (places_on(leader, item, capacity), capacity.id)
-        for capacity in leader.usable_machines.capacities()
-    ]
-    for count, machine in sorted(rows, key=lambda row: (-row[0], row[1])):
-        if count == 0 or places >= item.count * SPARE:
-            break
-        if machine in leader.reservations:
-            continue
-        chosen.append(machine)
-        places += count
-    return chosen if places >= item.count else []
+    def machines_for(self, item: PendingTasks) -> list[str]:
+        """The machines with the most room for the gang, counting what will end by itself as free;
+        none where all of them together are too few."""
+        chosen, places = [], 0
+        rows = [
+            (self.places_on(item, capacity), capacity.id)
+            for capacity in self._usable_machines.capacities()
+        ]
+        for count, machine in sorted(rows, key=lambda row: (-row[0], row[1])):
+            if count == 0 or places >= item.count * SPARE:
+                break
+            if machine in self._reservations:
+                continue
+            chosen.append(machine)
+            places += count
+        return chosen if places >= item.count else []
 
-
-def places_on(leader: PartitionLeader, item: PendingTasks, capacity: FreeCapacity) -> int:
-    """How many tasks of a gang fit on a machine once all that ends by itself has ended."""
-    job = item.job
-    if not free_capacity.allowed(job, capacity.machine_type, capacity.zone, capacity.spot):
-        return 0
-    trial = FreeCapacity(
-        capacity.id,
-        capacity.machine_type,
-        capacity.zone,
-        capacity.spot,
-        capacity.cpus,
-        capacity.gpus,
-        capacity.memory,
-    )
-    for key, (job_slice, _) in leader.records.attempts_by_machine().get(capacity.id, {}).items():
-        other = leader.records.live_job(key[0])
-        if other is None or not other.spec.service:
-            trial.give(job_slice.resources)
-    return trial.count(job.spec.resources)
+    def places_on(self, item: PendingTasks, capacity: FreeCapacity) -> int:
+        """How many tasks of a gang fit on a machine once all that ends by itself has ended."""
+        job = item.job
+        if not free_capacity.allowed(job, capacity.machine_type, capacity.zone, capacity.spot):
+            return 0
+        trial = FreeCapacity(
+            capacity.id,
+            capacity.machine_type,
+            capacity.zone,
+            capacity.spot,
+            capacity.cpus,
+            capacity.gpus,
+            capacity.memory,
+        )
+        for key, (job_slice, _) in self._records.attempts_by_machine().get(capacity.id, {}).items():
+            other = self._records.live_job(key[0])
+            if other is None or not other.spec.service:
+                trial.give(job_slice.resources)
+        return trial.count(job.spec.resources)
--- a/roadbend/placement/heartbeats.py
+++ b/roadbend/placement/heartbeats.py
@@ -1,10 +1,9 @@
 """What reports of a partition's machines bring, and what they are answered."""
 
-from __future__ import annotations
-
 from datetime import datetime, timedelta
 from functools import partial
-from typing import TYPE_CHECKING, Any
+from threading import RLock
+from typing import Any
 
 import trio
 
@@ -13,13 +12,13 @@
 from roadbend.fleet.machines import Machine
 from roadbend.fleet.messages import HeartbeatPosition, WorkerHeartbeat, WorkerOrder
 from roadbend.log import Log
-from roadbend.placement import gangs
+from roadbend.placement.gangs import Gangs
+from roadbend.placement.partition_state import PartitionState
+from roadbend.placement.recovery_hooks import PartitionRecovery
+from roadbend.placement.step_signal import StepSignal
 from roadbend.store import records
 from roadbend.store.record_view import MachineAttempts
 
-if TYPE_CHECKING:
-    from roadbend.placement.leader import PartitionLeader
-
 log = Log("placement")
 # How long a report that brought news may wait for what it calls for; workers wait 4 s.
 ANSWER_WAIT = timedelta(milliseconds=400)
@@ -28,14 +27,19 @@
 class HeartbeatHandler:
     """Takes reports in for one partition, under its leader's lock."""
 
-    def __init__(self, leader: PartitionLeader):
-        self._leader = leader
+    def __init__(self, state: PartitionState, gangs: Gangs, steps: StepSignal, lock: RLock) -> None:
+        self._records, self._context = state.records, state.records.context
+        self._partition, self._leadership = state.records.partition, state.records.leadership
+        self._registry, self._machines = state.registry, state.registry.by_id
+        self._terminations, self._stops = state.terminations, state.stops
+        self._gangs, self._steps, self._lock = gangs, steps, lock
+        # Asked about tasks that no record names.
+        self.recovery = PartitionRecovery()
 
     def token(self, machine: Machine | None = None) -> int:
         """What goes out as the token: the term, and below it which of the machine's lives this is,
         so that what a former life said, however late it comes, is told from what this one says."""
-        leader = self._leader
-        return leader.leadership.term << records.INCARNATION_BITS | (
+        return self._leadership.term << records.INCARNATION_BITS | (
             machine.token.incarnation if machine is not None else 0
         )
 
@@ -43,9 +47,8 @@
         """A report that brings nothing new, which nearly all do: known to be answered with no
         orders by comparing it with the last one. Gives the token to answer with; None: it must be
         looked at."""
-        leader = self._leader
         name = messages.sender_machine(data)
-        machine = leader.machines.get(name) if name is not None else None
+        machine = self._machines.get(name) if name is not None else None
         if machine is None:
             return None
         contact, last_evaluation = machine.contact, machine.last_evaluation
@@ -59,14 +62,14 @@
             reported_tasks=last_evaluation.reported_tasks,
             address=machine.address,
         )
-        machine_versions = leader.context.view.machine_versions.get(leader.partition, {})
+        machine_versions = self._context.view.machine_versions.get(self._partition, {})
         if (
             position is None
             or machine_versions.get(machine.id, 0) != last_evaluation.unchanged_version
         ):
             return None
         contact.take_in(position, now)
-        contact.note_heartbeat(now, leader.context.settings.heartbeat_interval)
+        contact.note_heartbeat(now, self._context.settings.heartbeat_interval)
         return token
 
     async def handle(self, heartbeat: WorkerHeartbeat) -> tuple[int, list[WorkerOrder]] | None:
@@ -75,77 +78,81 @@
         What a report brings may call for orders: room came free, a machine came up. Its response
         waits the little while that recording takes, so that the next task starts now and not a
         report later."""
-        leader = self._leader
         now = clock.now()
-        if heartbeat.machine in leader.context.deleted_machines.ids:
+        if heartbeat.machine in self._context.deleted_machines.ids:
             # A report that was held back on its way: the machine is gone, and must not come to life
             # here.
             return None
-        with leader.lock:
-            machine = leader.machines.get(heartbeat.machine)
-            fresh = machine is None
-            if heartbeat.token >> records.INCARNATION_BITS > leader.leadership.term:
-                # It follows a newer owner; our answer would be dropped.
-                term = heartbeat.token >> records.INCARNATION_BITS
-                leader.recovery.note_term_in_use(heartbeat.machine, term)
+        with self._lock:
+            if self._follows_other_leader(heartbeat):
                 return None
+            machine = self._machines.get(heartbeat.machine)
+            is_new = machine is None
             if machine is None:
-                if heartbeat.token >> records.INCARNATION_BITS == leader.leadership.term:
-                    # Only machines that we answered in this term carry its token, and we know them
-                    # all until they are deleted: a late copy from a machine that is no more; or
-                    # the records have lost a term, and ours was another owner's before.
-                    leader.recovery.note_term_in_use(heartbeat.machine, leader.leadership.term)
-                    return None
-                machine = leader.registry.register(heartbeat)
-                leader.steps.request()
+                machine = self._registry.register(heartbeat)
+                self._steps.request()
             if not machine.admit(heartbeat, self.token(machine), now):
                 # A late copy, or a machine that began anew: only the machine itself can tell.
                 return None
-            had_notice, was_ours = machine.lifecycle.reclaim_at is not None, machine.token.confirmed
-            before = leader.terminations.changes
-            machine.contact.note_heartbeat(now, leader.context.settings.heartbeat_interval)
-            orders = self._orders(machine, heartbeat, now)
-            news = (
-                fresh
-                or leader.terminations.changes != before
-                or machine.token.confirmed != was_ours
-            )
-            if machine.token.confirmed and not was_ours:
-                machine.contact.acknowledged_at = now
-            if machine.lifecycle.reclaim_at is not None and not had_notice:
-                log.info(
-                    "machine-reclaim-announced",
-                    partition=leader.partition,
-                    machine=machine.id,
-                    notice_s=heartbeat.notice,
-                )
-                self._evacuate(
-                    machine, leader.records.attempts_by_machine().get(machine.id, {}), now
-                )
-                news = True
-            if not news:
+            orders, news = self._take_in(machine, heartbeat, now)
+            if not (is_new or news):
                 self._note_unchanged(machine, heartbeat, orders)
                 return self.token(machine), orders
-            leader.steps.request()
-            step = leader.steps.next
+            self._steps.request()
+            step = self._steps.next
         incarnation = machine.token.incarnation
         with trio.move_on_after(ANSWER_WAIT.total_seconds()):
-            await leader.steps.ended(step)
-        with leader.lock:
+            await self._steps.ended(step)
+        with self._lock:
             if not self._still_counts(machine, heartbeat, incarnation):
                 return None
             orders = self._orders(machine, heartbeat, clock.now())
             self._note_unchanged(machine, heartbeat, orders)
             return self.token(machine), orders
 
+    def _follows_other_leader(self, heartbeat: WorkerHeartbeat) -> bool:
+        """Whether a heartbeat carries a term that this leader has not given its machine."""
+        term = heartbeat.token >> records.INCARNATION_BITS
+        # With a higher term it follows a newer leader, and our answer would be dropped. With ours,
+        # it is from a machine that we answered in this term, and we know them all until they are
+        # deleted: a late copy from a machine that is no more; or the records have lost a term, and
+        # ours was another leader's before.
+        is_unknown = heartbeat.machine not in self._machines
+        if term > self._leadership.term or (is_unknown and term == self._leadership.term):
+            self.recovery.note_term_in_use(heartbeat.machine, term)
+            return True
+        return False
+
+    def _take_in(
+        self, machine: Machine, heartbeat: WorkerHeartbeat, now: datetime
+    ) -> tuple[list[WorkerOrder], bool]:
+        """Read an admitted heartbeat; return the orders, and whether it may call for others."""
+        had_notice = machine.lifecycle.reclaim_at is not None
+        was_confirmed = machine.token.confirmed
+        before = self._terminations.changes
+        machine.contact.note_heartbeat(now, self._context.settings.heartbeat_interval)
+        orders = self._orders(machine, heartbeat, now)
+        news = self._terminations.changes != before or machine.token.confirmed != was_confirmed
+        if machine.token.confirmed and not was_confirmed:
+            machine.contact.acknowledged_at = now
+        if machine.lifecycle.reclaim_at is not None and not had_notice:
+            log.info(
+                "machine-reclaim-announced",
+                partition=self._partition,
+                machine=machine.id,
+                notice_s=heartbeat.notice,
+            )
+            self._evacuate(machine, self._records.attempts_by_machine().get(machine.id, {}), now)
+            news = True
+        return orders, news
+
     def _still_counts(self, machine: Machine, heartbeat: WorkerHeartbeat, incarnation: int) -> bool:
         """Whether a report that waited may still be read and answered. Meanwhile the partition may
         have been lost, the machine deleted or begun anew, and a newer report of it answered with
         orders to start: what this one lacks would then prove nothing."""
-        leader = self._leader
         return (
-            leader.context.election.leadership(leader.partition) == leader.leadership
-            and leader.machines.get(machine.id) is machine
+            self._records.is_leading()
+            and self._machines.get(machine.id) is machine
             and machine.token.incarnation == incarnation
             and machine.contact.is_latest(heartbeat)
         )
@@ -153,9 +160,8 @@
     def _note_unchanged(
         self, machine: Machine, heartbeat: WorkerHeartbeat, orders: list[WorkerOrder]
     ) -> None:
-        leader = self._leader
         machine.last_evaluation.reported_tasks = heartbeat.reported_tasks
-        recorded = leader.records.attempts_by_machine().get(machine.id, {})
+        recorded = self._records.attempts_by_machine().get(machine.id, {})
         still = (
             not orders
             and machine.token.confirmed
@@ -164,9 +170,9 @@
             and machine.unrecorded_tasks == 0
             and machine.tasks.keys() == recorded.keys()
         )
-        if still and not any(key in leader.terminations for key in recorded):
-            machine.last_evaluation.unchanged_version = leader.context.view.machine_versions.get(
-                leader.partition, {}
+        if still and not any(key in self._terminations for key in recorded):
+            machine.last_evaluation.unchanged_version = self._context.view.machine_versions.get(
+                self._partition, {}
             ).get(machine.id, 0)
         else:
             machine.last_evaluation.invalidate()
@@ -174,27 +180,26 @@
     def _orders(
         self, machine: Machine, heartbeat: WorkerHeartbeat, now: datetime
     ) -> list[WorkerOrder]:
-        leader = self._leader
-        recorded = leader.records.attempts_by_machine().get(machine.id, {})
+        recorded = self._records.attempts_by_machine().get(machine.id, {})
         for key, (_, attempt) in recorded.items():
-            if leader.records.live_job(key[0]) is None:
-                leader.stops.order_cancelled(key, attempt, now)
-        may_start = leader.context.election.may_start(now) and not machine.lifecycle.fencing
+            if self._records.live_job(key[0]) is None:
+                self._stops.order_cancelled(key, attempt, now)
+        may_start = self._context.election.may_start(now) and not machine.lifecycle.fencing
         jobs = {
-            key[0]: job for key in recorded if (job := leader.records.live_job(key[0])) is not None
+            key[0]: job for key in recorded if (job := self._records.live_job(key[0])) is not None
         }
         expected = heartbeat_evaluation.MachineExpectation(
-            leader.partition,
+            self._partition,
             recorded,
             jobs,
-            leader.stops.by_task,
-            leader.terminations,
+            self._stops.by_task,
+            self._terminations,
             may_start,
-            leader.records.recorded_attempt,
-            partial(leader.recovery.keeps_unrecorded, machine, now=now),
+            self._records.recorded_attempt,
+            partial(self.recovery.keeps_unrecorded, machine, now=now),
         )
         orders = heartbeat_evaluation.read(machine, heartbeat, self.token(machine), expected, now)
-        leader.recovery.note_heartbeat(machine, heartbeat, now)
+        self.recovery.note_heartbeat(machine, heartbeat, now)
         self._learn(machine, recorded, now)
         return orders
 
@@ -202,24 +207,22 @@
         """The machine itself has shown that it began anew: what its former life said proves nothing
         any more, and what it held is gone only once a report of this life under its own token lacks
         it."""
-        leader = self._leader
-        with leader.lock:
+        with self._lock:
             log.info(
                 "machine-restarted",
-                partition=leader.partition,
+                partition=self._partition,
                 machine=machine.id,
                 incarnation=machine.token.incarnation + 1,
             )
             machine.restart(position)
-        leader.steps.request()
+        self._steps.request()
 
     def _evacuate(self, machine: Machine, recorded: MachineAttempts, now: datetime) -> None:
         """A spot notice: let tasks run as long as it pays, then save and go."""
-        leader = self._leader
         left = (machine.lifecycle.reclaim_at or now) - now
         for key, (_, attempt) in recorded.items():
-            job = leader.records.live_job(key[0])
-            if job is None or key in leader.stops:
+            job = self._records.live_job(key[0])
+            if job is None or key in self._stops:
                 continue
             if job.spec.checkpoint > clock.ZERO:
                 grace = min(
@@ -228,15 +231,14 @@
                 )
                 if job.spec.gang:
                     # All of it saves together, or nothing is saved.
-                    gangs.stop_whole(leader, job, "notice", now)
+                    self._gangs.stop_whole(job, "notice", now)
                 else:
-                    leader.stops.order(key, attempt, grace, "notice", now)
+                    self._stops.order(key, attempt, grace, "notice", now)
 
     def _learn(self, machine: Machine, recorded: MachineAttempts, now: datetime) -> None:
-        leader = self._leader
-        machine_type = leader.context.machine_types.get(machine.machine_type)
+        machine_type = self._context.machine_types.get(machine.machine_type)
         for key, seen in machine.tasks.items():
-            job = leader.context.view.jobs.get(key[0])
+            job = self._context.view.jobs.get(key[0])
             if job is None or machine_type is None:
                 continue
             if seen.state == "running":
--- a/roadbend/placement/leader.py
+++ b/roadbend/placement/leader.py
@@ -5,31 +5,37 @@
 decided."""
 
 import threading
-from collections.abc import Callable
+from collections.abc import Callable, Mapping
 from datetime import datetime, timedelta
 from functools import partial
 
 import trio
 
 from roadbend import clock
+from roadbend.fleet.machines import Machine
 from roadbend.fleet.terminations import TaskKey, Termination, TerminationEvidence, Terminations
 from roadbend.log import Log
 from roadbend.partitions.leadership import Leadership
-from roadbend.placement import ends, gangs, quotas, starts
 from roadbend.placement.aging import JobAging
-from roadbend.placement.attempt_numbers import AttemptNumbers
+from roadbend.placement.apart_gangs import ApartGangs
 from roadbend.placement.context import ControllerContext
-from roadbend.placement.direct_starts import DirectStarts
+from roadbend.placement.ends import TerminationRecorder
 from roadbend.placement.exclusions import PlacementExclusions
-from roadbend.placement.failure_backoff import FailureBackoff
 from roadbend.placement.gang_attempts import GangAttempts
+from roadbend.placement.gang_reservations import GangReservations
+from roadbend.placement.gangs import Gangs
 from roadbend.placement.heartbeats import HeartbeatHandler
 from roadbend.placement.machine_registry import MachineRegistry
 from roadbend.placement.partition_records import PartitionRecords
+from roadbend.placement.partition_state import PartitionState
 from roadbend.placement.pending_queue import PendingQueue
+from roadbend.placement.preemption import Preemption
 from roadbend.placement.queue_projection import QueueProjections
+from roadbend.placement.quotas import Quotas
 from roadbend.placement.recovery_hooks import PartitionRecovery
 from roadbend.placement.reservations import Reservations
+from roadbend.placement.start_recorder import StartRecorder
+from roadbend.placement.starts import StartScheduler
 from roadbend.placement.step_signal import StepSignal
 from roadbend.placement.stop_orders import StopOrders
 from roadbend.placement.transaction_sender import TransactionSender
@@ -56,35 +62,110 @@
         context: ControllerContext,
         leadership: Leadership,
         send_starts: SendLeaderStarts | None = None,
-    ):
+    ) -> None:
+        send = partial(send_starts, self) if send_starts else None
         self.lock = threading.RLock()
-        self.context, self.leadership, self.partition = context, leadership, leadership.partition
-        self.records = PartitionRecords(context, leadership)
-        self.registry = MachineRegistry(self.partition)
-        self.machines = self.registry.by_id
-        self.usable_machines = UsableMachines(self.records, self.registry)
-        self.terminations = Terminations()
-        self.stops = StopOrders(self.records, self.registry)
-        self.aging = JobAging()
-        self.backoff = FailureBackoff()
-        self.exclusions = PlacementExclusions()
-        self.reservations = Reservations()
-        self.gang_attempts = GangAttempts()
-        self.attempt_numbers = AttemptNumbers(leadership.term)
+        self.state = state = PartitionState.create(context, leadership, send)
+        self.usable_machines = UsableMachines(state.records, state.registry)
         self.steps = StepSignal()
+        self.transactions = TransactionSender(
+            state.records, state.terminations, state.direct_starts
+        )
+        self.apart_gangs = ApartGangs(state)
+        self.gangs = Gangs(state, self.apart_gangs)
+        self.quotas = Quotas(state)
+        self.queue = PendingQueue(state, self.gangs)
+        self.projections = QueueProjections(state, self.usable_machines, self.queue)
+        self.heartbeats = HeartbeatHandler(state, self.gangs, self.steps, self.lock)
+        self._recorder = TerminationRecorder(state)
+        self._scheduler = self._make_scheduler()
         self._step_took = clock.ZERO
-        self.direct_starts = DirectStarts(partial(send_starts, self) if send_starts else None)
-        self.transactions = TransactionSender(self.records, self.terminations, self.direct_starts)
-        self.queue = PendingQueue(self)
-        self.projections = QueueProjections(self)
-        self.heartbeats = HeartbeatHandler(self)
-        self.reserved_at: dict[str, datetime] = {}
         # Asked before the records are acted on; answers otherwise where recovery is switched on.
         self.recovery = PartitionRecovery()
 
+    def _make_scheduler(self) -> StartScheduler:
+        gang_reservations = GangReservations(self.state, self.usable_machines)
+        return StartScheduler(
+            self.state,
+            queue=self.queue,
+            usable_machines=self.usable_machines,
+            gangs=self.gangs,
+            quotas=self.quotas,
+            gang_reservations=gang_reservations,
+            preemption=Preemption(self.state, self.usable_machines, self.gangs),
+            recorder=StartRecorder(self.state, self.gangs, self.apart_gangs, self.quotas),
+        )
+
+    def use_recovery(self, recovery: PartitionRecovery) -> None:
+        """Ask this before the records are acted on."""
+        self.recovery = self.queue.recovery = self.heartbeats.recovery = recovery
+
+    # What others read, of the objects of the state.
+
+    @property
+    def context(self) -> ControllerContext:
+        """What all partitions of the controller share."""
+        return self.state.records.context
+
+    @property
+    def leadership(self) -> Leadership:
+        """The leadership under which the partition is led."""
+        return self.state.records.leadership
+
+    @property
+    def partition(self) -> str:
+        """The partition's name."""
+        return self.state.records.partition
+
+    @property
+    def records(self) -> PartitionRecords:
+        """The partition's records."""
+        return self.state.records
+
+    @property
+    def registry(self) -> MachineRegistry:
+        """The partition's machines, and those that are to become so."""
+        return self.state.registry
+
+    @property
+    def machines(self) -> Mapping[str, Machine]:
+        """The registered machines by id."""
+        return self.state.registry.by_id
+
+    @property
+    def terminations(self) -> Terminations:
+        """The terminated attempts that are not recorded yet."""
+        return self.state.terminations
+
+    @property
+    def stops(self) -> StopOrders:
+        """The tasks that are to be stopped."""
+        return self.state.stops
+
+    @property
+    def aging(self) -> JobAging:
+        """How long jobs have waited."""
+        return self.state.aging
+
+    @property
+    def exclusions(self) -> PlacementExclusions:
+        """What jobs are kept from."""
+        return self.state.exclusions
+
+    @property
+    def reservations(self) -> Reservations:
+        """The machines that are kept for jobs."""
+        return self.state.reservations
+
+    @property
+    def gang_attempts(self) -> GangAttempts:
+        """The attempts of gangs."""
+        return self.state.gang_attempts
+
     # The loop.
 
     async def run(self) -> None:
+        """Carry steps out, as they are called for, until the leadership ends."""
         while self.records.is_leading():
             with trio.move_on_after(0.5):
                 await self.steps.requested()
@@ -124,13 +205,13 @@
             return False
         with self.lock:
             self.stops.order_all_cancelled(now)
-            gangs.keep_whole(self, now)
+            self.gangs.keep_whole(now)
             self._tidy(now)
             transaction = self.transactions.new_transaction()
-            more = ends.record_ends(self, transaction, now)
+            more = self._recorder.record_ends(transaction, now)
             more = self.recovery.adopt(transaction, now) or more
-            more = starts.start(self, transaction, now) or more
-            quotas.reserve(self, transaction, now)
+            more = self._scheduler.start(transaction, now) or more
+            self.quotas.reserve(self.queue.pending(), transaction, now)
             self._step_took = clock.now() - now
         if not transaction.changes:
             return False
@@ -146,12 +227,12 @@
         self.stops.drop_unrecorded()
         self.gang_attempts.drop_over(
             lambda job: self.records.live_job(job) is not None,
-            lambda job, attempt: gangs.filled(self, job, attempt),
-            lambda job: gangs.number(self, job),
+            self.gangs.filled,
+            self.gangs.number,
         )
         self.exclusions.drop_expired(now)
         self.reservations.drop_stale({item.job.id for item in self.queue.not_placed}, now)
-        self.backoff.drop_expired(now)
+        self.state.backoff.drop_expired(now)
 
     def terminate_attempts(self, machine: str, evidence: TerminationEvidence) -> None:
         """Note as terminated all that is recorded on a machine.
--- a/roadbend/placement/machine_registry.py
+++ b/roadbend/placement/machine_registry.py
@@ -14,7 +14,7 @@
 class MachineRegistry:
     """The machines that one partition's leader knows."""
 
-    def __init__(self, partition: str):
+    def __init__(self, partition: str) -> None:
         self._partition = partition
         self._machines: dict[str, Machine] = {}
         # Created in this term, and not registered yet.
--- a/roadbend/placement/partition_records.py
+++ b/roadbend/placement/partition_records.py
@@ -11,7 +11,7 @@
 class PartitionRecords:
     """The records of one partition, read under one leadership. It keeps nothing itself."""
 
-    def __init__(self, context: ControllerContext, leadership: Leadership):
+    def __init__(self, context: ControllerContext, leadership: Leadership) -> None:
         self.context, self.leadership, self.partition = context, leadership, leadership.partition
         # How many tasks one shard's record holds.
         self.shard_width = records.shard_width(context.settings.value_bytes)
--- /dev/null
+++ b/roadbend/placement/partition_state.py
@@ -0,0 +1,54 @@
+"""What a partition's leader keeps for one term, beside the records."""
+
+from dataclasses import dataclass, field
+
+from roadbend.fleet.terminations import Terminations
+from roadbend.partitions.leadership import Leadership
+from roadbend.placement.aging import JobAging
+from roadbend.placement.attempt_numbers import AttemptNumbers
+from roadbend.placement.context import ControllerContext
+from roadbend.placement.direct_starts import DirectStarts, SendStarts
+from roadbend.placement.exclusions import PlacementExclusions
+from roadbend.placement.failure_backoff import FailureBackoff
+from roadbend.placement.gang_attempts import GangAttempts
+from roadbend.placement.machine_registry import MachineRegistry
+from roadbend.placement.partition_records import PartitionRecords
+from roadbend.placement.reservations import Reservations
+from roadbend.placement.stop_orders import StopOrders
+
+
+@dataclass(slots=True)
+class PartitionState:
+    """The state of one partition, an object for each concern that alone changes its own.
+
+    What schedules work takes from here the objects that it uses."""
+
+    records: PartitionRecords
+    registry: MachineRegistry
+    stops: StopOrders
+    attempt_numbers: AttemptNumbers
+    direct_starts: DirectStarts
+    terminations: Terminations = field(default_factory=Terminations)
+    aging: JobAging = field(default_factory=JobAging)
+    backoff: FailureBackoff = field(default_factory=FailureBackoff)
+    exclusions: PlacementExclusions = field(default_factory=PlacementExclusions)
+    reservations: Reservations = field(default_factory=Reservations)
+    gang_attempts: GangAttempts = field(default_factory=GangAttempts)
+
+    @classmethod
+    def create(
+        cls,
+        context: ControllerContext,
+        leadership: Leadership,
+        send_starts: SendStarts | None = None,
+    ) -> "PartitionState":
+        """Return the state with which a leadership begins."""
+        records = PartitionRecords(context, leadership)
+        registry = MachineRegistry(leadership.partition)
+        return cls(
+            records,
+            registry,
+            StopOrders(records, registry),
+            AttemptNumbers(leadership.term),
+            DirectStarts(send_starts),
+        )
--- a/roadbend/placement/pending_queue.py
+++ b/roadbend/placement/pending_queue.py
@@ -1,22 +1,19 @@
 """What waits in a partition, in the order in which it is to start."""
 
-from __future__ import annotations
-
 from dataclasses import replace
 from datetime import datetime, timedelta
-from typing import TYPE_CHECKING
 
 from roadbend import clock
-from roadbend.placement import gangs, queue_order
+from roadbend.placement import queue_order
+from roadbend.placement.gangs import Gangs
+from roadbend.placement.partition_state import PartitionState
 from roadbend.placement.queue_order import PendingTasks
+from roadbend.placement.recovery_hooks import PartitionRecovery
 from roadbend.store import ranges
 from roadbend.store.ranges import Ranges
 from roadbend.store.record_view import JobSlice
 from roadbend.store.records import Job
 
-if TYPE_CHECKING:
-    from roadbend.placement.leader import PartitionLeader
-
 # Tasks of one job that a queue shows at once; the rest of a wider one follows as these are placed.
 MAX_PENDING = 1024
 # For how long a queue that was worked out may serve again.
@@ -32,8 +29,12 @@
 class PendingQueue:
     """Worked out from the records, and remembered until they change."""
 
-    def __init__(self, leader: PartitionLeader):
-        self._leader = leader
+    def __init__(self, state: PartitionState, gangs: Gangs) -> None:
+        self._records, self._context = state.records, state.records.context
+        self._partition, self._backoff = state.records.partition, state.backoff
+        self._gangs = gangs
+        # Asked which unplaced tasks may be given a machine.
+        self.recovery = PartitionRecovery()
         # Tasks not placed, by job, and the marks of the records that this was worked out from.
         self._unplaced: dict[str, tuple[tuple[int, int], Ranges]] = {}
         self._queue: tuple[tuple[int, int], datetime, list[PendingTasks]] = (
@@ -48,48 +49,49 @@
     def pending(self) -> list[PendingTasks]:
         """The queue, in order; worked out anew only when the records have changed or a moment has
         passed. Callers do not change it."""
-        leader = self._leader
-        view, now = leader.context.view, clock.now()
-        mark = (view.version, len(leader.context.cancellations.jobs))
+        view, now = self._context.view, clock.now()
+        mark = (view.version, len(self._context.cancellations.jobs))
         if self._queue[0] == mark and now - self._queue[1] < REUSE:
             return self._queue[2]
-        sure, late = (
-            leader.context.fair_share.guaranteed_jobs(),
-            leader.context.starvation.starved_jobs(now),
-        )
-        out: list[PendingTasks] = []
-        for name in view.assigned_jobs.get(leader.partition, ()):
-            job = view.jobs[name]
-            if name in leader.context.cancellations.jobs or leader.backoff.is_resting(name, now):
-                continue
-            tasks = self.unplaced(job)
-            if job.spec.gang:
-                if tasks and (item := gangs.waiting(leader, job, tasks)) is not None:
-                    out.append(
-                        replace(
-                            item,
-                            guaranteed=name in sure,
-                            starved=name in late.get(job.spec.team, ()),
-                        )
-                    )
-                continue
-            tasks = ranges.first(tasks, MAX_PENDING)
-            if not tasks:
-                continue
-            if name in late.get(job.spec.team, ()):
-                first = ranges.first(tasks, 1)
-                out.append(PendingTasks(job, first, name in sure, True))
-                tasks = ranges.minus(tasks, first)
-            if tasks:
-                out.append(PendingTasks(job, tasks, name in sure))
-        wall, deadlines = clock.wall(), leader.context.objectives.deadline_factors
-        out.sort(
+        items = self._items(now)
+        wall, deadlines = clock.wall(), self._context.objectives.deadline_factors
+        items.sort(
             key=lambda item: queue_order.rank(
                 item, queue_order.lateness(item.job, wall, deadlines(item.job.spec))
             )
         )
-        self._queue, self._took = (mark, now, out), clock.now() - now
-        return out
+        self._queue, self._took = (mark, now, items), clock.now() - now
+        return items
+
+    def _items(self, now: datetime) -> list[PendingTasks]:
+        """Return what waits, in no order."""
+        guaranteed = self._context.fair_share.guaranteed_jobs()
+        starved = self._context.starvation.starved_jobs(now)
+        view, cancelled = self._context.view, self._context.cancellations.jobs
+        items: list[PendingTasks] = []
+        resting = self._backoff.resting(now)
+        for name in view.assigned_jobs.get(self._partition, ()):
+            if name in cancelled or name in resting:
+                continue
+            job = view.jobs[name]
+            items += self._items_of(job, name in guaranteed, name in starved.get(job.spec.team, ()))
+        return items
+
+    def _items_of(self, job: Job, guaranteed: bool, starved: bool) -> list[PendingTasks]:
+        """Return what of a job waits; the first task of a starved one stands apart."""
+        tasks = self.unplaced(job)
+        if job.spec.gang:
+            item = self._gangs.waiting(job, tasks) if tasks else None
+            return [] if item is None else [replace(item, guaranteed=guaranteed, starved=starved)]
+        items = []
+        tasks = ranges.first(tasks, MAX_PENDING)
+        if tasks and starved:
+            first = ranges.first(tasks, 1)
+            items.append(PendingTasks(job, first, guaranteed, True))
+            tasks = ranges.minus(tasks, first)
+        if tasks:
+            items.append(PendingTasks(job, tasks, guaranteed))
+        return items
 
     def note_not_placed(self, items: list[PendingTasks]) -> None:
         """Replace what the last step found no place for."""
@@ -105,13 +107,12 @@
 
     def unplaced(self, job: Job) -> Ranges:
         """Tasks of a job that this partition holds, has not placed, and may place."""
-        return self._leader.recovery.placeable(job, self._not_placed(job))
+        return self.recovery.placeable(job, self._not_placed(job))
 
     def _not_placed(self, job: Job) -> Ranges:
-        leader = self._leader
-        job_slice = leader.records.job_slices().get(job.id)
+        job_slice = self._records.job_slices().get(job.id)
         if job_slice is None:
-            return job.allocation.get(leader.partition, ())
+            return job.allocation.get(self._partition, ())
         known, mark = self._unplaced.get(job.id), (job.mod_revision, job_slice.changed)
         if known is None or known[0] != mark:
             if len(self._unplaced) >= MAX_KNOWN:
@@ -120,8 +121,7 @@
         return known[1]
 
     def _find_unplaced(self, job: Job, job_slice: JobSlice) -> Ranges:
-        leader = self._leader
-        held = job.allocation.get(leader.partition, ())
+        held = job.allocation.get(self._partition, ())
         if len(job_slice.attempts) + ranges.size(job_slice.done) >= ranges.size(held):
             if job_slice.attempts.keys() >= set(ranges.numbers(ranges.minus(held, job_slice.done))):
                 return ()
--- a/roadbend/placement/preemption.py
+++ b/roadbend/placement/preemption.py
@@ -1,27 +1,25 @@
 """Room that is made by stopping lesser work."""
 
-from __future__ import annotations
-
 from collections.abc import Iterable, Iterator
 from dataclasses import replace
 from datetime import datetime, timedelta
 from itertools import islice
-from typing import TYPE_CHECKING
 
 from roadbend import clock
 from roadbend.fleet.terminations import TaskKey
 from roadbend.log import Log
-from roadbend.placement import free_capacity, gangs, preemption_policy
+from roadbend.placement import free_capacity, preemption_policy
+from roadbend.placement.exclusions import PlacementExclusions
 from roadbend.placement.free_capacity import RESOURCE_TOLERANCE, FreeCapacity
+from roadbend.placement.gangs import Gangs
+from roadbend.placement.partition_state import PartitionState
 from roadbend.placement.preemption_policy import Clearing, RunningTask, Victim
 from roadbend.placement.queue_order import PendingTasks
 from roadbend.placement.reservations import ReservationReason
 from roadbend.placement.transaction import TransactionBuilder
+from roadbend.placement.usable_machines import UsableMachines
 from roadbend.store.records import Attempt, Job
 
-if TYPE_CHECKING:
-    from roadbend.placement.leader import PartitionLeader
-
 log = Log("placement")
 # How long room that is being made is kept for the task that it is made for.
 RESERVATION_LIFETIME = timedelta(seconds=15)
@@ -29,44 +27,211 @@
 MAX_PREEMPTED = 24
 
 
-def preempt(
-    leader: PartitionLeader,
-    transaction: TransactionBuilder,
-    capacities: list[FreeCapacity],
-    all_of_them: bool,
-    now: datetime,
-) -> None:
-    waiting = [
-        item for item in leader.queue.not_placed if item.job.spec.priority > 0 or item.guaranteed
-    ]
-    if not waiting:
-        return
-    if not all_of_them:
-        known = {capacity.id: capacity for capacity in capacities}
-        capacities = [
-            known.get(capacity.id, capacity)
-            for capacity in leader.usable_machines.capacities(transaction.ended_attempts)
-        ]
-    running = stoppable(leader, waiting, now)
-    schedule = _Clearings(
-        leader, [capacity for capacity in capacities if capacity.id in running], running
-    )
-    most = MAX_PREEMPTED
-    for item in waiting:
-        made = leader.reservations.preemptions_for(item.job.id)
-        if item.job.spec.gang:
-            if not made:
-                names = preempt_whole(leader, item, capacities, schedule, now)
-                schedule.taken |= names
-                most -= len(names)
-            continue
-        for capacity, chosen in islice(schedule.of(item), max(0, min(most, item.count - made))):
-            stop_for(leader, item, capacity, chosen, now)
-            reserve(leader, [capacity.id], item.job, now)
-            schedule.taken.add(capacity.id)
-            most -= 1
-        if most <= 0:
+class Preemption:
+    """Stops lesser work of one partition for what waits."""
+
+    def __init__(
+        self, state: PartitionState, usable_machines: UsableMachines, gangs: Gangs
+    ) -> None:
+        self._records = state.records
+        self._stops = state.stops
+        self._reservations = state.reservations
+        self._exclusions = state.exclusions
+        self._machines = state.registry.by_id
+        self._context = state.records.context
+        self._partition = state.records.partition
+        self._usable_machines = usable_machines
+        self._gangs = gangs
+
+    def preempt(
+        self,
+        not_placed: list[PendingTasks],
+        transaction: TransactionBuilder,
+        capacities: list[FreeCapacity],
+        all_of_them: bool,
+        now: datetime,
+    ) -> None:
+        waiting = [item for item in not_placed if item.job.spec.priority > 0 or item.guaranteed]
+        if not waiting:
             return
+        if not all_of_them:
+            known = {capacity.id: capacity for capacity in capacities}
+            capacities = [
+                known.get(capacity.id, capacity)
+                for capacity in self._usable_machines.capacities(transaction.ended_attempts)
+            ]
+        running = self.stoppable(waiting, now)
+        schedule = _Clearings(
+            self._exclusions,
+            [capacity for capacity in capacities if capacity.id in running],
+            running,
+        )
+        most = MAX_PREEMPTED
+        for item in waiting:
+            made = self._reservations.preemptions_for(item.job.id)
+            if item.job.spec.gang:
+                if not made:
+                    names = self.preempt_whole(item, capacities, schedule, now)
+                    schedule.taken |= names
+                    most -= len(names)
+                continue
+            for capacity, chosen in islice(schedule.of(item), max(0, min(most, item.count - made))):
+                self.stop_for(item, capacity, chosen, now)
+                self.reserve([capacity.id], item.job, now)
+                schedule.taken.add(capacity.id)
+                most -= 1
+            if most <= 0:
+                return
+
+    def stoppable(self, waiting: list[PendingTasks], now: datetime) -> dict[str, list[Victim]]:
+        """What runs and may be stopped for something that waits, by machine."""
+        over, sure = self.teams_beyond(), self._context.fair_share.guaranteed_jobs()
+        running: dict[str, list[Victim]] = {}
+        losses: dict[str, float] = {}
+        top = max(item.job.spec.priority for item in waiting)
+        for machine, rows in self._records.attempts_by_machine().items():
+            if machine in self._reservations.for_preemption:
+                continue
+            for key, (job_slice, attempt) in rows.items():
+                job = self._records.live_job(key[0])
+                if job is None or key in self._stops:
+                    continue
+                beyond = over.get(job_slice.team, False) and job.id not in sure
+                if job.spec.priority >= top and not beyond:
+                    continue
+                if job.spec.gang:
+                    # Stopped as a whole or not at all, and judged by what all of it would lose.
+                    loss = losses.get(job.id)
+                    if loss is None:
+                        rows_of = self._records.job_slices()[job.id].attempts.items()
+                        loss = sum(
+                            self.work_lost((job.id, task_index), other, job, now)
+                            for task_index, other in rows_of
+                        )
+                        losses[job.id] = loss
+                else:
+                    loss = self.work_lost(key, attempt, job, now)
+                row = Victim(
+                    job_slice.resources,
+                    job.spec.priority,
+                    beyond,
+                    job_slice.team,
+                    loss,
+                    RunningTask(key, attempt, job),
+                )
+                running.setdefault(machine, []).append(row)
+        return running
+
+    def stop_for(
+        self,
+        item: PendingTasks,
+        capacity: FreeCapacity,
+        chosen: list[Victim],
+        now: datetime,
+    ) -> None:
+        for victim in chosen:
+            key, attempt, job = victim.task
+            log.info(
+                "task-preempted",
+                partition=self._partition,
+                task=f"{key[0]}/{key[1]}",
+                machine=capacity.id,
+                by_job=item.job.id,
+            )
+            if job.spec.gang:
+                self._gangs.stop_whole(job, "preempted", now)
+                continue
+            saves = job.spec.checkpoint > clock.ZERO
+            grace = job.spec.save + timedelta(seconds=1) if saves else clock.ZERO
+            self._stops.order(key, attempt, grace, "preempted", now)
+
+    def preempt_whole(
+        self,
+        item: PendingTasks,
+        capacities: list[FreeCapacity],
+        schedule: "_Clearings",
+        now: datetime,
+    ) -> set[str]:
+        """Room for all of a gang, or nothing is stopped for it. What it needs is kept for it
+        together, free room too."""
+        resources = item.job.spec.resources
+        capacities = [capacity for capacity in capacities if capacity.id not in schedule.taken]
+        free = {
+            r.id: r.count(resources)
+            for r in capacities
+            if r.id not in self._reservations.for_preemption
+        }
+        allowed = {
+            r.id
+            for r in capacities
+            if free_capacity.allowed(item.job, r.machine_type, r.zone, r.spot)
+        }
+        plan = self._plan_whole(
+            item,
+            sum(count for name, count in free.items() if name in allowed),
+            free,
+            schedule,
+        )
+        if plan is None:
+            return set()
+        for capacity, chosen in plan:
+            self.stop_for(item, capacity, chosen, now)
+        names = {capacity.id for capacity, _ in plan}
+        spare = item.count - len(plan)
+        for name in sorted(allowed - names, key=lambda name: -free.get(name, 0)):
+            if spare <= 0 or not free.get(name, 0):
+                break
+            spare -= free[name]
+            names.add(name)
+        self.reserve(names, item.job, now)
+        return names
+
+    def _plan_whole(
+        self,
+        item: PendingTasks,
+        places: int,
+        free: dict[str, int],
+        schedule: "_Clearings",
+    ) -> list[Clearing] | None:
+        """Return what to stop so that a gang finds enough places; None if that is too few.
+
+        `places`: how many it finds without. `free`: how many each machine has."""
+        resources = item.job.spec.resources
+        plan: list[Clearing] = []
+        for capacity, chosen in islice(schedule.of(item), MAX_PREEMPTED):
+            if places >= item.count:
+                break
+            trial = replace(capacity)
+            for victim in chosen:
+                trial.give(victim.resources)
+            places += max(1, trial.count(resources)) - free.get(capacity.id, 0)
+            plan.append(Clearing(capacity, chosen))
+        return plan if places >= item.count else None
+
+    def reserve(self, machines: Iterable[str], job: Job, now: datetime) -> None:
+        """Keep machines for the job for which lesser work on them is being stopped."""
+        self._reservations.reserve(
+            machines, job.id, now + RESERVATION_LIFETIME, ReservationReason.PREEMPTION
+        )
+
+    def teams_beyond(self) -> dict[str, bool]:
+        out = {}
+        for team in self._context.settings.teams.values():
+            cpus, gpus = self._context.view.used_by(team.name)
+            out[team.name] = (team.gpus > 0 and gpus > team.gpus + RESOURCE_TOLERANCE) or (
+                team.cpus > 0 and cpus > team.cpus + RESOURCE_TOLERANCE
+            )
+        return out
+
+    def work_lost(self, key: TaskKey, attempt: Attempt, job: Job, now: datetime) -> float:
+        """Seconds of work that stopping a task now would waste."""
+        machine = self._machines.get(attempt.machine)
+        seen = machine.tasks.get(key) if machine else None
+        if seen is None or seen.running_since is None:
+            return 0.0
+        if job.spec.checkpoint > clock.ZERO:
+            return job.spec.save.total_seconds() + 1.0
+        return (now - seen.running_since).total_seconds()
 
 
 class _Clearings:
@@ -74,11 +239,11 @@
 
     def __init__(
         self,
-        leader: PartitionLeader,
+        exclusions: PlacementExclusions,
         capacities: list[FreeCapacity],
         running: dict[str, list[Victim]],
     ):
-        self._leader, self._rooms, self._running = leader, capacities, running
+        self._exclusions, self._capacities, self._running = exclusions, capacities, running
         self._known: dict[tuple, list[Clearing]] = {}
         # The lowest priority on each machine, and the teams that are beyond their guarantees there.
         self._lowest = {name: min(row.priority for row in rows) for name, rows in running.items()}
@@ -91,9 +256,9 @@
 
     def of(self, item: PendingTasks) -> Iterator[Clearing]:
         """The machines on which room for the item can still be made, the best first."""
-        spec, leader = item.job.spec, self._leader
-        kept_from = leader.exclusions.withheld_types(item.job.id)
-        without_image = leader.exclusions.without_image(item.job.id)
+        spec = item.job.spec
+        kept_from = self._exclusions.withheld_types(item.job.id)
+        without_image = self._exclusions.without_image(item.job.id)
         kind = (
             (spec.resources, spec.machine_types, spec.zone, spec.spot, spec.image),
             (spec.priority, spec.team, item.guaranteed, kept_from, without_image),
@@ -102,7 +267,7 @@
         if found is None:
             open_to = [
                 capacity
-                for capacity in self._rooms
+                for capacity in self._capacities
                 if self._may_clear(item, capacity.id)
                 and capacity.machine_type not in kept_from
                 and capacity.id not in without_image
@@ -117,143 +282,3 @@
         if self._lowest[machine] < spec.priority:
             return True
         return item.guaranteed and any(team != spec.team for team in self._beyond[machine])
-
-
-def stoppable(
-    leader: PartitionLeader, waiting: list[PendingTasks], now: datetime
-) -> dict[str, list[Victim]]:
-    """What runs and may be stopped for something that waits, by machine."""
-    over, sure = teams_beyond(leader), leader.context.fair_share.guaranteed_jobs()
-    running: dict[str, list[Victim]] = {}
-    losses: dict[str, float] = {}
-    top = max(item.job.spec.priority for item in waiting)
-    for machine, rows in leader.records.attempts_by_machine().items():
-        if machine in leader.reservations.for_preemption:
-            continue
-        for key, (job_slice, attempt) in rows.items():
-            job = leader.records.live_job(key[0])
-            if job is None or key in leader.stops:
-                continue
-            beyond = over.get(job_slice.team, False) and job.id not in sure
-            if job.spec.priority >= top and not beyond:
-                continue
-            if job.spec.gang:
-                # Stopped as a whole or not at all, and judged by what all of it would lose.
-                loss = losses.get(job.id)
-                if loss is None:
-                    rows_of = leader.records.job_slices()[job.id].attempts.items()
-                    loss = sum(
-                        work_lost(leader, (job.id, task_index), other, job, now)
-                        for task_index, other in rows_of
-                    )
-                    losses[job.id] = loss
-            else:
-                loss = work_lost(leader, key, attempt, job, now)
-            row = Victim(
-                job_slice.resources,
-                job.spec.priority,
-                beyond,
-                job_slice.team,
-                loss,
-                RunningTask(key, attempt, job),
-            )
-            running.setdefault(machine, []).append(row)
-    return running
-
-
-def stop_for(
-    leader: PartitionLeader,
-    item: PendingTasks,
-    capacity: FreeCapacity,
-    chosen: list[Victim],
-    now: datetime,
-) -> None:
-    for victim in chosen:
-        key, attempt, job = victim.task
-        log.info(
-            "task-preempted",
-            partition=leader.partition,
-            task=f"{key[0]}/{key[1]}",
-            machine=capacity.id,
-            by_job=item.job.id,
-        )
-        if job.spec.gang:
-            gangs.stop_whole(leader, job, "preempted", now)
-            continue
-        saves = job.spec.checkpoint > clock.ZERO
-        grace = job.spec.save + timedelta(seconds=1) if saves else clock.ZERO
-        leader.stops.order(key, attempt, grace, "preempted", now)
-
-
-def preempt_whole(
-    leader: PartitionLeader,
-    item: PendingTasks,
-    capacities: list[FreeCapacity],
-    schedule: _Clearings,
-    now: datetime,
-) -> set[str]:
-    """Room for all of a gang, or nothing is stopped for it. What it needs is kept for it together,
-    free room too."""
-    resources = item.job.spec.resources
-    capacities = [capacity for capacity in capacities if capacity.id not in schedule.taken]
-    free = {
-        r.id: r.count(resources)
-        for r in capacities
-        if r.id not in leader.reservations.for_preemption
-    }
-    allowed = {
-        r.id for r in capacities if free_capacity.allowed(item.job, r.machine_type, r.zone, r.spot)
-    }
-    have = sum(count for name, count in free.items() if name in allowed)
-    plan: list[Clearing] = []
-    for capacity, chosen in islice(schedule.of(item), MAX_PREEMPTED):
-        if have >= item.count:
-            break
-        trial = replace(capacity)
-        for victim in chosen:
-            trial.give(victim.resources)
-        have += max(1, trial.count(resources)) - free.get(capacity.id, 0)
-        plan.append(Clearing(capacity, chosen))
-    if have < item.count:
-        return set()
-    for capacity, chosen in plan:
-        stop_for(leader, item, capacity, chosen, now)
-    names = {capacity.id for capacity, _ in plan}
-    spare = item.count - sum(1 for _ in plan)
-    for name in sorted(allowed - names, key=lambda name: -free.get(name, 0)):
-        if spare <= 0 or not free.get(name, 0):
-            break
-        spare -= free[name]
-        names.add(name)
-    reserve(leader, names, item.job, now)
-    return names
-
-
-def reserve(leader: PartitionLeader, machines: Iterable[str], job: Job, now: datetime) -> None:
-    """Keep machines for the job for which lesser work on them is being stopped."""
-    leader.reservations.reserve(
-        machines, job.id, now + RESERVATION_LIFETIME, ReservationReason.PREEMPTION
-    )
-
-
-def teams_beyond(leader: PartitionLeader) -> dict[str, bool]:
-    out = {}
-    for team in leader.context.settings.teams.values():
-        cpus, gpus = leader.context.view.used_by(team.name)
-        out[team.name] = (team.gpus > 0 and gpus > team.gpus + RESOURCE_TOLERANCE) or (
-            team.cpus > 0 and cpus > team.cpus + RESOURCE_TOLERANCE
-        )
-    return out
-
-
-def work_lost(
-    leader: PartitionLeader, key: TaskKey, attempt: Attempt, job: Job, now: datetime
-) -> float:
-    """Seconds of work that stopping a task now would waste."""
-    machine = leader.machines.get(attempt.machine)
-    seen = machine.tasks.get(key) if machine else None
-    if seen is None or seen.running_since is None:
-        return 0.0
-    if job.spec.checkpoint > clock.ZERO:
-        return job.spec.save.total_seconds() + 1.0
-    return (now - seen.running_since).total_seconds()
--- a/roadbend/placement/queue_projection.py
+++ b/roadbend/placement/queue_projection.py
@@ -1,22 +1,19 @@
 """The queue laid on a partition's machines: what bids, reoffers and estimates look at."""
 
-from __future__ import annotations
-
 from collections import deque
 from dataclasses import dataclass, field, replace
 from datetime import datetime, timedelta
 from functools import cached_property
-from typing import TYPE_CHECKING
 
 from roadbend import clock
 from roadbend.placement import forecast, free_capacity
 from roadbend.placement.forecast import MachineTimeline, Release, release_time
 from roadbend.placement.free_capacity import FreeCapacity
+from roadbend.placement.partition_state import PartitionState
+from roadbend.placement.pending_queue import PendingQueue
+from roadbend.placement.usable_machines import UsableMachines
 from roadbend.store.records import Job
 
-if TYPE_CHECKING:
-    from roadbend.placement.leader import PartitionLeader
-
 # For how long a layout that was worked out may serve again, at the least.
 REUSE = timedelta(milliseconds=600)
 # Layouts that are kept, by what was asked for.
@@ -68,8 +65,12 @@
 class QueueProjections:
     """Works layouts out, and keeps the last ones for a moment."""
 
-    def __init__(self, leader: PartitionLeader):
-        self._leader = leader
+    def __init__(
+        self, state: PartitionState, usable_machines: UsableMachines, queue: PendingQueue
+    ) -> None:
+        self._records, self._context = state.records, state.records.context
+        self._registry, self._machines = state.registry, state.registry.by_id
+        self._stops, self._usable_machines, self._queue = state.stops, usable_machines, queue
         self._projections: deque[tuple[tuple, datetime, timedelta, QueueProjection]] = deque(
             maxlen=MAX_LAYOUTS
         )
@@ -78,26 +79,25 @@
         """The machines with the queue from a priority on laid on them. One layout serves all that
         is asked of a moment, for in a burst bids come by the dozen; what took long to work out
         serves longer."""
-        leader = self._leader
-        now, mark = clock.now(), (least, avoid, len(leader.registry.booting))
+        now, mark = clock.now(), (least, avoid, len(self._registry.booting))
         for key, at, window, projection in self._projections:
             if key == mark and now - at < window:
                 return projection
         booting = [
             replace(capacity)
-            for capacity in leader.registry.booting
-            if capacity.id not in leader.machines
+            for capacity in self._registry.booting
+            if capacity.id not in self._machines
         ]
         timelines = [
             timeline
             for timeline in self.timelines(booting)
             if timeline.capacity.machine_type not in avoid
         ]
-        queue = [item for item in leader.queue.pending() if item.job.spec.priority >= least]
+        queue = [item for item in self._queue.pending() if item.job.spec.priority >= least]
         starts = forecast.project(queue, timelines, self.run_seconds, self.most_forecast(timelines))
         projection = QueueProjection(timelines, starts)
         self._projections.append(
-            (mark, now, max(REUSE, leader.context.reuse_window(clock.now() - now)), projection)
+            (mark, now, max(REUSE, self._context.reuse_window(clock.now() - now)), projection)
         )
         return projection
 
@@ -108,18 +108,16 @@
         return max(128, 6 * len(timelines))
 
     def run_seconds(self, job: Job) -> float:
-        leader = self._leader
-        return forecast.run_seconds(job, leader.context.run_times.factor(job.spec.job_class))
+        return forecast.run_seconds(job, self._context.run_times.factor(job.spec.job_class))
 
     def timelines(self, more: list[FreeCapacity]) -> list[MachineTimeline]:
         """The machines with what runs on them and when that is thought to end."""
-        leader = self._leader
-        now, index = clock.now(), leader.records.attempts_by_machine()
-        stops = leader.stops.by_task
+        now, index = clock.now(), self._records.attempts_by_machine()
+        stops = self._stops.by_task
         out = []
         lengths: dict[str, float | None] = {}
-        for capacity in leader.usable_machines.capacities():
-            machine = leader.machines[capacity.id]
+        for capacity in self._usable_machines.capacities():
+            machine = self._machines[capacity.id]
             releases = []
             for key, (job_slice, attempt) in index.get(capacity.id, {}).items():
                 if key in stops:
@@ -127,7 +125,7 @@
                     releases.append(Release(grace + 1.0, job_slice.resources))
                     continue
                 if job_slice.job not in lengths:
-                    job = leader.context.view.jobs.get(job_slice.job)
+                    job = self._context.view.jobs.get(job_slice.job)
                     lengths[job_slice.job] = (
                         None if job is None or job.spec.service else self.run_seconds(job)
                     )
@@ -145,7 +143,7 @@
                     # may.
                     left = max(run - spent, 0.25 * spent, 1.0)
                 else:
-                    spec = leader.context.view.jobs[job_slice.job].spec
+                    spec = self._context.view.jobs[job_slice.job].spec
                     left = run + capacity.fetch(spec.image, spec.image_gb)
                 releases.append(Release(left, job_slice.resources))
             releases.sort(key=release_time)
--- a/roadbend/placement/recovery_hooks.py
+++ b/roadbend/placement/recovery_hooks.py
@@ -3,21 +3,15 @@
 The classes here hold nothing back: they stand in where recovery (`roadbend.recovery`) is switched
 off, so that the core has no condition on it and imports none of it."""
 
-from __future__ import annotations
-
 from datetime import datetime
-from typing import TYPE_CHECKING
 
+from roadbend.fleet.machines import Machine, StopOrder
+from roadbend.fleet.messages import TaskStatus, WorkerHeartbeat
+from roadbend.fleet.terminations import TaskKey
+from roadbend.placement.transaction import TransactionBuilder
 from roadbend.store.ranges import Ranges
 from roadbend.store.records import Job
 
-if TYPE_CHECKING:
-    from roadbend.fleet.machines import Machine, StopOrder
-    from roadbend.fleet.messages import TaskStatus, WorkerHeartbeat
-    from roadbend.fleet.terminations import TaskKey
-    from roadbend.placement.leader import PartitionLeader
-    from roadbend.placement.transaction import TransactionBuilder
-
 
 class PartitionRecovery:
     """Questions about one partition, for one term."""
@@ -54,10 +48,6 @@
 class Recovery:
     """Questions about a whole controller."""
 
-    def for_partition(self, leader: PartitionLeader) -> PartitionRecovery:
-        """What answers for a partition that this controller has just taken."""
-        return PartitionRecovery()
-
     def holds_back(self, job: str) -> bool:
         """Whether a job that nobody holds is not offered for now."""
         return False
--- /dev/null
+++ b/roadbend/placement/start_recorder.py
@@ -0,0 +1,154 @@
+"""Records starts before they are ordered.
+
+The order to start goes out with the answer to a heartbeat, or directly, only once the state store
+has carried the transaction out."""
+
+from collections.abc import Iterable
+from dataclasses import replace
+from datetime import datetime
+from functools import partial
+
+from roadbend import clock
+from roadbend.fleet.terminations import TaskKey
+from roadbend.log import Log
+from roadbend.placement import apart_gangs
+from roadbend.placement.apart_gangs import ApartGangs
+from roadbend.placement.bin_packing import Placement
+from roadbend.placement.gangs import Gangs
+from roadbend.placement.partition_state import PartitionState
+from roadbend.placement.quotas import Quotas
+from roadbend.placement.transaction import TransactionBuilder
+from roadbend.store.record_view import JobSlice
+from roadbend.store.records import Attempt, Job, SliceShard
+
+log = Log("placement")
+# The group of a gang's tasks, which stay together whatever shards they are in.
+WHOLE_GANG = -1
+
+
+class StartRecorder:
+    """Puts the starts of one partition into transactions."""
+
+    def __init__(
+        self, state: PartitionState, gangs: Gangs, apart_gangs: ApartGangs, quotas: Quotas
+    ) -> None:
+        self._records, self._context = state.records, state.records.context
+        self._partition = state.records.partition
+        self._aging, self._gang_attempts = state.aging, state.gang_attempts
+        self._attempt_numbers, self._direct_starts = state.attempt_numbers, state.direct_starts
+        self._gangs, self._apart_gangs, self._quotas = gangs, apart_gangs, quotas
+
+    def record(
+        self, placed: Iterable[Placement], transaction: TransactionBuilder, now: datetime
+    ) -> bool:
+        """Put starts into the transaction; return whether some are left for the next one."""
+        return not all(
+            self._record_group(group, transaction, now) for group in self._grouped(placed)
+        )
+
+    def _grouped(self, placed: Iterable[Placement]) -> list[list[Placement]]:
+        """Group what was placed by job and shard; the tasks of a gang stay together."""
+        groups: dict[tuple[str, int], list[Placement]] = {}
+        for placement in placed:
+            job = placement.item.job
+            shard = WHOLE_GANG
+            if not job.spec.gang:
+                shard = self._shard_of(placement.task_index, self._records.job_slices().get(job.id))
+            groups.setdefault((job.id, shard), []).append(placement)
+        return list(groups.values())
+
+    def _shard_of(self, task_index: int, job_slice: JobSlice | None) -> int:
+        """Return the shard whose record names a task, or would."""
+        width = self._records.shard_width
+        return task_index // width if job_slice is None else job_slice.shard_of(task_index, width)
+
+    def _record_group(
+        self, group: list[Placement], transaction: TransactionBuilder, now: datetime
+    ) -> bool:
+        """Put the starts of one group into the transaction; False if not all of them fit."""
+        job = group[0].item.job
+        share = self._gangs.first_share(transaction, group) if job.spec.gang else group
+        if not share:
+            return False
+        shards = self._fill(transaction, job, share)
+        # Of its team's quota all of a gang is reserved with the first of its tasks.
+        if not self._quotas.reserve_quota(
+            transaction,
+            job.spec.team,
+            job.spec.resources,
+            len(group),
+            [shard.key for shard in shards],
+        ):
+            return False
+        if not all(transaction.fits(shard) for shard in shards):
+            log.error(
+                "shard-record-oversized", partition=self._partition, job=job.id, tasks=len(share)
+            )
+            return True
+        self._write(transaction, job, shards)
+        transaction.charge(job.spec.team, job.spec.resources, len(share))
+        self._aging.note_start(job.id, now)
+        if len(share) < len(group):
+            transaction.after.append(partial(self._gangs.note_filling, shards[0]))
+        self._tell_once_recorded(transaction, job, shards, share)
+        return len(share) == len(group)
+
+    def _write(self, transaction: TransactionBuilder, job: Job, shards: list[SliceShard]) -> None:
+        """Put the shards into the transaction, with the conditions of a start."""
+        for shard in shards:
+            transaction.set_slice(shard)
+        transaction.require_job(job)
+        if apart_gangs.is_apart(job):
+            self._apart_gangs.add_conditions(transaction, job)
+            number = next(iter(shards[0].attempts.values())).number
+            transaction.after.append(partial(self._gang_attempts.note_joined, job.id, number))
+
+    def _tell_once_recorded(
+        self,
+        transaction: TransactionBuilder,
+        job: Job,
+        shards: list[SliceShard],
+        share: list[Placement],
+    ) -> None:
+        """Tell the machines, where they must not wait for their heartbeats, and the observer."""
+        if job.spec.gang or self._context.objectives.start_within(job.spec) is not None:
+            indexes = {placement.task_index for placement in share}
+            transaction.after.append(partial(self._start_directly, shards, indexes))
+        in_order = [placement.task_index for placement in share]
+        transaction.after.append(partial(self._tell_observer, job, shards, in_order))
+        for _, task_index, capacity in share:
+            log.debug(
+                "attempt-started",
+                partition=self._partition,
+                task=f"{job.id}/{task_index}",
+                machine=capacity.id,
+                waited_s=f"{(clock.wall() - job.submitted_at).total_seconds():.1f}",
+                cached=job.spec.image in capacity.images,
+            )
+
+    def _fill(
+        self, transaction: TransactionBuilder, job: Job, share: list[Placement]
+    ) -> list[SliceShard]:
+        """Return the shards with the new attempts; a gang's tasks have one attempt number."""
+        job_slice = self._records.job_slices().get(job.id)
+        shards: dict[int, SliceShard] = {}
+        common = self._gangs.attempt_number(job) if job.spec.gang else None
+        for _, task_index, capacity in share:
+            n = self._shard_of(task_index, job_slice)
+            shard = shards.get(n) or transaction.slice(job.id, job.spec.team, job.spec.resources, n)
+            number = self._attempt_numbers.next() if common is None else common
+            attempt = Attempt(number, capacity.id)
+            shards[n] = replace(shard, attempts={**shard.attempts, task_index: attempt})
+        return list(shards.values())
+
+    def _start_directly(self, shards: list[SliceShard], indexes: set[int]) -> None:
+        for shard in shards:
+            for task_index in indexes & shard.attempts.keys():
+                self._direct_starts.add(TaskKey(shard.job, task_index), shard.attempts[task_index])
+
+    def _tell_observer(self, job: Job, shards: list[SliceShard], indexes: list[int]) -> None:
+        observer = self._context.observer
+        for shard in shards:
+            for index in indexes:
+                if index in shard.attempts:
+                    observer.attempt_recorded(self._partition, job, index, shard.attempts[index])
--- a/roadbend/placement/starts.py
+++ b/roadbend/placement/starts.py
@@ -1,184 +1,141 @@
-"""Starts: which of what waits goes where now, within teams' limits."""
+"""Which of what waits starts now, and where, within teams' quotas."""
 
-from __future__ import annotations
-
-from dataclasses import replace
 from datetime import datetime
 from functools import partial
-from typing import TYPE_CHECKING
-
-from roadbend import clock
-from roadbend.fleet.terminations import TaskKey
-from roadbend.log import Log
-from roadbend.placement import (
-    apart_gangs,
-    bin_packing,
-    free_capacity,
-    gang_reservations,
-    gangs,
-    preemption,
-    quotas,
-    restrictions,
-)
-from roadbend.placement.bin_packing import Placement
+from typing import NamedTuple
+
+from roadbend.placement import apart_gangs, bin_packing, free_capacity, quotas
+from roadbend.placement.free_capacity import FreeCapacity
+from roadbend.placement.gang_reservations import GangReservations
+from roadbend.placement.gangs import Gangs
+from roadbend.placement.partition_state import PartitionState
+from roadbend.placement.pending_queue import PendingQueue
+from roadbend.placement.preemption import Preemption
+from roadbend.placement.queue_order import PendingTasks
 from roadbend.placement.quota_allowance import QuotaAllowance
+from roadbend.placement.quotas import Quotas
+from roadbend.placement.restrictions import Restrictions
+from roadbend.placement.start_recorder import StartRecorder
 from roadbend.placement.transaction import TransactionBuilder
-from roadbend.store.records import Attempt, Job, SliceShard
-
-if TYPE_CHECKING:
-    from roadbend.placement.leader import PartitionLeader
-
-log = Log("placement")
-
-
-def start(leader: PartitionLeader, transaction: TransactionBuilder, now: datetime) -> bool:
-    """Write-ahead of starts. The order goes out only with a report's response, after the answer."""
-    queue = leader.queue.pending()
-    leader.aging.note_queue((item.job.id for item in queue), now)
-    if not queue:
-        leader.queue.note_not_placed([])
-        return False
-    # Most machines are full. Only services that must start soon look at those, for what could be
-    # cleared there.
-    soon = any(leader.context.objectives.start_within(item.job.spec) is not None for item in queue)
-    least = None if soon else free_capacity.min_resources(item.job.spec.resources for item in queue)
-    capacities = leader.usable_machines.capacities(transaction.ended_attempts, least)
-    restrictions.hold_back(leader, queue)
-    restrictions.image_first(leader, queue, capacities)
-    overdue = leader.context.starvation.starved_jobs(now)
-    limits = QuotaAllowance(
-        partial(quotas.team_left, leader, transaction),
-        lambda job: leader.aging.waited(job, now) < quotas.HOLD,
-    )
-    ready, early = [], []
-    for item in queue:
-        (ready if gangs.may_start(leader, item.job) else early).append(item)
-    yielding = {item.job.id for item in ready if quotas.yields(leader, item, overdue)}
-    restrictions.note_passed_over(leader, ready, yielding, capacities, now)
-    placed, left, more = bin_packing.place(
-        gangs.filling_first(
-            leader,
-            [
-                item
-                for item in ready
-                if item.job.id not in yielding or leader.aging.is_starving(item.job.id, now)
-            ],
-        ),
-        capacities,
-        transaction.free,
-        partial(restrictions.bars, leader)
-        if leader.exclusions or leader.reservations or leader.gang_attempts.any_lost()
-        else None,
-        limits,
-    )
-    left += [item for item in early if apart_gangs.keeps_room(leader, item.job, now)]
-    leader.queue.note_not_placed(quotas.within(limits, left))
-    for rows in grouped(leader, placed):
-        if not record_start(leader, transaction, rows, now):
-            more = True
-            break
-    gang_reservations.keep_for_gangs(leader, now)
-    if leader.queue.not_placed and not more:
-        preemption.preempt(leader, transaction, capacities, least is None, now)
-    return more
-
-
-def grouped(leader: PartitionLeader, placed: list[Placement]) -> list[list[Placement]]:
-    """What was placed, by job and shard. The tasks of a gang stay together, whatever shards they
-    are in."""
-    groups: dict[tuple[str, int], list[Placement]] = {}
-    for item, task_index, capacity in placed:
-        name, shard = item.job.id, -1
-        if not item.job.spec.gang:
-            job_slice = leader.records.job_slices().get(name)
-            shard = (
-                task_index // leader.records.shard_width
-                if job_slice is None
-                else job_slice.shard_of(task_index, leader.records.shard_width)
+from roadbend.placement.usable_machines import UsableMachines
+
+
+class _Candidates(NamedTuple):
+    """The pending queue, by whether its items may start now."""
+
+    ready: list[PendingTasks]
+    # Shares of gangs that wait for other partitions.
+    early: list[PendingTasks]
+
+
+class _Capacities(NamedTuple):
+    """The machines that a step looks at."""
+
+    capacities: list[FreeCapacity]
+    # Whether machines are left out on which nothing that waits fits.
+    only_with_room: bool
+
+
+class StartScheduler:
+    """Starts what waits in one partition, in each step."""
+
+    def __init__(
+        self,
+        state: PartitionState,
+        *,
+        queue: PendingQueue,
+        usable_machines: UsableMachines,
+        gangs: Gangs,
+        quotas: Quotas,
+        gang_reservations: GangReservations,
+        preemption: Preemption,
+        recorder: StartRecorder,
+    ) -> None:
+        self._context, self._aging = state.records.context, state.aging
+        self._queue, self._usable_machines, self._gangs = queue, usable_machines, gangs
+        self._quotas, self._gang_reservations = quotas, gang_reservations
+        self._restrictions = Restrictions(state, gang_reservations)
+        self._preemption, self._recorder = preemption, recorder
+
+    def start(self, transaction: TransactionBuilder, now: datetime) -> bool:
+        """Put starts into the transaction; return whether some are left for the next one.
+
+        What finds no place gets machines reserved, or lesser work stopped for it."""
+        queue = self._queue.pending()
+        self._aging.note_queue((item.job.id for item in queue), now)
+        if not queue:
+            self._queue.note_not_placed([])
+            return False
+        seen = self._find_capacities(queue, transaction)
+        self._restrictions.hold_back(queue)
+        self._restrictions.image_first(queue, seen.capacities)
+        result = self._place(queue, seen.capacities, transaction, now)
+        more = result.stopped_early
+        more = self._recorder.record(result.placed, transaction, now) or more
+        self._gang_reservations.keep_for_gangs(self._queue.not_placed, now)
+        if self._queue.not_placed and not more:
+            self._preemption.preempt(
+                self._queue.not_placed,
+                transaction,
+                seen.capacities,
+                not seen.only_with_room,
+                now,
+            )
+        return more
+
+    def _find_capacities(
+        self, queue: list[PendingTasks], transaction: TransactionBuilder
+    ) -> _Capacities:
+        """Return the usable machines. Most are full, and only services that must start soon look
+        at those, for what could be cleared there."""
+        start_within = self._context.objectives.start_within
+        if any(start_within(item.job.spec) is not None for item in queue):
+            return _Capacities(
+                self._usable_machines.capacities(transaction.ended_attempts, None), False
             )
-        groups.setdefault((name, shard), []).append(Placement(item, task_index, capacity))
-    return list(groups.values())
-
-
-def record_start(
-    leader: PartitionLeader, transaction: TransactionBuilder, rows: list[Placement], now: datetime
-) -> bool:
-    """Puts the starts of one group into the transaction; False where it has no room for all."""
-    job = rows[0][0].job
-    share = gangs.first_share(leader, transaction, rows) if job.spec.gang else rows
-    if not share:
-        return False
-    pieces = fill(leader, transaction, job, share)
-    record_keys = [piece.key for piece in pieces]
-    # Of its team's limit all of a gang is set aside with the first of its tasks.
-    if not quotas.reserve_quota(
-        leader, transaction, job.spec.team, job.spec.resources, len(rows), record_keys
-    ):
-        return False
-    if not all(transaction.fits(piece) for piece in pieces):
-        log.error(
-            "shard-record-oversized", partition=leader.partition, job=job.id, tasks=len(share)
+        smallest = free_capacity.min_resources(item.job.spec.resources for item in queue)
+        return _Capacities(
+            self._usable_machines.capacities(transaction.ended_attempts, smallest), True
         )
-        return True
-    for piece in pieces:
-        transaction.set_slice(piece)
-    transaction.require_job(job)
-    if apart_gangs.is_apart(job):
-        apart_gangs.add_conditions(leader, transaction, job)
-        number = next(iter(pieces[0].attempts.values())).number
-        transaction.after.append(partial(leader.gang_attempts.note_joined, job.id, number))
-    transaction.charge(job.spec.team, job.spec.resources, len(share))
-    leader.aging.note_start(job.id, now)
-    if len(share) < len(rows):
-        transaction.after.append(partial(gangs.note_filling, leader, pieces[0]))
-    if job.spec.gang or leader.context.objectives.start_within(job.spec) is not None:
-        indexes = {task_index for _, task_index, _ in share}
-        transaction.after.append(partial(order_directly, leader, pieces, indexes))
-    transaction.after.append(partial(tell_observer, leader, job, pieces, [row[1] for row in share]))
-    for _, task_index, capacity in share:
-        log.debug(
-            "attempt-started",
-            partition=leader.partition,
-            task=f"{job.id}/{task_index}",
-            machine=capacity.id,
-            waited_s=f"{(clock.wall() - job.submitted_at).total_seconds():.1f}",
-            cached=job.spec.image in capacity.images,
+
+    def _place(
+        self,
+        queue: list[PendingTasks],
+        capacities: list[FreeCapacity],
+        transaction: TransactionBuilder,
+        now: datetime,
+    ) -> bin_packing.PlacementResult:
+        """Find a place for what may start, and note what found none."""
+        starved = self._context.starvation.starved_jobs(now)
+        quota = QuotaAllowance(
+            partial(self._quotas.team_left, transaction),
+            lambda job: self._aging.waited(job, now) < quotas.HOLD,
         )
-    return len(share) == len(rows)
-
-
-def tell_observer(
-    leader: PartitionLeader, job: Job, pieces: list[SliceShard], indexes: list[int]
-) -> None:
-    """The starts were recorded."""
-    observer = leader.context.observer
-    for piece in pieces:
-        for index in indexes:
-            if index in piece.attempts:
-                observer.attempt_recorded(leader.partition, job, index, piece.attempts[index])
-
-
-def fill(
-    leader: PartitionLeader, transaction: TransactionBuilder, job: Job, rows: list[Placement]
-) -> list[SliceShard]:
-    """The slices with the new attempts; a gang's tasks have one attempt number."""
-    job_slice, pieces = leader.records.job_slices().get(job.id), {}
-    common = gangs.attempt_number(leader, job) if job.spec.gang else None
-    for _, task_index, capacity in rows:
-        at = (
-            task_index // leader.records.shard_width
-            if job_slice is None
-            else job_slice.shard_of(task_index, leader.records.shard_width)
+        ready, early = self._split(queue)
+        yielding = {item.job.id for item in ready if self._quotas.yields(item, starved)}
+        self._restrictions.note_passed_over(ready, yielding, capacities, now)
+        candidates = [
+            item
+            for item in ready
+            if item.job.id not in yielding or self._aging.is_starving(item.job.id, now)
+        ]
+        result = bin_packing.place(
+            self._gangs.filling_first(candidates),
+            capacities,
+            transaction.free,
+            self._restrictions.exclusions_of(),
+            quota,
         )
-        piece = pieces.get(at) or transaction.slice(job.id, job.spec.team, job.spec.resources, at)
-        number = leader.attempt_numbers.next() if common is None else common
-        attempt = Attempt(number, capacity.id)
-        pieces[at] = replace(piece, attempts={**piece.attempts, task_index: attempt})
-    return list(pieces.values())
-
-
-def order_directly(leader: PartitionLeader, pieces: list[SliceShard], tasks: set[int]) -> None:
-    for piece in pieces:
-        for task_index in tasks & piece.attempts.keys():
-            attempt = piece.attempts[task_index]
-            leader.direct_starts.add(TaskKey(piece.job, task_index), attempt)
+        kept = [
+            item for item in early if self._aging.waited(item.job.id, now) < apart_gangs.KEEP_ROOM
+        ]
+        self._queue.note_not_placed(quotas.within(quota, result.unplaced + kept))
+        return result
+
+    def _split(self, queue: list[PendingTasks]) -> _Candidates:
+        """Split the queue by whether other partitions let its items start."""
+        candidates = _Candidates([], [])
+        for item in queue:
+            may_start = self._gangs.may_start(item.job)
+            (candidates.ready if may_start else candidates.early).append(item)
+        return candidates
--- a/roadbend/placement/stop_orders.py
+++ b/roadbend/placement/stop_orders.py
@@ -15,7 +15,7 @@
 class StopOrders:
     """The stop orders of one partition, one a task at most."""
 
-    def __init__(self, records: PartitionRecords, registry: MachineRegistry):
+    def __init__(self, records: PartitionRecords, registry: MachineRegistry) -> None:
         self._records, self._registry = records, registry
         self._orders: dict[TaskKey, StopOrder] = {}
         # The orders by task, to be read.
--- a/roadbend/placement/transaction.py
+++ b/roadbend/placement/transaction.py
@@ -28,7 +28,7 @@
         leadership: Leadership,
         settings: PlatformSettings,
         most: int | None = None,
-    ):
+    ) -> None:
         self._view, self._part, self._most = (
             view,
             partition,
--- a/roadbend/placement/transaction_sender.py
+++ b/roadbend/placement/transaction_sender.py
@@ -28,7 +28,7 @@
 
     def __init__(
         self, records: PartitionRecords, terminations: Terminations, direct_starts: DirectStarts
-    ):
+    ) -> None:
         self._records, self._context = records, records.context
         self._terminations, self._direct_starts = terminations, direct_starts
         # The conditions of the last transaction, while nobody knows whether it was, or will be,
--- a/roadbend/placement/usable_machines.py
+++ b/roadbend/placement/usable_machines.py
@@ -19,7 +19,7 @@
 class UsableMachines:
     """Works out the free capacities of one partition."""
 
-    def __init__(self, records: PartitionRecords, registry: MachineRegistry):
+    def __init__(self, records: PartitionRecords, registry: MachineRegistry) -> None:
         self._records, self._registry, self._context = records, registry, records.context
 
     def capacities(
--- a/roadbend/recovery/adoption.py
+++ b/roadbend/recovery/adoption.py
@@ -8,7 +8,6 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
-from roadbend.placement import quotas
 from roadbend.placement.free_capacity import RESOURCE_TOLERANCE
 from roadbend.placement.transaction import TransactionBuilder
 from roadbend.recovery.judgement import Judgement
@@ -101,7 +100,7 @@
     def _reserve_quota(
         self, transaction: TransactionBuilder, job: Job, record_keys: list[str]
     ) -> bool:
-        left = quotas.team_left(self._leader, transaction, job.spec.team)
+        left = self._leader.quotas.team_left(transaction, job.spec.team)
         resources = job.spec.resources
         if (
             left is None
@@ -109,8 +108,8 @@
             or resources.gpus > left[1] + RESOURCE_TOLERANCE
         ):
             return False
-        return quotas.reserve_quota(
-            self._leader, transaction, job.spec.team, resources, 1, record_keys
+        return self._leader.quotas.reserve_quota(
+            transaction, job.spec.team, resources, 1, record_keys
         )
 
     def _hold_task(self, transaction: TransactionBuilder, job: Job, index: int) -> None:
--- a/roadbend/recovery/service.py
+++ b/roadbend/recovery/service.py
@@ -37,6 +37,7 @@
     """Switch recovery on in a controller that has not started yet."""
     service = RecoveryService(controller, settings)
     controller.context.recovery = service
+    controller.partition_leaders.recovery_of = service.for_partition
     controller.background.append(service.run)
     return service
 
--- a/roadbend/test_ran_twice.py
+++ b/roadbend/test_ran_twice.py
@@ -14,7 +14,8 @@
 from roadbend.fleet.messages import parse_heartbeat
 from roadbend.fleet.terminations import TaskKey, Termination, TerminationEvidence
 from roadbend.partitions.leadership import Leadership
-from roadbend.placement import ends
+from roadbend.placement.ends import TerminationRecorder
+from roadbend.placement.partition_state import PartitionState
 from roadbend.placement.transaction import TransactionBuilder
 from roadbend.settings import Team
 from roadbend.store.client import ConflictError, delete, put
@@ -318,14 +319,16 @@
     view.put(other.key, other.to_value(), 6)
     work = view.job_slices["east"]["run-000001"]
     before = dict(work.attempts)
-    leader = SimpleNamespace(records=SimpleNamespace(shard_width=width), partition="east")
-    transaction = TransactionBuilder(view, "east", Leadership("east", 7, 1, clock.ORIGIN), settings)
+    leadership = Leadership("east", 7, 1, clock.ORIGIN)
+    transaction = TransactionBuilder(view, "east", leadership, settings)
+    context = SimpleNamespace(view=view, settings=settings)
+    recorder = TerminationRecorder(PartitionState.create(context, leadership))
     found = [
         (n, Termination(before[n].number, before[n].machine, False, "error")) for n in (3, width)
     ]
-    job_ends = ends.collect(fake_records(leader, view), transaction, "run-000001", work, found)
-    more = ends.plan_splits(leader, transaction, job_ends)
-    ends.write_slices(leader, transaction, job_ends, {})
+    job_ends = recorder.collect(transaction, "run-000001", work, found)
+    more = recorder.plan_splits(transaction, job_ends)
+    recorder.write_slices(transaction, job_ends, {})
     recorded = {n for n, _ in job_ends.ended}
     view.applied(list(transaction.changes.values()), 9)
     assert work.attempts == {n: a for n, a in before.items() if n not in recorded}
@@ -339,7 +342,3 @@
 
 def attempts(indexes: Iterable[int]) -> dict[int, Attempt]:
     return {n: Attempt(7 << 32 | n, f"m-{n:06d}") for n in indexes}
-
-
-def fake_records(leader: SimpleNamespace, view: RecordView) -> SimpleNamespace:
-    return SimpleNamespace(context=SimpleNamespace(view=view), **vars(leader))
--- a/roadbend/test_upgrade.py
+++ b/roadbend/test_upgrade.py
@@ -19,7 +19,8 @@
 from roadbend.partitions.leadership import Leadership
 from roadbend.peers import frames
 from roadbend.peers.heartbeat import PeerHeartbeat
-from roadbend.placement import ends
+from roadbend.placement.ends import TerminationRecorder
+from roadbend.placement.partition_state import PartitionState
 from roadbend.placement.transaction import TransactionBuilder
 from roadbend.settings import OperatorSettings, Team
 from roadbend.store import keys, ranges, records
@@ -396,14 +397,16 @@
     large = SliceShard("run-1", "east", "red", SPEC.resources, ((200, 210),), run)
     view.put(large.key, large.to_value(), 5)
     work = view.job_slices["east"]["run-1"]
-    leader = SimpleNamespace(records=SimpleNamespace(shard_width=settings.shard_width))
+    leadership = Leadership("east", 7, 1, AT)
+    context = SimpleNamespace(view=view, settings=settings)
+    recorder = TerminationRecorder(PartitionState.create(context, leadership))
     less = replace(
         large,
         attempts={task_index: attempt for task_index, attempt in run.items() if task_index != 3},
         mod_revision=5,
     )
-    transaction = TransactionBuilder(view, "east", Leadership("east", 7, 1, AT), settings)
-    pieces = ends.split(leader, transaction, work, less)
+    transaction = TransactionBuilder(view, "east", leadership, settings)
+    pieces = recorder.split(transaction, work, less)
     assert 1 < len(pieces) <= 4 and all(transaction.fits(piece) for piece in pieces)
     found = [
         (task_index, attempt) for piece in pieces for task_index, attempt in piece.attempts.items()
@@ -412,9 +415,8 @@
     # What no transaction of that size can split waits until fewer of its tasks are left.
     wide = replace(large, attempts={n: Attempt(7 << 32 | n, f"m-{n:06d}") for n in range(400)})
     assert (
-        ends.split(
-            leader,
-            TransactionBuilder(view, "east", Leadership("east", 7, 1, AT), settings),
+        recorder.split(
+            TransactionBuilder(view, "east", leadership, settings),
             work,
             wide,
         )
