--- a/roadbend/recovery/test_commands.py
+++ b/roadbend/recovery/test_commands.py
@@ -7,15 +7,16 @@
 import trio
 
 from roadbend import cli
+from roadbend.fakes.platform import settings_for
 from roadbend.fakes.submission import job
-from roadbend.fakes.world import settings_for, world
+from roadbend.fakes.world import world
 from roadbend.recovery import commands
 from roadbend.recovery.service import install
 from roadbend.recovery.settings import RecoverySettings
 
 
 async def ask(w, capsys, command, **options):
-    """What a command prints, and its exit status."""
+    """Return what a command prints, and its exit status."""
     arguments = Namespace(command=command, json=True, **options)
     capsys.readouterr()
     status = await commands.run(settings_for(0, 3), w.network.port("operator"), arguments)
