--- a/roadbend/recovery/adoption.py
+++ b/roadbend/recovery/adoption.py
@@ -113,8 +113,7 @@
             or resources.gpus > left.gpus + RESOURCE_TOLERANCE
         ):
             return False
-        return quotas.reserve_quota(
-            self._leader,
+        return self._leader.quotas.reserve_quota(
             transaction,
             team=job.spec.team,
             resources=resources,
