--- a/roadbend/placement/aging.py
+++ b/roadbend/placement/aging.py
@@ -1,7 +1,8 @@
 """How long jobs have waited in a partition.
 
 A job that has been passed over for long is starving. Aging prevents that: such a job is kept from
-no machine any more for the sake of others."""
+no machine any more for the sake of others.
+"""
 
 from collections import deque
 from collections.abc import Iterable
--- a/roadbend/placement/apart_gangs.py
+++ b/roadbend/placement/apart_gangs.py
@@ -1,11 +1,14 @@
-"""Gangs that are to be apart. No partition may run more than half of such a gang, so several
-partitions hold a share of it each, and start their shares under one attempt number.
+"""Gangs that are to be apart.
+
+No partition may run more than half of such a gang, so several partitions hold a share of it each,
+and start their shares under one attempt number.
 
 The partitions begin in the order of their names: the first one when nothing of an earlier attempt
 is recorded anywhere, each other one when all before it have recorded their whole shares. So of two
 gangs none holds room that the other waits for while waiting for the other's room. Every start is
 conditional on the records of the other shares being as they were read, whoever owns the partitions
-by then. On machines the tasks wait for each other, as those of any gang do."""
+by then. On machines the tasks wait for each other, as those of any gang do.
+"""
 
 from datetime import datetime, timedelta
 
@@ -32,7 +35,7 @@
 
 
 def partitions_of(job: Job) -> list[str]:
-    """The partitions that hold shares, in the order in which they begin."""
+    """Return the partitions that hold shares, in the order in which they begin."""
     return sorted(partition for partition, held in job.allocation.items() if held)
 
 
@@ -50,13 +53,15 @@
         self._leadership = state.records.leadership
 
     def recorded(self, job: Job, partition: str) -> dict[int, Attempt]:
-        """What the records say is started of a partition's share."""
+        """Return the attempts that the records name of a partition's share."""
         job_slice = self._context.view.job_slices.get(partition, {}).get(job.id)
         return job_slice.attempts if job_slice is not None else {}
 
     def complete_under(self, job: Job, partition: str) -> int | None:
-        """The attempt number under which a partition has recorded its whole share; None: it has
-        not."""
+        """Return the attempt number under which a partition has recorded its whole share.
+
+        None: it has not.
+        """
         run = self.recorded(job, partition)
         numbers = {attempt.number for attempt in run.values()}
         if len(numbers) != 1 or ranges.of(run) != job.allocation.get(partition, ()):
@@ -64,7 +69,7 @@
         return numbers.pop()
 
     def number_to_join(self, job: Job) -> int | None:
-        """The attempt that the partitions before this one have begun; None: nothing to join."""
+        """Return the attempt that the partitions before this one have begun; None for none."""
         partitions = partitions_of(job)
         before = (
             partitions[: partitions.index(self._partition)] if self._partition in partitions else []
@@ -83,18 +88,18 @@
         return number is not None and not self._gang_attempts.has_joined(job.id, number)
 
     def sequence_mark(self) -> int:
-        """What is added to the sequence number of an attempt that this partition begins."""
+        """Return what marks the numbers of attempts that this partition begins."""
         partitions = self._context.election.partitions()
         return (partitions.index(self._partition) + 1) << PARTITION_SHIFT
 
     def add_conditions(self, transaction: TransactionBuilder, job: Job) -> None:
-        """Makes the transaction depend on the other shares' records being as they were read."""
+        """Make the transaction depend on the other shares' records being as they were read."""
         for partition in partitions_of(job):
             if partition != self._partition:
                 transaction.conditions.update(self.share_conditions(job, partition))
 
     def share_conditions(self, job: Job, partition: str) -> dict[str, int]:
-        """The revisions of the records of a partition's share; 0 for those that don't exist."""
+        """Return the revisions of the records of a partition's share; 0 where there is none."""
         held = job.allocation.get(partition, ())
         shards = {index // self._records.shard_width for index in ranges.numbers(held)}
         record_keys = [keys.slice_key(partition, job.id, shard) for shard in sorted(shards)]
@@ -118,8 +123,10 @@
         return True
 
     def _still_waits(self, job: Job, now: datetime) -> bool:
-        """Whether our own tasks can still be joined. A gang that runs has all its shares recorded,
-        though we may not have read that yet."""
+        """Whether our own tasks can still be joined.
+
+        A gang that runs has all its shares recorded, though we may not have read that yet.
+        """
         patience = self._context.settings.gang_wait * 0.75
         for index, attempt in self.recorded(job, self._partition).items():
             machine = self._machines.get(attempt.machine)
@@ -131,14 +138,20 @@
         return True
 
     def rest(self, job: Job, now: datetime) -> None:
-        """An attempt is over: the next one does not begin at once, and its shares are bid for anew,
-        since one of them may find no room where it is."""
+        """Note that an attempt is over.
+
+        The next one does not begin at once, and its shares are bid for anew, since one of them may
+        find no room where it is.
+        """
         self._backoff.rest_until(job.id, now + REST)
         self._gang_attempts.note_over(job.id)
 
     def may_release(self, job: Job) -> dict[str, int] | None:
-        """The conditions under which all shares are given back to be bid for again; None where it
-        is not this partition's turn to do so, or something of the gang is still recorded."""
+        """Return the conditions under which all shares are given back to be bid for again.
+
+        None where it is not this partition's turn to do so, or something of the gang is still
+        recorded.
+        """
         partitions = partitions_of(job)
         if not partitions or partitions[0] != self._partition:
             return None
--- a/roadbend/placement/ends.py
+++ b/roadbend/placement/ends.py
@@ -2,13 +2,14 @@
 
 from collections.abc import Container
 from dataclasses import dataclass, field, replace
-from datetime import datetime, timedelta
+from datetime import datetime
 from functools import partial
 
-from roadbend.fleet.terminations import Termination
+from roadbend.fleet.terminations import TaskKey, Termination
 from roadbend.log import Log
-from roadbend.placement import gangs
+from roadbend.placement import shard_split
 from roadbend.placement.partition_state import PartitionState
+from roadbend.placement.termination_effects import TerminationEffects
 from roadbend.placement.transaction import TransactionBuilder
 from roadbend.store import keys, ranges
 from roadbend.store.ranges import Ranges
@@ -18,8 +19,6 @@
 log = Log("placement")
 # Shards of a job that is still running leave the records when there are this many to go.
 FOLD = 4
-# For how long a job keeps off a machine on which it failed.
-AVOID = timedelta(seconds=20)
 
 
 @dataclass
@@ -37,7 +36,7 @@
     plans: dict[int, list[SliceShard]] = field(default_factory=dict)
 
     def keep_only(self, shards: Container[int], width: int) -> None:
-        """Leaves out the ends in other shards; they wait for the next transaction."""
+        """Leave out the terminations in other shards; they wait for the next transaction."""
         self.touched = {n: piece for n, piece in self.touched.items() if n in shards}
         self.ended = [row for row in self.ended if self.job_slice.shard_of(row[0], width) in shards]
 
@@ -48,16 +47,15 @@
     def __init__(self, state: PartitionState) -> None:
         self._records = state.records
         self._terminations = state.terminations
-        self._backoff = state.backoff
-        self._exclusions = state.exclusions
-        self._gang_attempts = state.gang_attempts
-        self._machines = state.registry.by_id
+        self._effects = TerminationEffects(state)
         self._context = state.records.context
         self._partition = state.records.partition
 
     def record_ends(self, transaction: TransactionBuilder, now: datetime) -> bool:
-        """Puts ends into the transaction, and takes slices and jobs that are over out of the
-        records; says whether more is left for the next one."""
+        """Put terminations into the transaction, and take out of the records what is over.
+
+        That is slices and jobs. Return whether more is left for the next transaction.
+        """
         more = False
         for name, found in self.ends_by_job().items():
             job_slice = self._records.job_slices().get(name)
@@ -65,7 +63,7 @@
                 continue
             ends = self.collect(transaction, name, job_slice, found)
             more = self.plan_splits(transaction, ends) or more
-            if ends.job is not None and ends.job.spec.gang and any(f.done for _, f in ends.ended):
+            if ends.job is not None and ends.job.spec.gang and any(e.done for _, e in ends.ended):
                 written = end_gang(
                     transaction,
                     ends.job,
@@ -88,7 +86,10 @@
         return more
 
     def ends_by_job(self) -> dict[str, list[tuple[int, Termination]]]:
-        """The ends to be recorded, by job; also the jobs with slices of which nothing runs."""
+        """Return the terminations to be recorded, by job.
+
+        Jobs with slices of which nothing runs are among them, some with no termination.
+        """
         by_job: dict[str, list[tuple[int, Termination]]] = {}
         for (job, task_index), end in self._terminations.items():
             by_job.setdefault(job, []).append((task_index, end))
@@ -105,7 +106,7 @@
         job_slice: JobSlice,
         found: list[tuple[int, Termination]],
     ) -> JobTerminations:
-        """The shards of one job without the attempts that have ended."""
+        """Return the shards of one job without the attempts that have ended."""
         job = self._context.view.jobs.get(name)
         ends = JobTerminations(name, job, job_slice)
         counts_done = job is not None and not job.spec.service and not job.spec.gang
@@ -126,16 +127,21 @@
         return ends
 
     def plan_splits(self, transaction: TransactionBuilder, ends: JobTerminations) -> bool:
-        """What a version with larger values wrote and is too large now is split as it is written.
-        Where that can't be done in one transaction, the ends wait until fewer of its tasks are
-        left; says whether the next transaction may do better.
+        """Plan to split a shard that is too large now, for a version with larger values wrote it.
+
+        Where that can't be done in one transaction, the terminations wait until fewer of its tasks
+        are left. Return whether the next transaction may do better.
 
         A split also writes the shards that take its tasks. None of them may be written twice in one
         transaction, for the second writing would lose what the first one moved there: so one shard
-        is split at a time, and the ends in the job's other shards wait for the next transaction."""
+        is split at a time, and the terminations in the job's other shards wait for the next
+        transaction.
+        """
         wide = [n for n, piece in ends.touched.items() if not transaction.fits(piece)]
         for n in wide:
-            plan = self.split(transaction, ends.job_slice, ends.touched[n])
+            plan = shard_split.split(
+                transaction, ends.job_slice, ends.touched[n], self._records.shard_width
+            )
             if plan:
                 waiting = len(ends.touched) > 1
                 ends.plans = {n: plan}
@@ -145,8 +151,10 @@
         return bool(wide) and bool(transaction.changes)
 
     def record_job(self, transaction: TransactionBuilder, ends: JobTerminations) -> bool | None:
-        """Writes one job's ends; says whether some of them wait for the next transaction. None: all
-        do, for this one has no room left."""
+        """Write one job's terminations; return whether some of them wait for the next transaction.
+
+        None: all do, for this one has no room left.
+        """
         over, whole = self.shards_over(ends)
         record_keys = [
             keys.slice_key(self._partition, ends.name, n) for n in ends.touched.keys() | over.keys()
@@ -171,8 +179,7 @@
         return partly
 
     def shards_over(self, ends: JobTerminations) -> tuple[dict[int, SliceShard], bool]:
-        """The shards that leave the records, and whether the partition is through with all that it
-        holds of the job."""
+        """Return the shards that leave the records, and whether nothing of the job is left here."""
         shards = {**ends.job_slice.shards, **ends.touched}
         idle = {n: piece for n, piece in shards.items() if not piece.attempts}
         if ends.job is None:
@@ -195,7 +202,7 @@
         ends: JobTerminations,
         over: dict[int, SliceShard],
     ) -> None:
-        """The changed shards, split where they must be, and those that leave the records."""
+        """Write the changed shards, split where they must be, and drop those that are over."""
         for n, piece in ends.touched.items():
             if n in ends.plans:
                 for row in ends.plans[n]:
@@ -221,7 +228,7 @@
         over: dict[int, SliceShard],
         whole: bool,
     ) -> None:
-        """The job's record, or its end, once shards of it are over."""
+        """Write the job's record, or its end, once shards of it are over."""
         held = job.allocation.get(self._partition, ())
         all_done = ranges.normal(
             [*job.done, *(pair for piece in over.values() for pair in piece.done)]
@@ -235,92 +242,23 @@
     def note_ends(
         self, transaction: TransactionBuilder, ends: JobTerminations, now: datetime
     ) -> None:
-        """What follows once the transaction is carried out, and what its later partitions may count
-        on."""
+        """Note what follows once the transaction is carried out.
+
+        From here on the rest of the transaction may count on it.
+        """
         for task_index, end in ends.ended:
-            transaction.ended_attempts.add((ends.name, task_index))
+            key = TaskKey(ends.name, task_index)
+            transaction.ended_attempts.add(key)
             transaction.charge(ends.job_slice.team, ends.job_slice.resources, -1)
-            transaction.after.append(partial(self.note_end, ends.name, task_index, end, now))
-
-    def split(
-        self, transaction: TransactionBuilder, job_slice: JobSlice, piece: SliceShard
-    ) -> list[SliceShard]:
-        """A slice that is larger than values may be now, in pieces that one transaction takes: its
-        attempts go where they would be written today, so a task is in one record before and after.
-        The one that gives comes first: a version that keeps a task where it read it first would
-        otherwise lose it. Empty where that can't be done yet."""
-        homes: dict[int, dict[int, Attempt]] = {}
-        for task_index, attempt in piece.attempts.items():
-            homes.setdefault(task_index // self._records.shard_width, {})[task_index] = attempt
-        kept, pieces = dict(piece.attempts), []
-        for at, rows in sorted(homes.items(), key=lambda row: -len(row[1])):
-            if transaction.fits(replace(piece, attempts=kept)):
-                break
-            if at == piece.shard:
-                continue
-            other = transaction.slice(job_slice.job, job_slice.team, job_slice.resources, at)
-            other = replace(other, attempts={**other.attempts, **rows})
-            if transaction.fits(other):
-                pieces.append(other)
-                kept = {
-                    task_index: attempt
-                    for task_index, attempt in kept.items()
-                    if task_index not in rows
-                }
-        giving = replace(piece, attempts=kept)
-        pieces.insert(0, giving)
-        return (
-            pieces
-            if transaction.fits(giving) and transaction.room_for(*(row.key for row in pieces))
-            else []
-        )
+            transaction.after.append(partial(self._effects.note_recorded, key, end, now))
 
     def within(self, held: Ranges, shard: int) -> Ranges:
-        """The held tasks whose attempts are written into this shard."""
+        """Return the held tasks whose attempts are written into this shard."""
         if shard < 0:
             return held
         low, high = shard * self._records.shard_width, (shard + 1) * self._records.shard_width
         return tuple((max(a, low), min(b, high)) for a, b in held if a < high and b > low)
 
-    def note_end(self, job: str, task_index: int, end: Termination, now: datetime) -> None:
-        self._context.observer.attempt_ended(self._partition, job, task_index, end)
-        log.debug(
-            "attempt-end-recorded",
-            partition=self._partition,
-            task=f"{job}/{task_index}",
-            machine=end.machine,
-            cause=end.cause,
-        )
-        if (
-            end.cause in gangs.REPLACED
-            and (known := self._records.live_job(job)) is not None
-            and known.spec.gang
-        ):
-            self._gang_attempts.note_lost(job, end.attempt, end.machine)
-        if end.cause == "done":
-            machine = self._machines.get(end.machine)
-            if machine is not None:
-                machine.failures.clear()
-                seen, known = machine.tasks.get((job, task_index)), self._context.view.jobs.get(job)
-                if known is not None and seen is not None and seen.running_since is not None:
-                    self._context.run_times.learn(known, seen.since - seen.running_since)
-            self._backoff.clear(job)
-        elif end.cause in ("error", "unknown", "no_room", "busy"):
-            pause = AVOID if end.cause == "error" else AVOID / 5
-            self._exclusions.exclude(job, end.machine, now + pause)
-            if end.cause == "error":
-                machine = self._machines.get(end.machine)
-                if machine is not None:
-                    machine.failures[job] = now
-                times = self._backoff.note_failure(job, now)
-                log.info(
-                    "task-failed",
-                    partition=self._partition,
-                    task=f"{job}/{task_index}",
-                    machine=end.machine,
-                    failures=times,
-                )
-
 
 def end_gang(
     transaction: TransactionBuilder,
@@ -328,10 +266,12 @@
     touched: dict[int, SliceShard],
     others: list[SliceShard],
 ) -> set[int] | None:
-    """One task that is done means that all are, and the job is: once, whoever reports first. What
-    of it may still be on machines stays in the slices until that is proven gone, as with a
-    cancelled job. Gives the touched shards that are written with it; a gang wider than one
-    transaction leaves the rest for the next. None: not even the job's end has room now."""
+    """End a gang of which a task is done: then all are, and the job is, whoever reports first.
+
+    What of it may still be on machines stays in the slices until it is certainly terminated, as
+    with a cancelled job. Return the touched shards that are written with it; a gang wider than one
+    transaction leaves the rest for the next. None: not even the job's end has room now.
+    """
     ends = (keys.job_key(job.id), keys.job_end_key(job.id), keys.gang_key(job.id))
     all_fits = transaction.room_for(*ends, *(piece.key for piece in touched.values()))
     if not all_fits and (transaction.changes or not transaction.room_for(*ends)):
--- a/roadbend/placement/failure_backoff.py
+++ b/roadbend/placement/failure_backoff.py
@@ -34,7 +34,8 @@
     def note_failure(self, job: str, now: datetime) -> int:
         """Take in a failed task; return how often the job has failed in a row.
 
-        A job that fails everywhere comes back ever more slowly and waits for its user."""
+        A job that fails everywhere comes back ever more slowly and waits for its user.
+        """
         failures = self._failures(job) + 1
         rest = clock.ZERO
         if failures > FREE_FAILURES:
--- a/roadbend/placement/gang_attempts.py
+++ b/roadbend/placement/gang_attempts.py
@@ -63,7 +63,8 @@
     def lost_on(self, job: str) -> set[str]:
         """Return the machines on which a gang's attempt has lost tasks.
 
-        A machine ignores an order for an attempt that it still holds, ended ones too."""
+        A machine ignores an order for an attempt that it still holds, ended ones too.
+        """
         lost = self._lost_on.get(job)
         return lost.machines if lost is not None else set()
 
--- a/roadbend/placement/gang_reservations.py
+++ b/roadbend/placement/gang_reservations.py
@@ -1,6 +1,9 @@
-"""Room for gangs that wait behind a steady stream. What comes free goes to smaller work at once, so
-a wide gang might never find enough of it at one moment. After a while room is kept for one gang at
-a time, for less long than any other job may be kept from room that fits it."""
+"""Room for gangs that wait behind a steady stream.
+
+What comes free goes to smaller work at once, so a wide gang might never find enough of it at one
+moment. After a while room is kept for one gang at a time, for less long than any other job may be
+kept from room that fits it.
+"""
 
 from datetime import datetime, timedelta
 
@@ -32,8 +35,10 @@
         self._usable_machines = usable_machines
 
     def keep_for_gangs(self, not_placed: list[PendingTasks], now: datetime) -> None:
-        """Reserves machines for the first of the gangs that have waited for long, if it could begin
-        on them once what runs there has ended."""
+        """Reserve machines for the first of the gangs that have waited for long.
+
+        It must be able to begin on them once what runs there has ended.
+        """
         gangs = [item for item in not_placed if item.job.spec.gang]
         if not gangs or self._reservations.gangs_paused(now):
             return
@@ -55,19 +60,26 @@
             return
 
     def kept_from(self, item: PendingTasks) -> set[str]:
-        """The machines that an item keeps off for the sake of a gang. Work of higher priority does
-        not wait for one."""
+        """Return the machines that an item keeps off for the sake of a gang.
+
+        Work of higher priority does not wait for one.
+        """
         out = set()
         for machine, row in self._reservations.for_gangs.items():
             gang = self._records.live_job(row.job)
-            if row.job != item.job.id and gang is not None:
-                if gang.spec.priority >= item.job.spec.priority:
-                    out.add(machine)
+            if (
+                row.job != item.job.id
+                and gang is not None
+                and gang.spec.priority >= item.job.spec.priority
+            ):
+                out.add(machine)
         return out
 
     def machines_for(self, item: PendingTasks) -> list[str]:
-        """The machines with the most room for the gang, counting what will end by itself as free;
-        none where all of them together are too few."""
+        """Return the machines with the most room for the gang; none if all of them are too few.
+
+        What will end by itself counts as free.
+        """
         chosen, places = [], 0
         rows = [
             (self.places_on(item, capacity), capacity.id)
@@ -83,7 +95,7 @@
         return chosen if places >= item.count else []
 
     def places_on(self, item: PendingTasks, capacity: FreeCapacity) -> int:
-        """How many tasks of a gang fit on a machine once all that ends by itself has ended."""
+        """Return how many tasks of a gang fit on a machine once what ends by itself has ended."""
         job = item.job
         if not free_capacity.allowed(job, capacity.machine_type, capacity.zone, capacity.spot):
             return 0
--- a/roadbend/placement/gangs.py
+++ b/roadbend/placement/gangs.py
@@ -1,7 +1,9 @@
-"""Gangs: all tasks of a job run at the same time or none does. One partition owns a gang whole and
-starts its tasks under one attempt number, recorded in one transaction; what is stopped is stopped
-whole, and the next attempt begins when every task of the last one is proven gone. While its tasks
-still wait for each other, one that was lost is replaced."""
+"""Gangs: all tasks of a job run at the same time or none does.
+
+One partition owns a gang whole and starts its tasks under one attempt number, recorded in one
+transaction; what is stopped is stopped whole, and the next attempt begins when every task of the
+last one is proven gone. While its tasks still wait for each other, one that was lost is replaced.
+"""
 
 from collections.abc import Set
 from datetime import datetime, timedelta
@@ -43,15 +45,17 @@
         self._apart_gangs = apart_gangs
 
     def seen(self, job: str, task_index: int, attempt: Attempt) -> ObservedTask | None:
-        """How the machine last showed a task of this attempt."""
+        """Return how the machine last showed a task of this attempt."""
         machine = self._machines.get(attempt.machine)
         row = machine.tasks.get(TaskKey(job, task_index)) if machine is not None else None
         return row if row is not None and row.attempt == attempt.number else None
 
     def gathers(self, job: Job, job_slice: JobSlice) -> bool:
-        """Whether what is left of a gang surely still waits for the rest, so that a task may join
-        it: every task was shown waiting, none is being stopped, and there is time for another
-        fetch."""
+        """Whether what is left of a gang surely waits for the rest, so that a task may join it.
+
+        That is: every task was shown waiting, none is being stopped, and there is time for another
+        fetch.
+        """
         now = clock.now()
         if len({attempt.number for attempt in job_slice.attempts.values()}) != 1:
             return False
@@ -72,8 +76,11 @@
         return True
 
     def waiting(self, job: Job, unplaced: Ranges) -> PendingTasks | None:
-        """What of a gang may be placed: all of it, once nothing of an earlier attempt is recorded
-        any more; or what is missing of one that still gathers or is still being recorded."""
+        """Return what of a gang may be placed.
+
+        All of it, once nothing of an earlier attempt is recorded any more; or what is missing of
+        one that still gathers or is still being recorded.
+        """
         if is_scattered(job):
             return None
         if ranges.size(unplaced) == self.share_size(job):
@@ -98,9 +105,12 @@
     def first_share(
         self, transaction: TransactionBuilder, rows: list[Placement]
     ) -> list[Placement]:
-        """The tasks of a gang that go into the transaction in the making: all of them where one can
-        hold them, else as many as there is room for now. The next transactions record the rest
-        under the same attempt number, and the tasks wait for each other on their machines."""
+        """Return the tasks of a gang that go into the transaction in the making.
+
+        All of them where one can hold them, else as many as there is room for now. The next
+        transactions record the rest under the same attempt number, and the tasks wait for each
+        other on their machines.
+        """
         shards = {index // self._records.shard_width for _, index, _ in rows}
         if len(shards) <= transaction.most_slices(self._records.shard_width):
             return rows
@@ -112,7 +122,7 @@
         return [row for row in rows if row[1] // self._records.shard_width in first]
 
     def note_filling(self, piece: SliceShard) -> None:
-        """A first share has been recorded: the rest comes before all other work."""
+        """Note that a first share was recorded: the rest comes before all other work."""
         self._gang_attempts.note_filling(piece.job, next(iter(piece.attempts.values())).number)
 
     def filled(self, job: str, attempt: int) -> bool:
@@ -123,18 +133,19 @@
         return len(self._records.job_slices()[job].attempts) == self.share_size(known)
 
     def filling_first(self, queue: list[PendingTasks]) -> list[PendingTasks]:
+        """Return the queue with the gangs first of which the rest is still to be recorded."""
         return sorted(queue, key=lambda item: self._gang_attempts.filling(item.job.id) is None)
 
     def unplaced_here(self, job: Job, job_slice: JobSlice) -> Ranges:
-        """The tasks of this partition's share that are not recorded."""
+        """Return the tasks of this partition's share that are not recorded."""
         return ranges.minus(job.allocation.get(self._partition, ()), ranges.of(job_slice.attempts))
 
     def share_size(self, job: Job) -> int:
-        """How many tasks this partition starts: all, or its share of a gang that is to be apart."""
+        """Return how many tasks this partition starts: all, or its share of an apart gang."""
         return ranges.size(job.allocation.get(self._partition, ()))
 
     def number(self, job: str) -> int | None:
-        """The attempt that a task joins."""
+        """Return the recorded attempt of a gang, which further tasks join."""
         job_slice = self._records.job_slices().get(job)
         return (
             next((attempt.number for attempt in job_slice.attempts.values()), None)
@@ -143,7 +154,7 @@
         )
 
     def attempt_number(self, job: Job) -> int:
-        """The number under which tasks start now: of the attempt that they join, else a new one."""
+        """Return the number under which tasks start now: the joined one, or a new one."""
         joined = self.number(job.id)
         apart = apart_gangs.is_apart(job)
         if joined is None and apart:
@@ -159,8 +170,10 @@
         return self._apart_gangs.may_start(job)
 
     def stop_whole(self, job: Job, why: str, now: datetime, grace: timedelta | None = None) -> None:
-        """All tasks are told at once, so that each is within `gang_peer` of the first. One that has
-        saved waits for the others; what it is given counts that."""
+        """Stop all tasks of a gang at once, so that each is told within `gang_peer` of the first.
+
+        One that has saved waits for the others; what it is given counts that.
+        """
         job_slice = self._records.job_slices().get(job.id)
         if job_slice is None:
             return
@@ -222,16 +235,16 @@
         self.stop_whole(job, "peers", now, clock.ZERO)
 
     def still_gathers(self, job: Job, job_slice: JobSlice, rest: Set[int]) -> bool:
-        """As `gathers`, for what is left; tasks that were just ordered may not have been shown
-        yet."""
+        """Whether what is left may still be joined, as `gathers`.
+
+        Tasks that were just ordered may not have been shown yet.
+        """
         now = clock.now()
         for task_index in rest:
             attempt = job_slice.attempts[task_index]
             row = self.seen(job.id, task_index, attempt)
-            if (
-                (job.id, task_index) in self._stops
-                or row is not None
-                and row.state not in NOT_BEGUN
+            if (job.id, task_index) in self._stops or (
+                row is not None and row.state not in NOT_BEGUN
             ):
                 return False
             if (
@@ -244,8 +257,10 @@
 
 
 def is_scattered(job: Job) -> bool:
-    """Whether several partitions hold tasks of a gang that one partition should hold whole. A
-    version before gangs moves a gang's tasks like an array's."""
+    """Whether several partitions hold tasks of a gang that one partition should hold whole.
+
+    A version before gangs moves a gang's tasks like an array's.
+    """
     return job.spec.gang and not apart_gangs.is_apart(job) and len(job.allocation) > 1
 
 
--- a/roadbend/placement/heartbeats.py
+++ b/roadbend/placement/heartbeats.py
@@ -11,6 +11,7 @@
 from roadbend.fleet import heartbeat_evaluation, messages
 from roadbend.fleet.machines import Machine
 from roadbend.fleet.messages import HeartbeatPosition, WorkerHeartbeat, WorkerOrder
+from roadbend.fleet.terminations import TaskKey
 from roadbend.log import Log
 from roadbend.placement.gangs import Gangs
 from roadbend.placement.partition_state import PartitionState
@@ -25,7 +26,7 @@
 
 
 class HeartbeatHandler:
-    """Takes reports in for one partition, under its leader's lock."""
+    """Takes heartbeats in for one partition, under its leader's lock."""
 
     def __init__(self, state: PartitionState, gangs: Gangs, steps: StepSignal, lock: RLock) -> None:
         self._records, self._context = state.records, state.records.context
@@ -37,16 +38,19 @@
         self.recovery = PartitionRecovery()
 
     def token(self, machine: Machine | None = None) -> int:
-        """What goes out as the token: the term, and below it which of the machine's lives this is,
-        so that what a former life said, however late it comes, is told from what this one says."""
+        """Return the fencing token for a machine: the term, and below it the machine's incarnation.
+
+        So what a former incarnation said, however late it comes, is told from what this one says.
+        """
         return self._leadership.term << records.INCARNATION_BITS | (
             machine.token.incarnation if machine is not None else 0
         )
 
     def answer_unchanged(self, data: Any, now: datetime) -> int | None:
-        """A report that brings nothing new, which nearly all do: known to be answered with no
-        orders by comparing it with the last one. Gives the token to answer with; None: it must be
-        looked at."""
+        """Return the token to answer a heartbeat with that brings nothing new, as nearly all do.
+
+        It is known to call for no orders by comparing it with the last one. None: it must be read.
+        """
         name = messages.sender_machine(data)
         machine = self._machines.get(name) if name is not None else None
         if machine is None:
@@ -73,11 +77,12 @@
         return token
 
     async def handle(self, heartbeat: WorkerHeartbeat) -> tuple[int, list[WorkerOrder]] | None:
-        """Token and orders for the response; None for a report that is not newer than what we had.
+        """Return token and orders for the answer; None for a heartbeat that is not admitted.
 
-        What a report brings may call for orders: room came free, a machine came up. Its response
-        waits the little while that recording takes, so that the next task starts now and not a
-        report later."""
+        What a heartbeat brings may call for orders: capacity came free, a machine came up. Its
+        answer waits the little while that recording takes, so that the next task starts now and not
+        a heartbeat later.
+        """
         now = clock.now()
         if heartbeat.machine in self._context.deleted_machines.ids:
             # A report that was held back on its way: the machine is gone, and must not come to life
@@ -147,9 +152,11 @@
         return orders, news
 
     def _still_counts(self, machine: Machine, heartbeat: WorkerHeartbeat, incarnation: int) -> bool:
-        """Whether a report that waited may still be read and answered. Meanwhile the partition may
-        have been lost, the machine deleted or begun anew, and a newer report of it answered with
-        orders to start: what this one lacks would then prove nothing."""
+        """Whether a heartbeat that waited may still be read and answered.
+
+        Meanwhile the partition may have been lost, the machine deleted or restarted, and a newer
+        heartbeat of it answered with orders to start: what this one lacks would then prove nothing.
+        """
         return (
             self._records.is_leading()
             and self._machines.get(machine.id) is machine
@@ -183,7 +190,7 @@
         recorded = self._records.attempts_by_machine().get(machine.id, {})
         for key, (_, attempt) in recorded.items():
             if self._records.live_job(key[0]) is None:
-                self._stops.order_cancelled(key, attempt, now)
+                self._stops.order_cancelled(TaskKey(*key), attempt, now)
         may_start = self._context.election.may_start(now) and not machine.lifecycle.fencing
         jobs = {
             key[0]: job for key in recorded if (job := self._records.live_job(key[0])) is not None
@@ -204,9 +211,11 @@
         return orders
 
     def begin_incarnation(self, machine: Machine, position: HeartbeatPosition) -> None:
-        """The machine itself has shown that it began anew: what its former life said proves nothing
-        any more, and what it held is gone only once a report of this life under its own token lacks
-        it."""
+        """Note that a machine itself has shown that it restarted.
+
+        What its former incarnation said proves nothing any more, and what it held is terminated
+        only once a heartbeat of this incarnation under its own token lacks it.
+        """
         with self._lock:
             log.info(
                 "machine-restarted",
@@ -218,7 +227,7 @@
         self._steps.request()
 
     def _evacuate(self, machine: Machine, recorded: MachineAttempts, now: datetime) -> None:
-        """A spot notice: let tasks run as long as it pays, then save and go."""
+        """Let tasks on a machine run as long as it pays before it is reclaimed, then save."""
         left = (machine.lifecycle.reclaim_at or now) - now
         for key, (_, attempt) in recorded.items():
             job = self._records.live_job(key[0])
@@ -233,7 +242,7 @@
                     # All of it saves together, or nothing is saved.
                     self._gangs.stop_whole(job, "notice", now)
                 else:
-                    self._stops.order(key, attempt, grace, "notice", now)
+                    self._stops.order(TaskKey(*key), attempt, grace, "notice", now)
 
     def _learn(self, machine: Machine, recorded: MachineAttempts, now: datetime) -> None:
         machine_type = self._context.machine_types.get(machine.machine_type)
--- a/roadbend/placement/leader.py
+++ b/roadbend/placement/leader.py
@@ -2,7 +2,8 @@
 
 The truth about attempts is in the slice records as the view shows them. What is kept here besides
 is what can be lost: what machines last showed, the terminations not yet recorded, stops that were
-decided."""
+decided.
+"""
 
 import threading
 from collections.abc import Callable, Mapping
@@ -193,7 +194,8 @@
     async def step(self) -> bool:
         """Carry one step out: one transaction at most.
 
-        Return whether the next one is to come at once."""
+        Return whether the next one is to come at once.
+        """
         if not self.context.election.may_start(clock.now()):
             return False
         if self.transactions.in_doubt and not await self.transactions.resolve_in_doubt():
@@ -238,7 +240,8 @@
         """Note as terminated all that is recorded on a machine.
 
         The evidence is from outside a heartbeat: the cloud's answer to a deletion, or a worker
-        lease that ran out."""
+        lease that ran out.
+        """
         with self.lock:
             for key, (_, attempt) in self.records.attempts_by_machine().get(machine, {}).items():
                 self.terminations.note(key, Termination(attempt.number, machine, False, evidence))
--- a/roadbend/placement/partition_state.py
+++ b/roadbend/placement/partition_state.py
@@ -21,7 +21,8 @@
 class PartitionState:
     """The state of one partition, an object for each concern that alone changes its own.
 
-    What schedules work takes from here the objects that it uses."""
+    What schedules work takes from here the objects that it uses.
+    """
 
     records: PartitionRecords
     registry: MachineRegistry
--- a/roadbend/placement/pending_queue.py
+++ b/roadbend/placement/pending_queue.py
@@ -27,7 +27,7 @@
 
 
 class PendingQueue:
-    """Worked out from the records, and remembered until they change."""
+    """The queue as worked out from the records, remembered until they change."""
 
     def __init__(self, state: PartitionState, gangs: Gangs) -> None:
         self._records, self._context = state.records, state.records.context
@@ -47,8 +47,10 @@
         self.not_placed: list[PendingTasks] = []
 
     def pending(self) -> list[PendingTasks]:
-        """The queue, in order; worked out anew only when the records have changed or a moment has
-        passed. Callers do not change it."""
+        """Return the queue, in order. Callers do not change it.
+
+        It is worked out anew only when the records have changed or a moment has passed.
+        """
         view, now = self._context.view, clock.now()
         mark = (view.version, len(self._context.cancellations.jobs))
         if self._queue[0] == mark and now - self._queue[1] < REUSE:
@@ -98,15 +100,18 @@
         self.not_placed = items
 
     def lately(self) -> list[PendingTasks]:
-        """The queue as it was a moment ago, for bids and estimates. Records change many times a
-        second, and what a bid promises is only a forecast; starts go by `pending`."""
+        """Return the queue as it was a moment ago, for bids and estimates.
+
+        Records change many times a second, and what a bid promises is only a forecast; starts go by
+        `pending`.
+        """
         window = max(REUSE, min(REUSE_MOST, self._took * REST))
         if clock.now() - self._queue[1] < window:
             return self._queue[2]
         return self.pending()
 
     def unplaced(self, job: Job) -> Ranges:
-        """Tasks of a job that this partition holds, has not placed, and may place."""
+        """Return the tasks of a job that this partition holds, has not placed, and may place."""
         return self.recovery.placeable(job, self._not_placed(job))
 
     def _not_placed(self, job: Job) -> Ranges:
@@ -122,9 +127,10 @@
 
     def _find_unplaced(self, job: Job, job_slice: JobSlice) -> Ranges:
         held = job.allocation.get(self._partition, ())
-        if len(job_slice.attempts) + ranges.size(job_slice.done) >= ranges.size(held):
-            if job_slice.attempts.keys() >= set(ranges.numbers(ranges.minus(held, job_slice.done))):
-                return ()
+        if len(job_slice.attempts) + ranges.size(job_slice.done) >= ranges.size(
+            held
+        ) and job_slice.attempts.keys() >= set(ranges.numbers(ranges.minus(held, job_slice.done))):
+            return ()
         return ranges.minus(
             held, ranges.union(job_slice.done, ((n, n + 1) for n in job_slice.attempts))
         )
--- a/roadbend/placement/preemption.py
+++ b/roadbend/placement/preemption.py
@@ -1,6 +1,6 @@
 """Room that is made by stopping lesser work."""
 
-from collections.abc import Iterable, Iterator
+from collections.abc import Iterable
 from dataclasses import replace
 from datetime import datetime, timedelta
 from itertools import islice
@@ -8,8 +8,8 @@
 from roadbend import clock
 from roadbend.fleet.terminations import TaskKey
 from roadbend.log import Log
-from roadbend.placement import free_capacity, preemption_policy
-from roadbend.placement.exclusions import PlacementExclusions
+from roadbend.placement import free_capacity
+from roadbend.placement.clearings import Clearings
 from roadbend.placement.free_capacity import RESOURCE_TOLERANCE, FreeCapacity
 from roadbend.placement.gangs import Gangs
 from roadbend.placement.partition_state import PartitionState
@@ -51,17 +51,17 @@
         all_of_them: bool,
         now: datetime,
     ) -> None:
+        """Stop lesser work for what found no place, and reserve the machines for it.
+
+        `capacities`: the machines that were looked at; `all_of_them`: whether these are all.
+        """
         waiting = [item for item in not_placed if item.job.spec.priority > 0 or item.guaranteed]
         if not waiting:
             return
         if not all_of_them:
-            known = {capacity.id: capacity for capacity in capacities}
-            capacities = [
-                known.get(capacity.id, capacity)
-                for capacity in self._usable_machines.capacities(transaction.ended_attempts)
-            ]
+            capacities = self._with_the_rest(capacities, transaction)
         running = self.stoppable(waiting, now)
-        schedule = _Clearings(
+        schedule = Clearings(
             self._exclusions,
             [capacity for capacity in capacities if capacity.id in running],
             running,
@@ -83,8 +83,18 @@
             if most <= 0:
                 return
 
+    def _with_the_rest(
+        self, capacities: list[FreeCapacity], transaction: TransactionBuilder
+    ) -> list[FreeCapacity]:
+        """Return all usable machines, those that were looked at as they are now."""
+        known = {capacity.id: capacity for capacity in capacities}
+        return [
+            known.get(capacity.id, capacity)
+            for capacity in self._usable_machines.capacities(transaction.ended_attempts)
+        ]
+
     def stoppable(self, waiting: list[PendingTasks], now: datetime) -> dict[str, list[Victim]]:
-        """What runs and may be stopped for something that waits, by machine."""
+        """Return what runs and may be stopped for something that waits, by machine."""
         over, sure = self.teams_beyond(), self._context.fair_share.guaranteed_jobs()
         running: dict[str, list[Victim]] = {}
         losses: dict[str, float] = {}
@@ -105,19 +115,19 @@
                     if loss is None:
                         rows_of = self._records.job_slices()[job.id].attempts.items()
                         loss = sum(
-                            self.work_lost((job.id, task_index), other, job, now)
+                            self.work_lost(TaskKey(job.id, task_index), other, job, now)
                             for task_index, other in rows_of
                         )
                         losses[job.id] = loss
                 else:
-                    loss = self.work_lost(key, attempt, job, now)
+                    loss = self.work_lost(TaskKey(*key), attempt, job, now)
                 row = Victim(
                     job_slice.resources,
                     job.spec.priority,
                     beyond,
                     job_slice.team,
                     loss,
-                    RunningTask(key, attempt, job),
+                    RunningTask(TaskKey(*key), attempt, job),
                 )
                 running.setdefault(machine, []).append(row)
         return running
@@ -129,6 +139,7 @@
         chosen: list[Victim],
         now: datetime,
     ) -> None:
+        """Stop what was chosen on a machine for an item."""
         for victim in chosen:
             key, attempt, job = victim.task
             log.info(
@@ -149,11 +160,13 @@
         self,
         item: PendingTasks,
         capacities: list[FreeCapacity],
-        schedule: "_Clearings",
+        schedule: Clearings,
         now: datetime,
     ) -> set[str]:
-        """Room for all of a gang, or nothing is stopped for it. What it needs is kept for it
-        together, free room too."""
+        """Make room for all of a gang, or stop nothing for it; return the machines it gets.
+
+        What it needs is reserved for it together, free room too.
+        """
         resources = item.job.spec.resources
         capacities = [capacity for capacity in capacities if capacity.id not in schedule.taken]
         free = {
@@ -166,12 +179,8 @@
             for r in capacities
             if free_capacity.allowed(item.job, r.machine_type, r.zone, r.spot)
         }
-        plan = self._plan_whole(
-            item,
-            sum(count for name, count in free.items() if name in allowed),
-            free,
-            schedule,
-        )
+        places = sum(count for name, count in free.items() if name in allowed)
+        plan = self._plan_whole(item, places, free, schedule)
         if plan is None:
             return set()
         for capacity, chosen in plan:
@@ -191,11 +200,12 @@
         item: PendingTasks,
         places: int,
         free: dict[str, int],
-        schedule: "_Clearings",
+        schedule: Clearings,
     ) -> list[Clearing] | None:
         """Return what to stop so that a gang finds enough places; None if that is too few.
 
-        `places`: how many it finds without. `free`: how many each machine has."""
+        `places`: how many it finds without. `free`: how many each machine has.
+        """
         resources = item.job.spec.resources
         plan: list[Clearing] = []
         for capacity, chosen in islice(schedule.of(item), MAX_PREEMPTED):
@@ -215,6 +225,7 @@
         )
 
     def teams_beyond(self) -> dict[str, bool]:
+        """Return of each team whether it uses more than its guarantee."""
         out = {}
         for team in self._context.settings.teams.values():
             cpus, gpus = self._context.view.used_by(team.name)
@@ -224,7 +235,7 @@
         return out
 
     def work_lost(self, key: TaskKey, attempt: Attempt, job: Job, now: datetime) -> float:
-        """Seconds of work that stopping a task now would waste."""
+        """Return the seconds of work that stopping a task now would waste."""
         machine = self._machines.get(attempt.machine)
         seen = machine.tasks.get(key) if machine else None
         if seen is None or seen.running_since is None:
@@ -232,53 +243,3 @@
         if job.spec.checkpoint > clock.ZERO:
             return job.spec.save.total_seconds() + 1.0
         return (now - seen.running_since).total_seconds()
-
-
-class _Clearings:
-    """Where room can be made; work that is alike looks at the machines once."""
-
-    def __init__(
-        self,
-        exclusions: PlacementExclusions,
-        capacities: list[FreeCapacity],
-        running: dict[str, list[Victim]],
-    ):
-        self._exclusions, self._capacities, self._running = exclusions, capacities, running
-        self._known: dict[tuple, list[Clearing]] = {}
-        # The lowest priority on each machine, and the teams that are beyond their guarantees there.
-        self._lowest = {name: min(row.priority for row in rows) for name, rows in running.items()}
-        self._beyond = {
-            name: {victim.team for victim in victims if victim.beyond_guarantee}
-            for name, victims in running.items()
-        }
-        # Machines that are taken already.
-        self.taken: set[str] = set()
-
-    def of(self, item: PendingTasks) -> Iterator[Clearing]:
-        """The machines on which room for the item can still be made, the best first."""
-        spec = item.job.spec
-        kept_from = self._exclusions.withheld_types(item.job.id)
-        without_image = self._exclusions.without_image(item.job.id)
-        kind = (
-            (spec.resources, spec.machine_types, spec.zone, spec.spot, spec.image),
-            (spec.priority, spec.team, item.guaranteed, kept_from, without_image),
-        )
-        found = self._known.get(kind)
-        if found is None:
-            open_to = [
-                capacity
-                for capacity in self._capacities
-                if self._may_clear(item, capacity.id)
-                and capacity.machine_type not in kept_from
-                and capacity.id not in without_image
-            ]
-            found = self._known[kind] = preemption_policy.clearings(item, open_to, self._running)
-        return (row for row in found if row[0].id not in self.taken)
-
-    def _may_clear(self, item: PendingTasks, machine: str) -> bool:
-        """Whether anything on a machine may be stopped for an item: `preemption_policy.may_preempt`
-        for all that runs there at once."""
-        spec = item.job.spec
-        if self._lowest[machine] < spec.priority:
-            return True
-        return item.guaranteed and any(team != spec.team for team in self._beyond[machine])
--- a/roadbend/placement/queue_projection.py
+++ b/roadbend/placement/queue_projection.py
@@ -4,15 +4,19 @@
 from dataclasses import dataclass, field, replace
 from datetime import datetime, timedelta
 from functools import cached_property
+from typing import NamedTuple, cast
 
 from roadbend import clock
+from roadbend.fleet.terminations import TaskKey
 from roadbend.placement import forecast, free_capacity
+from roadbend.placement.bin_packing import TaskShape
 from roadbend.placement.forecast import MachineTimeline, Release, release_time
 from roadbend.placement.free_capacity import FreeCapacity
 from roadbend.placement.partition_state import PartitionState
 from roadbend.placement.pending_queue import PendingQueue
 from roadbend.placement.usable_machines import UsableMachines
-from roadbend.store.records import Job
+from roadbend.store.record_view import JobSlice
+from roadbend.store.records import Attempt, Job
 
 # For how long a layout that was worked out may serve again, at the least.
 REUSE = timedelta(milliseconds=600)
@@ -29,26 +33,27 @@
     # missing.
     starts: dict[str, list[float]]
     # How many tasks of a kind fit, as far as it was asked for.
-    _fitting: dict[tuple, tuple[int, int]] = field(default_factory=dict)
+    _fitting: dict[TaskShape, tuple[int, int]] = field(default_factory=dict)
 
     @cached_property
     def cores(self) -> float:
+        """Return the CPUs of all machines, at least one."""
         return max(1.0, sum(timeline.capacity.total.cpus for timeline in self.timelines))
 
     @cached_property
     def ready(self) -> list[FreeCapacity]:
-        """The machines that are up."""
+        """Return the machines that are up."""
         return [timeline.capacity for timeline in self.timelines if timeline.capacity.ready_in <= 0]
 
     @cached_property
     def laid(self) -> int:
-        """How many waiting tasks found a place."""
+        """Return how many waiting tasks found a place."""
         return sum(len(rows) for rows in self.starts.values())
 
     def fitting(self, job: Job) -> tuple[int, int]:
-        """How many tasks of a job fit on the machines that are up, and on those that boot."""
+        """Return how many tasks of a job fit on machines that are up, and on those that boot."""
         spec = job.spec
-        kind = (spec.resources, spec.machine_types, spec.zone, spec.spot)
+        kind = TaskShape(spec.resources, spec.machine_types, spec.zone, spec.spot)
         found = self._fitting.get(kind)
         if found is None:
             counts = [0, 0]
@@ -62,8 +67,17 @@
         return found
 
 
+class _Asked(NamedTuple):
+    """What a projection was asked for."""
+
+    least_priority: int
+    without_types: frozenset[str]
+    # How many machines booted then.
+    booting: int
+
+
 class QueueProjections:
-    """Works layouts out, and keeps the last ones for a moment."""
+    """Works projections out, and keeps the last ones for a moment."""
 
     def __init__(
         self, state: PartitionState, usable_machines: UsableMachines, queue: PendingQueue
@@ -71,15 +85,17 @@
         self._records, self._context = state.records, state.records.context
         self._registry, self._machines = state.registry, state.registry.by_id
         self._stops, self._usable_machines, self._queue = state.stops, usable_machines, queue
-        self._projections: deque[tuple[tuple, datetime, timedelta, QueueProjection]] = deque(
+        self._projections: deque[tuple[_Asked, datetime, timedelta, QueueProjection]] = deque(
             maxlen=MAX_LAYOUTS
         )
 
     def of(self, least: int, avoid: frozenset[str]) -> QueueProjection:
-        """The machines with the queue from a priority on laid on them. One layout serves all that
-        is asked of a moment, for in a burst bids come by the dozen; what took long to work out
-        serves longer."""
-        now, mark = clock.now(), (least, avoid, len(self._registry.booting))
+        """Return the machines with the queue from a priority on laid on them.
+
+        One projection serves all that is asked of a moment, for in a burst bids come by the dozen;
+        what took long to work out serves longer.
+        """
+        now, mark = clock.now(), _Asked(least, avoid, len(self._registry.booting))
         for key, at, window, projection in self._projections:
             if key == mark and now - at < window:
                 return projection
@@ -103,16 +119,27 @@
 
     @staticmethod
     def most_forecast(timelines: list[MachineTimeline]) -> int:
-        """How far down the queue a forecast looks: to about where every machine has been filled
-        anew."""
+        """Return how far down the queue a forecast looks.
+
+        That is to about where every machine has been filled anew.
+        """
         return max(128, 6 * len(timelines))
 
     def run_seconds(self, job: Job) -> float:
+        """Return how long a task of a job is thought to run."""
         return forecast.run_seconds(job, self._context.run_times.factor(job.spec.job_class))
 
+    def _attempts_by_machine(self) -> dict[str, dict[TaskKey, tuple[JobSlice, Attempt]]]:
+        # The record view's keys are plain tuples, which equal task keys.
+        return cast(
+            "dict[str, dict[TaskKey, tuple[JobSlice, Attempt]]]",
+            self._records.attempts_by_machine(),
+        )
+
     def timelines(self, more: list[FreeCapacity]) -> list[MachineTimeline]:
-        """The machines with what runs on them and when that is thought to end."""
-        now, index = clock.now(), self._records.attempts_by_machine()
+        """Return the machines with what runs on them and when that is thought to end."""
+        now = clock.now()
+        index = self._attempts_by_machine()
         stops = self._stops.by_task
         out = []
         lengths: dict[str, float | None] = {}
--- a/roadbend/placement/quotas.py
+++ b/roadbend/placement/quotas.py
@@ -36,8 +36,10 @@
         self._partition = state.records.partition
 
     def team_left(self, transaction: TransactionBuilder, team: str) -> QuotaAmount | None:
-        """What a team's limit leaves this partition, after what the transaction in the making
-        starts and ends."""
+        """Return what a team's quota leaves this partition; None for an unknown team.
+
+        What the transaction in the making starts and ends counts.
+        """
         most = self._context.fair_share.quota_for(team, self._partition)
         if most is None:
             return None
@@ -45,8 +47,10 @@
         return QuotaAmount(most[0] - used[0], most[1] - used[1])
 
     def yields(self, item: PendingTasks, overdue: dict[str, dict[str, int]]) -> bool:
-        """Whether an item leaves its team's room to a job that another partition holds and that has
-        begun nothing for too long: a partition's own steady stream must not starve it."""
+        """Whether an item leaves its team's quota to a starved job that another partition holds.
+
+        A partition's own steady stream must not starve it.
+        """
         jobs = overdue.get(item.job.spec.team)
         if not jobs or item.starved:
             return False
@@ -69,10 +73,13 @@
         tasks: int,
         record_keys: list[str],
     ) -> bool:
-        """Sees to it that the team's record sets enough aside for this partition, in the same
-        transaction. Some more than is needed is taken while there is plenty, so that partitions
-        seldom meet there."""
+        """Reserve quota for so many tasks, in the same transaction; False if there is no room.
+
+        Some more than is needed is reserved while there is plenty, so that partitions seldom meet
+        there.
+        """
         limits, team_key = self._context.fair_share.quota(team), keys.team_key(team)
+        assert limits is not None, "no tasks of a team without a quota are placed"
         used = transaction.used(team)
         used = (used[0] + tasks * resources.cpus, used[1] + tasks * resources.gpus)
         use = transaction.team(team)
@@ -128,7 +135,8 @@
         """Return the CPUs and GPUs that what waits asks for, by team.
 
         What has waited here for longer may wait for a machine that can't be had; other partitions
-        may have room."""
+        may have room.
+        """
         waiting: dict[str, tuple[float, float]] = {}
         starved = self._context.starvation.starved_jobs(now)
         for item in pending:
@@ -143,8 +151,10 @@
 
 
 def within(limits: QuotaAllowance, items: Iterable[PendingTasks]) -> list[PendingTasks]:
-    """As much of the items, in their order, as the teams' limits permit all together: no room is
-    made, and no machine hired, for what could not use it."""
+    """Return as much of the items, in their order, as the teams' quotas permit all together.
+
+    No room is made, and no machine created, for what could not use it.
+    """
     permitted = []
     for item in items:
         cut = limits.cut(item)
--- a/roadbend/placement/recovery_hooks.py
+++ b/roadbend/placement/recovery_hooks.py
@@ -1,7 +1,8 @@
 """What owners and controllers ask before they act on records that may not match the machines yet.
 
 The classes here hold nothing back: they stand in where recovery (`roadbend.recovery`) is switched
-off, so that the core has no condition on it and imports none of it."""
+off, so that the core has no condition on it and imports none of it.
+"""
 
 from datetime import datetime
 
@@ -21,7 +22,7 @@
         return False
 
     def placeable(self, job: Job, tasks: Ranges) -> Ranges:
-        """Those of a job's unplaced tasks that may be given a machine now."""
+        """Return those of a job's unplaced tasks that may be given a machine now."""
         return tasks
 
     def knows_machines(self) -> bool:
@@ -29,19 +30,23 @@
         return True
 
     def spaces_out(self, key: TaskKey, stop: StopOrder, now: datetime) -> bool:
-        """Whether a direct kill may wait: the answer to a report has just carried it, or the
-        task has ended."""
+        """Whether a direct kill may wait.
+
+        The answer to a report has just carried it, or the task has ended.
+        """
         return False
 
     def note_heartbeat(self, machine: Machine, heartbeat: WorkerHeartbeat, now: datetime) -> None:
-        """A report was taken in and read."""
+        """Note a heartbeat that was admitted and read."""
 
     def note_term_in_use(self, machine: str, term: int) -> None:
-        """A machine that we have not answered has seen a term that is ours or higher."""
+        """Note that a machine which we have not answered has seen our term or a higher one."""
 
     def adopt(self, transaction: TransactionBuilder, now: datetime) -> bool:
-        """Puts unrecorded attempts that are to be kept into the transaction; says whether some are
-        left for the next one."""
+        """Put unrecorded attempts that are to be kept into the transaction.
+
+        Return whether some are left for the next one.
+        """
         return False
 
 
--- a/roadbend/placement/restrictions.py
+++ b/roadbend/placement/restrictions.py
@@ -1,5 +1,8 @@
-"""Machines and types that what waits is kept from for now: where its job just failed, where room is
-kept for other work, where it is dear, and where its image is not."""
+"""Machines and types that what waits is kept from for now.
+
+Where its job just failed, where room is kept for other work, where it is dear, and where its image
+is not.
+"""
 
 from collections.abc import Callable
 from datetime import datetime, timedelta
@@ -8,7 +11,7 @@
 from roadbend.autoscaler import policy as renting
 from roadbend.log import Log
 from roadbend.placement import free_capacity
-from roadbend.placement.bin_packing import Exclusions
+from roadbend.placement.bin_packing import Exclusions, TaskShape
 from roadbend.placement.free_capacity import FreeCapacity
 from roadbend.placement.gang_reservations import GangReservations
 from roadbend.placement.partition_state import PartitionState
@@ -38,14 +41,14 @@
         capacities: list[FreeCapacity],
         now: datetime,
     ) -> None:
-        """Remembers since when jobs are kept from room that fits them for the sake of others."""
+        """Remember since when jobs are kept from capacity that fits them for the sake of others."""
         kept_ids = self._reservations.machines()
         kept = [capacity for capacity in capacities if capacity.id in kept_ids]
-        known: dict[tuple, bool] = {}
+        known: dict[TaskShape, bool] = {}
         passed = set(yielding)
         for item in items if kept else ():
             spec = item.job.spec
-            kind = (spec.resources, spec.machine_types, spec.zone, spec.spot)
+            kind = TaskShape(spec.resources, spec.machine_types, spec.zone, spec.spot)
             if kind not in known:
                 known[kind] = any(
                     capacity.fits(spec.resources)
@@ -59,7 +62,7 @@
         self._aging.note_passed_over(passed, now)
 
     def hold_back(self, queue: list[PendingTasks]) -> None:
-        """Which types a waiting service is kept from, as when bidding."""
+        """Decide which types a waiting service is kept from, as when bidding."""
         machine_types, wall = self._context.machine_types.values(), clock.wall()
         boot = max((machine_type.startup for machine_type in machine_types), default=clock.ZERO)
         withheld: dict[str, frozenset[str]] = {}
@@ -78,9 +81,11 @@
         self._exclusions.withhold_types(withheld)
 
     def image_first(self, queue: list[PendingTasks], capacities: list[FreeCapacity]) -> None:
-        """A service that would be late by its fetch keeps off machines without its image for a
-        moment, where one that has the image can be cleared for it sooner: images lead placement,
-        also against free room."""
+        """Keep services that would be late by their fetch off machines without their image.
+
+        That is for a moment, and where a machine that has the image can be cleared for them sooner:
+        images lead placement, also against free room.
+        """
         without_image: dict[str, frozenset[str]] = {}
         wall, pulls = (
             clock.wall(),
@@ -130,8 +135,11 @@
         return self.bars if any_excluded else None
 
     def bars(self, item: PendingTasks) -> Exclusions:
-        """Machines and types that an item keeps off: those where its job just failed, and room that
-        is being made for other work, which is not filled while its victims go."""
+        """Return the machines and types that an item keeps off.
+
+        Those where its job just failed, and room that is being made for other work, which is not
+        filled while its victims go.
+        """
         name = item.job.id
         reserved: set[str] = set()
         if not self._aging.is_starving(name, clock.now()):
--- a/roadbend/placement/start_recorder.py
+++ b/roadbend/placement/start_recorder.py
@@ -1,7 +1,8 @@
 """Records starts before they are ordered.
 
 The order to start goes out with the answer to a heartbeat, or directly, only once the state store
-has carried the transaction out."""
+has carried the transaction out.
+"""
 
 from collections.abc import Iterable
 from dataclasses import replace
--- a/roadbend/placement/starts.py
+++ b/roadbend/placement/starts.py
@@ -60,7 +60,8 @@
     def start(self, transaction: TransactionBuilder, now: datetime) -> bool:
         """Put starts into the transaction; return whether some are left for the next one.
 
-        What finds no place gets machines reserved, or lesser work stopped for it."""
+        What finds no place gets machines reserved, or lesser work stopped for it.
+        """
         queue = self._queue.pending()
         self._aging.note_queue((item.job.id for item in queue), now)
         if not queue:
@@ -86,8 +87,11 @@
     def _find_capacities(
         self, queue: list[PendingTasks], transaction: TransactionBuilder
     ) -> _Capacities:
-        """Return the usable machines. Most are full, and only services that must start soon look
-        at those, for what could be cleared there."""
+        """Return the usable machines.
+
+        Most are full, and only services that must start soon look at those, for what could be
+        cleared there.
+        """
         start_within = self._context.objectives.start_within
         if any(start_within(item.job.spec) is not None for item in queue):
             return _Capacities(
--- a/roadbend/placement/transaction.py
+++ b/roadbend/placement/transaction.py
@@ -50,6 +50,7 @@
 
     @property
     def free(self) -> int:
+        """Return how many more changes fit."""
         return max(0, self._most - len(self.changes))
 
     def machines(self) -> frozenset[str]:
@@ -59,11 +60,12 @@
         )
 
     def most_slices(self, width: int) -> int:
-        """How many slices of so many tasks an empty transaction takes, beside a team's record."""
+        """Return how many slices of so many tasks a transaction takes beside a quota record."""
         weight = min(self._value, width * ATTEMPT_BYTES + SLICE_BYTES)
         return max(1, min(self._most - 1, (MAX_BODY - self._value) // weight))
 
     def room_for(self, *record_keys: str) -> bool:
+        """Whether the records with these keys may be changed, too."""
         fresh = sum(1 for key in record_keys if key not in self.changes)
         return (
             len(self.changes) + fresh <= self._most
@@ -71,6 +73,7 @@
         )
 
     def slice(self, job: str, team: str, resources: Resources, shard: int) -> SliceShard:
+        """Return a shard as this transaction leaves it so far; an empty one if there is none."""
         key = keys.slice_key(self._part, job, shard)
         if key in self.slices:
             return self.slices[key]
@@ -79,19 +82,22 @@
         return found or SliceShard(job, self._part, team, resources, shard=shard)
 
     def team(self, name: str) -> QuotaRecord:
+        """Return a quota record as this transaction leaves it so far."""
         return self.teams.get(name) or self._view.quotas.get(name) or QuotaRecord(name)
 
     def used(self, team: str) -> tuple[float, float]:
-        """What the partition uses for a team once this transaction is carried out."""
+        """Return what the partition uses for a team once this transaction is carried out."""
         cpus, gpus = self._view.usage.get(self._part, {}).get(team, (0.0, 0.0))
         more = self.change.get(team, (0.0, 0.0))
         return cpus + more[0], gpus + more[1]
 
     def charge(self, team: str, resources: Resources, tasks: int) -> None:
+        """Count so many tasks, fewer if negative, in what the partition uses of a team's quota."""
         cpus, gpus = self.change.get(team, (0.0, 0.0))
         self.change[team] = (cpus + tasks * resources.cpus, gpus + tasks * resources.gpus)
 
     def require_job(self, job: Job) -> None:
+        """Make the transaction depend on the job's record being as it was read."""
         self.conditions[keys.job_key(job.id)] = job.mod_revision
 
     def _put(self, key: str, value: Any, size: int | None = None) -> None:
@@ -99,10 +105,11 @@
         self._sizes[key] = (weigh(value) if size is None else size) + len(key) + 60
 
     def fits(self, piece: SliceShard) -> bool:
+        """Whether a shard fits into the value of its record."""
         return weigh(piece.to_value()) <= self._value * 0.95
 
     def set_slice(self, piece: SliceShard) -> bool:
-        """False where the record would not fit its value; nothing is changed then."""
+        """Write a shard; False, and nothing is changed, where it would not fit its value."""
         key, value = piece.key, piece.to_value()
         size = weigh(value)
         if size > self._value * 0.95:
@@ -113,20 +120,24 @@
         return True
 
     def drop_slice(self, piece: SliceShard) -> None:
+        """Delete the record of a shard."""
         self.conditions.setdefault(piece.key, self._view.mod_revision(piece.key))
         self.changes[piece.key] = delete(piece.key)
 
     def set_team(self, use: QuotaRecord) -> None:
+        """Write a quota record."""
         key = keys.team_key(use.team)
         self.conditions.setdefault(key, self._view.mod_revision(key))
         self.teams[use.team] = use
         self._put(key, use.to_value())
 
     def set_job(self, job: Job) -> None:
+        """Write a job's record."""
         self.require_job(job)
         self._put(keys.job_key(job.id), job.to_small_value(int(self._value * 0.95)))
 
     def end_job(self, job: Job, status: str, done: int) -> None:
+        """Replace a job's record by its end."""
         self.require_job(job)
         key, job_end = keys.job_key(job.id), keys.job_end_key(job.id)
         self.conditions[job_end] = 0
--- a/roadbend/placement/transaction_sender.py
+++ b/roadbend/placement/transaction_sender.py
@@ -59,7 +59,8 @@
 
         `more`: whether something is left for the next transaction once this one is carried out.
         Raises `UnavailableError` where nobody knows whether it was carried out, and `TooLargeError`
-        where it certainly was not."""
+        where it certainly was not.
+        """
         changes = list(transaction.changes.values())
         self._terminations.begin_transaction(transaction.ended_attempts)
         self.machines_in_flight = transaction.machines()
@@ -116,7 +117,8 @@
         It may be carried out late. Starts are bounded by the quota reservation and not by the quota
         record, so a late one would come on top of what was started since. Before anything else is
         written, one of its conditions is made false for good, or the records show that it was
-        carried out."""
+        carried out.
+        """
         view = self._context.view
         with trio.move_on_after(RESOLVE_TIMEOUT_S):
             await self._context.reader.read_barrier()
@@ -127,8 +129,11 @@
         return False
 
     async def _falsify_a_condition(self) -> bool:
-        """Write one of the in-doubt transaction's records anew, as it is, so that the condition on
-        its revision can't hold any more; return whether that was carried out."""
+        """Make a condition of the in-doubt transaction false for good; return whether that worked.
+
+        One of its records is written anew, as it is, so that the condition on its revision can't
+        hold any more.
+        """
         view, partition = self._context.view, self._records.partition
         term_key = keys.term_key(partition)
         for key, mod_revision in self._in_doubt.items():
@@ -150,6 +155,6 @@
         return False
 
     def _forget_in_doubt(self) -> None:
-        """The records show what became of the last transaction."""
+        """Forget the last transaction: the records show what became of it."""
         self._in_doubt = {}
         self._terminations.end_transaction()
--- a/roadbend/placement/usable_machines.py
+++ b/roadbend/placement/usable_machines.py
@@ -4,7 +4,7 @@
 from datetime import datetime, timedelta
 
 from roadbend import clock
-from roadbend.autoscaler.cloud import MachineType
+from roadbend.autoscaler.messages import MachineType
 from roadbend.fleet.machines import Machine
 from roadbend.fleet.terminations import TaskKey
 from roadbend.placement.free_capacity import RESOURCE_TOLERANCE, FreeCapacity
@@ -27,34 +27,53 @@
     ) -> list[FreeCapacity]:
         """Return the machines that may be given work, with what the records leave free on them.
 
-        `ended`: attempts that the transaction in the making takes out of the records. `at_least`:
-        leave out the machines that have less free."""
-        now, machine_types = clock.now(), self._context.machine_types
+        `ended`: attempts that the transaction in the making takes out. `at_least`: leaves out less.
+        """
         versions = self._context.view.machine_versions.get(self._records.partition, {})
         released = self._released(ended)
-        silent_after = self._context.settings.heartbeat_interval * SILENT_HEARTBEATS
         capacities = []
-        for machine in self._registry.by_id.values():
-            machine_type = machine_types.get(machine.machine_type)
-            if machine_type is None or not self.is_usable(machine, now, silent_after):
-                continue
+        for machine, machine_type in self._usable_with_types():
             version = versions.get(machine.id, 0)
             if machine.free is None or machine.free[0] != version:
                 machine.free = (version, *self._left_by_records(machine.id, machine_type.capacity))
             _, cpus, gpus, memory = machine.free
-            for resources in released.get(machine.id, ()):
-                cpus += resources.cpus
-                gpus += resources.gpus
-                memory += resources.memory
+            if machine.id in released:
+                cpus, gpus, memory = _with_released(cpus, gpus, memory, released[machine.id])
             if at_least is not None and (
                 at_least.gpus > gpus + RESOURCE_TOLERANCE
                 or at_least.cpus > cpus + RESOURCE_TOLERANCE
                 or at_least.memory > memory + RESOURCE_TOLERANCE
             ):
                 continue
-            capacities.append(_free_capacity(machine, machine_type, cpus, gpus, memory))
+            capacities.append(
+                FreeCapacity(
+                    machine.id,
+                    machine.machine_type,
+                    machine.zone,
+                    machine.spot,
+                    cpus,
+                    gpus,
+                    memory,
+                    machine.images,
+                    machine_type.capacity,
+                    0.0,
+                    machine_type.spot_price if machine.spot else machine_type.price,
+                    machine_type.fetch_gb_per_s,
+                )
+            )
         return capacities
 
+    def _usable_with_types(self) -> list[tuple[Machine, MachineType]]:
+        """Return the machines that may be given work, each with its type."""
+        now, machine_types = clock.now(), self._context.machine_types
+        silent_after = self._context.settings.heartbeat_interval * SILENT_HEARTBEATS
+        return [
+            (machine, machine_type)
+            for machine in self._registry.by_id.values()
+            if (machine_type := machine_types.get(machine.machine_type)) is not None
+            and self.is_usable(machine, now, silent_after)
+        ]
+
     def is_usable(self, machine: Machine, now: datetime, silent_after: timedelta) -> bool:
         """Whether a machine may be given work."""
         lifecycle, token = machine.lifecycle, machine.token
@@ -91,21 +110,12 @@
         return cpus, gpus, memory
 
 
-def _free_capacity(
-    machine: Machine, machine_type: MachineType, cpus: float, gpus: float, memory: float
-) -> FreeCapacity:
-    """Describe a machine with what is free on it."""
-    return FreeCapacity(
-        machine.id,
-        machine.machine_type,
-        machine.zone,
-        machine.spot,
-        cpus,
-        gpus,
-        memory,
-        machine.images,
-        machine_type.capacity,
-        0.0,
-        machine_type.spot_price if machine.spot else machine_type.price,
-        machine_type.fetch_gb_per_s,
-    )
+def _with_released(
+    cpus: float, gpus: float, memory: float, released: list[Resources]
+) -> tuple[float, float, float]:
+    """Return what is free of a machine once attempts with these resources have ended."""
+    for resources in released:
+        cpus += resources.cpus
+        gpus += resources.gpus
+        memory += resources.memory
+    return cpus, gpus, memory
--- a/roadbend/test_rolling_upgrade.py
+++ b/roadbend/test_rolling_upgrade.py
@@ -4,7 +4,6 @@
 import random
 from dataclasses import replace
 from datetime import UTC, datetime, timedelta
-from types import SimpleNamespace
 
 import cbor2
 import pytest
@@ -20,8 +19,7 @@
 from roadbend.partitions.leadership import Leadership
 from roadbend.peers import frames
 from roadbend.peers.heartbeat import PeerHeartbeat
-from roadbend.placement.ends import TerminationRecorder
-from roadbend.placement.partition_state import PartitionState
+from roadbend.placement import shard_split
 from roadbend.placement.transaction import TransactionBuilder
 from roadbend.settings import OperatorSettings, Team
 from roadbend.store import keys, ranges, records
@@ -399,15 +397,13 @@
     view.put(large.key, large.to_value(), 5)
     work = view.job_slices["east"]["run-1"]
     leadership = Leadership("east", 7, 1, AT)
-    context = SimpleNamespace(view=view, settings=settings)
-    recorder = TerminationRecorder(PartitionState.create(context, leadership))
     less = replace(
         large,
         attempts={task_index: attempt for task_index, attempt in run.items() if task_index != 3},
         mod_revision=5,
     )
     transaction = TransactionBuilder(view, "east", leadership, settings)
-    pieces = recorder.split(transaction, work, less)
+    pieces = shard_split.split(transaction, work, less, settings.shard_width)
     assert 1 < len(pieces) <= 4 and all(transaction.fits(piece) for piece in pieces)
     found = [
         (task_index, attempt) for piece in pieces for task_index, attempt in piece.attempts.items()
@@ -416,10 +412,11 @@
     # What no transaction of that size can split waits until fewer of its tasks are left.
     wide = replace(large, attempts={n: Attempt(7 << 32 | n, f"m-{n:06d}") for n in range(400)})
     assert (
-        recorder.split(
+        shard_split.split(
             TransactionBuilder(view, "east", leadership, settings),
             work,
             wide,
+            settings.shard_width,
         )
         == []
     )
