--- a/roadbend/autoscaler/scale_in.py
+++ b/roadbend/autoscaler/scale_in.py
@@ -45,7 +45,7 @@
             # Marked before the call: nothing is started on it while the answer is out.
             if leader.machines[name].lifecycle.draining is None:
                 leader.machines[name].lifecycle.draining = "returned"
-        names = [name for name in names if name not in leader.by_machine()]
+        names = [name for name in names if name not in leader.records.attempts_by_machine()]
         if not names:
             return
         await self._cloud.delete_machines(names, precondition=still)
@@ -56,7 +56,7 @@
             machines=",".join(names),
         )
         for name in names:
-            leader.gone(name, TerminationEvidence.DELETED)
+            leader.terminate_attempts(name, TerminationEvidence.DELETED)
 
     def _is_worth_a_call(self, leader: PartitionLeader, names: list[str], now: datetime) -> bool:
         """A few at a time would take a call each."""
@@ -115,7 +115,7 @@
         """Empty machines that a waiting gang needs: it begins when the last one is up, and those
         that came up before would be returned meanwhile, again and again."""
         kept: set[str] = set()
-        for item in leader.left:
+        for item in leader.queue.not_placed:
             places = item.count if item.job.spec.gang else 0
             for name in idle:
                 if places <= 0:
@@ -136,8 +136,8 @@
 def _is_busy(leader: PartitionLeader, machine: Machine) -> bool:
     """Whether a machine holds work, or may, or is being deleted."""
     return bool(
-        machine.id in leader.by_machine()
+        machine.id in leader.records.attempts_by_machine()
         or machine.unrecorded_tasks
-        or machine.id in leader.in_flight
+        or machine.id in leader.transactions.machines_in_flight
         or machine.lifecycle.fencing
     )
--- /dev/null
+++ b/roadbend/placement/usable_machines.py
@@ -0,0 +1,121 @@
+"""The machines of a partition that may be given work, with what is free on them."""
+
+from collections.abc import Iterable
+from datetime import datetime, timedelta
+
+from roadbend import clock
+from roadbend.autoscaler.messages import MachineType
+from roadbend.fleet.machines import Machine
+from roadbend.fleet.terminations import TaskKey
+from roadbend.placement.free_capacity import RESOURCE_TOLERANCE, FreeCapacity
+from roadbend.placement.machine_registry import MachineRegistry
+from roadbend.placement.partition_records import PartitionRecords
+from roadbend.store.records import Resources
+
+# A machine that has not been heard for so many times the heartbeat interval gets no work.
+SILENT_HEARTBEATS = 2.2
+
+
+class UsableMachines:
+    """Works out the free capacities of one partition."""
+
+    def __init__(self, records: PartitionRecords, registry: MachineRegistry) -> None:
+        self._records, self._registry, self._context = records, registry, records.context
+
+    def capacities(
+        self, ended: Iterable[TaskKey] = (), at_least: Resources | None = None
+    ) -> list[FreeCapacity]:
+        """Return the machines that may be given work, with what the records leave free on them.
+
+        `ended`: attempts that the transaction in the making takes out. `at_least`: leaves out less.
+        """
+        versions = self._context.view.machine_versions.get(self._records.partition, {})
+        released = self._released(ended)
+        capacities = []
+        for machine, machine_type in self._usable_with_types():
+            version = versions.get(machine.id, 0)
+            if machine.free is None or machine.free[0] != version:
+                machine.free = (version, *self._left_by_records(machine.id, machine_type.capacity))
+            _, cpus, gpus, memory = machine.free
+            if machine.id in released:
+                cpus, gpus, memory = _with_released(cpus, gpus, memory, released[machine.id])
+            if at_least is not None and (
+                at_least.gpus > gpus + RESOURCE_TOLERANCE
+                or at_least.cpus > cpus + RESOURCE_TOLERANCE
+                or at_least.memory > memory + RESOURCE_TOLERANCE
+            ):
+                continue
+            capacities.append(
+                FreeCapacity(
+                    machine.id,
+                    machine.machine_type,
+                    machine.zone,
+                    machine.spot,
+                    cpus,
+                    gpus,
+                    memory,
+                    machine.images,
+                    machine_type.capacity,
+                    0.0,
+                    machine_type.spot_price if machine.spot else machine_type.price,
+                    machine_type.fetch_gb_per_s,
+                )
+            )
+        return capacities
+
+    def _usable_with_types(self) -> list[tuple[Machine, MachineType]]:
+        """Return the machines that may be given work, each with its type."""
+        now, machine_types = clock.now(), self._context.machine_types
+        silent_after = self._context.settings.heartbeat_interval * SILENT_HEARTBEATS
+        return [
+            (machine, machine_type)
+            for machine in self._registry.by_id.values()
+            if (machine_type := machine_types.get(machine.machine_type)) is not None
+            and self.is_usable(machine, now, silent_after)
+        ]
+
+    def is_usable(self, machine: Machine, now: datetime, silent_after: timedelta) -> bool:
+        """Whether a machine may be given work."""
+        lifecycle, token = machine.lifecycle, machine.token
+        return (
+            lifecycle.draining is None
+            and lifecycle.reclaim_at is None
+            and not lifecycle.fencing
+            and machine.unrecorded_tasks == 0
+            # Until a machine has carried our token it may be a late copy of a heartbeat that we
+            # see; one that was created in this term and registers now is no such thing.
+            and (token.confirmed or token.newly_created)
+            and machine.contact.fresh(now, silent_after)
+            and len(machine.failures) < self._context.operator.error_limit
+        )
+
+    def _released(self, ended: Iterable[TaskKey]) -> dict[str, list[Resources]]:
+        """Return the resources of attempts that end, by machine."""
+        released: dict[str, list[Resources]] = {}
+        job_slices = self._records.job_slices()
+        for key in ended:
+            job_slice = job_slices.get(key[0])
+            attempt = job_slice.attempts.get(key[1]) if job_slice is not None else None
+            if job_slice is not None and attempt is not None:
+                released.setdefault(attempt.machine, []).append(job_slice.resources)
+        return released
+
+    def _left_by_records(self, machine: str, whole: Resources) -> tuple[float, float, float]:
+        """Return what the records leave free of a machine: CPUs, GPUs and memory."""
+        cpus, gpus, memory = whole.cpus, whole.gpus, whole.memory
+        for job_slice, _ in self._records.attempts_by_machine().get(machine, {}).values():
+            cpus -= job_slice.resources.cpus
+            gpus -= job_slice.resources.gpus
+            memory -= job_slice.resources.memory
+        return cpus, gpus, memory
+
+
+def _with_released(
+    cpus: float, gpus: float, memory: float, released: list[Resources]
+) -> tuple[float, float, float]:
+    """Return what is free of a machine once attempts with these resources have ended."""
+    for resources in released:
+        cpus += resources.cpus
+        gpus += resources.gpus
+        memory += resources.memory
+    return cpus, gpus, memory
