--- a/roadbend/tracing/__init__.py
+++ b/roadbend/tracing/__init__.py
@@ -1,2 +1,4 @@
-"""Tracing: spans of jobs, attempts and recoveries, by OpenTelemetry. Imported only when it is
-switched on."""
+"""Tracing: spans of jobs, attempts and recoveries, by OpenTelemetry.
+
+Imported only when it is switched on.
+"""
--- a/roadbend/tracing/export.py
+++ b/roadbend/tracing/export.py
@@ -7,6 +7,7 @@
 import threading
 from collections.abc import Sequence
 from pathlib import Path
+from typing import Any
 
 from google.protobuf.json_format import MessageToDict
 from opentelemetry.context import Context
@@ -14,18 +15,25 @@
 from opentelemetry.sdk.trace import ReadableSpan, Span, SpanProcessor
 from opentelemetry.sdk.trace.export import BatchSpanProcessor, SpanExporter, SpanExportResult
 
+# Keys of ids in OTLP's JSON form, in spans and in links.
 ID_KEYS = ("traceId", "spanId", "parentSpanId")
 
 
 class CountingExporter(SpanExporter):
-    """Counts what an exporter made of its spans. Called in the exporting thread only."""
+    """Counts the spans that an exporter exported, and those that it failed to export.
+
+    Called in the exporting thread only.
+    """
 
     def __init__(self, inner: SpanExporter) -> None:
         self._inner = inner
         self.exported = self.failed = 0
 
     def export(self, spans: Sequence[ReadableSpan]) -> SpanExportResult:
-        """Hands the spans on; an exporter that breaks has failed with these spans only."""
+        """Pass the spans on.
+
+        An exporter that raises has failed with these spans only.
+        """
         try:
             result = self._inner.export(spans)
         except Exception:  # whatever a transport raises, tracing must not end
@@ -37,13 +45,17 @@
         return result
 
     def shutdown(self) -> None:
-        """Ends the exporter."""
+        """Shut the exporter down."""
         self._inner.shutdown()
 
 
 class BoundedProcessor(SpanProcessor):
-    """Exports in a thread of its own. What waits is bounded, and more is dropped and counted, so
-    that a collector that hangs, refuses or vanishes delays nothing."""
+    """Exports in a thread of its own, from a bounded queue.
+
+    Spans beyond the bound are dropped and counted, so that a collector that hangs, refuses or
+    vanishes delays nothing. `every_ms` is the longest wait before an export, `within_ms` how long
+    an export may take, both in milliseconds.
+    """
 
     def __init__(
         self,
@@ -54,8 +66,8 @@
         within_ms: float,
     ) -> None:
         self._exporter = CountingExporter(exporter)
-        self._most = queue_most
-        self._taken = 0
+        self._queue_most = queue_most
+        self._queued_total = 0
         self.dropped = 0
         self._inner = BatchSpanProcessor(
             self._exporter,
@@ -67,74 +79,83 @@
 
     @property
     def exported(self) -> int:
-        """Spans that were taken by the collector or the file."""
+        """How many spans the collector or the file has taken."""
         return self._exporter.exported
 
     @property
     def failed(self) -> int:
-        """Spans that the collector or the file did not take."""
+        """How many spans the collector or the file has refused or failed to take."""
         return self._exporter.failed
 
     @property
     def waiting(self) -> int:
-        """Spans that wait or are on their way."""
-        return self._taken - self.exported - self.failed
+        """How many spans wait for export or are being exported."""
+        return self._queued_total - self.exported - self.failed
 
     def on_start(self, span: Span, parent_context: Context | None = None) -> None:
-        """Nothing is done at the start of a span."""
+        """Do nothing: a span is exported once it has ended."""
 
     def on_end(self, span: ReadableSpan) -> None:
-        """Queues a span, or drops it."""
+        """Queue a span; drop and count it if the queue is full."""
         if not span.context.trace_flags.sampled:
             return
-        if self.waiting >= self._most:
+        if self.waiting >= self._queue_most:
             self.dropped += 1
             return
-        self._taken += 1
+        self._queued_total += 1
         self._inner.on_end(span)
 
     def shutdown(self) -> None:
-        """Exports what waits, within the time for an export."""
-        self._inner.shutdown()
+        """Export what waits, within the time for an export, and shut down."""
+        self._inner.shutdown()  # type: ignore[no-untyped-call]  # the library has no types here
 
     def force_flush(self, timeout_millis: int = 30_000) -> bool:
-        """Exports what waits."""
+        """Export what waits; return whether that succeeded within the time-out."""
         return self._inner.force_flush(timeout_millis)
 
 
 class FileExporter(SpanExporter):
-    """Writes OTLP as JSON, one export a line, up to a size."""
+    """Writes OTLP as JSON, one export a line, until the file has taken `most_bytes`."""
 
     def __init__(self, path: Path, most_bytes: int) -> None:
-        self._path, self._left = path, most_bytes
+        self._path = path
+        self._bytes_left = most_bytes
         self._lock = threading.Lock()
 
     def export(self, spans: Sequence[ReadableSpan]) -> SpanExportResult:
-        """Adds a line; refuses once the file is full or can't be written."""
+        """Append a line; fail once the file is full or can't be written."""
         line = json.dumps(as_json(spans), separators=(",", ":")) + "\n"
         with self._lock:
-            if len(line) > self._left:
+            if len(line) > self._bytes_left:
                 return SpanExportResult.FAILURE
             try:
                 with self._path.open("a") as file:
                     file.write(line)
             except OSError:
                 return SpanExportResult.FAILURE
-            self._left -= len(line)
+            self._bytes_left -= len(line)
         return SpanExportResult.SUCCESS
 
     def shutdown(self) -> None:
-        """Nothing is kept open."""
+        """Do nothing: no file is kept open between exports."""
 
 
-def as_json(spans: Sequence[ReadableSpan]) -> dict:
-    """OTLP's JSON form of spans: ids are hexadecimal there, not base64 as protobuf has them."""
-    value = MessageToDict(encode_spans(spans))
-    for resource in value.get("resourceSpans", ()):
+def as_json(spans: Sequence[ReadableSpan]) -> dict[str, Any]:
+    """Return spans in OTLP's JSON form.
+
+    Ids are hexadecimal there, not base64 as in the JSON form of protobuf.
+    """
+    request: dict[str, Any] = MessageToDict(encode_spans(spans))
+    for resource in request.get("resourceSpans", ()):
         for scope in resource.get("scopeSpans", ()):
             for span in scope.get("spans", ()):
-                for row in (span, *span.get("links", ())):
-                    for key in ID_KEYS:
-                        if key in row:
-                            row[key] = base64.b64decode(row[key]).hex()
-    return value
+                _ids_to_hexadecimal(span)
+                for link in span.get("links", ()):
+                    _ids_to_hexadecimal(link)
+    return request
+
+
+def _ids_to_hexadecimal(entry: dict[str, Any]) -> None:
+    for key in ID_KEYS:
+        if key in entry:
+            entry[key] = base64.b64decode(entry[key]).hex()
--- a/roadbend/tracing/recorder.py
+++ b/roadbend/tracing/recorder.py
@@ -1,9 +1,10 @@
-"""Turns what the core tells its observer into spans."""
+"""Turns the notifications of the core's observer into spans."""
 
 from __future__ import annotations
 
 from collections import OrderedDict
-from datetime import datetime, timedelta
+from datetime import datetime
+from typing import NamedTuple
 
 from opentelemetry import trace
 from opentelemetry.sdk.trace import TracerProvider
@@ -24,50 +25,67 @@
 )
 
 # Semantic conventions of OpenTelemetry.
-ZONE, MACHINE = "cloud.availability_zone", "host.id"
+ZONE = "cloud.availability_zone"
+MACHINE = "host.id"
 ERROR = "error.type"
-# Ours.
-JOB, JOB_CLASS, TEAM, SHAPE = (
-    "roadbend.job.id",
-    "roadbend.job.class",
-    "roadbend.team",
-    ("roadbend.job.shape"),
-)
-TASKS, STATUS, INDEX, ATTEMPT = (
-    "roadbend.job.tasks",
-    "roadbend.job.status",
-    ("roadbend.task.index"),
-    "roadbend.attempt",
-)
-PROOF, TERM, PHASE = "roadbend.attempt.proof", "roadbend.term", "roadbend.recovery.phase"
+# Attributes of roadbend.
+JOB = "roadbend.job.id"
+JOB_CLASS = "roadbend.job.class"
+TEAM = "roadbend.team"
+SHAPE = "roadbend.job.shape"
+TASKS = "roadbend.job.tasks"
+STATUS = "roadbend.job.status"
+TASK = "roadbend.task"
+TASK_INDEX = "roadbend.task.index"
+ATTEMPT = "roadbend.attempt"
+TERMINATION_CAUSE = "roadbend.attempt.proof"
+TERM = "roadbend.term"
+PHASE = "roadbend.recovery.phase"
+SETTLEMENT = "roadbend.recovery.settlement"
 Attributes = dict[str, AttributeValue]
 
 
+class _AttemptKey(NamedTuple):
+    job: str
+    task_index: int
+    attempt: int
+
+
+class _StartedAttempt(NamedTuple):
+    # The span of the attempt's job.
+    parent: SpanIds
+    recorded_at: datetime
+
+
 def _nanoseconds(at: datetime) -> int:
     return int(at.timestamp() * 1_000_000_000)
 
 
 def _wall_at(steady: datetime) -> datetime:
-    """The time of day at an instant of the steady clock."""
+    """Return the time of day at an instant of the steady clock."""
     return clock.wall() - (clock.now() - steady)
 
 
 class Recorder(Observer):
-    """Makes spans. Ids come from records, so every controller adds to the same traces."""
+    """Makes spans of what it is notified of.
+
+    Ids are derived from records, so every controller adds to the same traces. Of at most
+    `attempts_most` attempts the start is remembered; the oldest is forgotten first.
+    """
 
     def __init__(self, provider: TracerProvider, ids: DerivedIds, attempts_most: int) -> None:
         self._tracer = provider.get_tracer("roadbend")
         self._ids = ids
-        self._most = attempts_most
+        self._attempts_most = attempts_most
         # When attempts that this controller started were recorded, until they end.
-        self._started: OrderedDict[tuple[str, int, int], tuple[SpanIds, datetime]] = OrderedDict()
+        self._started: OrderedDict[_AttemptKey, _StartedAttempt] = OrderedDict()
+        # Malformed `traceparent` headers of submissions.
         self.nonsense_headers = 0
 
-    # Spans.
-
-    def _span(
+    def _record_span(
         self,
         name: str,
+        *,
         ids: SpanIds | None,
         parent: SpanIds | None,
         began: datetime,
@@ -78,7 +96,7 @@
     ) -> None:
         if ids is not None:
             self._ids.set_next(ids)
-        context = trace.set_span_in_context(_remote(parent)) if parent is not None else None
+        context = trace.set_span_in_context(_remote_span(parent)) if parent is not None else None
         span = self._tracer.start_span(
             name,
             context=context,
@@ -93,103 +111,150 @@
         span.end(end_time=max(_nanoseconds(began), _nanoseconds(ended)))
 
     @staticmethod
-    def _of_job(job: Job) -> Attributes:
+    def _job_attributes(job: Job) -> Attributes:
         spec = job.spec
         shape = "gang" if spec.gang else "service" if spec.service else "array"
         return {JOB: job.id, JOB_CLASS: spec.job_class, TEAM: spec.team, SHAPE: shape}
 
-    # Jobs.
-
     def job_accepted(self, job: Job, trace_parent: str | None) -> None:
-        """A point within the job's span, linked to the user's own trace."""
-        parent, links = _ids_of(job), ()
+        """Record the acceptance within the job's span, linked to the user's own trace."""
+        links: tuple[Link, ...] = ()
         if trace_parent is not None:
-            theirs = read_trace_parent(trace_parent)
-            if theirs is None:
+            users_ids = read_trace_parent(trace_parent)
+            if users_ids is None:
                 self.nonsense_headers += 1
             else:
-                links = (Link(_context_of(theirs)),)
-        self._span(
-            "job.accept", None, parent, job.submitted_at, clock.wall(), self._of_job(job), links
+                links = (Link(_context_of(users_ids)),)
+        self._record_span(
+            "job.accept",
+            ids=None,
+            parent=_ids_of(job),
+            began=job.submitted_at,
+            ended=clock.wall(),
+            attributes=self._job_attributes(job),
+            links=links,
         )
 
     def job_assigned(self, job: Job, partitions: list[str]) -> None:
-        """From submission to assignment."""
-        attributes = {**self._of_job(job), ZONE: tuple(partitions)}
-        self._span("job.assign", None, _ids_of(job), job.submitted_at, clock.wall(), attributes)
+        """Record the span from submission to assignment."""
+        attributes = {**self._job_attributes(job), ZONE: tuple(partitions)}
+        self._record_span(
+            "job.assign",
+            ids=None,
+            parent=_ids_of(job),
+            began=job.submitted_at,
+            ended=clock.wall(),
+            attributes=attributes,
+        )
 
     def attempt_recorded(self, partition: str, job: Job, index: int, attempt: Attempt) -> None:
-        """Remembers when an attempt began; its span is made at its end."""
-        self._started[(job.id, index, attempt.number)] = (_ids_of(job), clock.wall())
-        while len(self._started) > self._most:
+        """Remember when an attempt began; its span is recorded at its end."""
+        key = _AttemptKey(job.id, index, attempt.number)
+        self._started[key] = _StartedAttempt(_ids_of(job), clock.wall())
+        while len(self._started) > self._attempts_most:
             self._started.popitem(last=False)
 
     def attempt_ended(self, partition: str, job: str, index: int, end: Termination) -> None:
-        """The span of an attempt that this controller started. Of others its trace is not known
-        once the job is over."""
-        found = self._started.pop((job, index, end.attempt), None)
-        if found is None:
+        """Record the span of an attempt that this controller started.
+
+        Of other attempts the trace is not known once the job is over.
+        """
+        started = self._started.pop(_AttemptKey(job, index, end.attempt), None)
+        if started is None:
             return
-        parent, began = found
         attributes: Attributes = {
             JOB: job,
-            INDEX: index,
+            TASK_INDEX: index,
             ATTEMPT: str(end.attempt),
             MACHINE: end.machine,
             ZONE: partition,
-            PROOF: end.cause,
+            TERMINATION_CAUSE: end.cause,
         }
-        ids = attempt_ids(parent, index, end.attempt, end.machine)
-        error = None if end.done or end.cause == "stopped" else end.cause
-        self._span("attempt", ids, parent, began, clock.wall(), attributes, error=error)
+        self._record_span(
+            "attempt",
+            ids=attempt_ids(started.parent, index, end.attempt, end.machine),
+            parent=started.parent,
+            began=started.recorded_at,
+            ended=clock.wall(),
+            attributes=attributes,
+            error=None if end.done or end.cause == "stopped" else end.cause,
+        )
 
     def job_over(self, job: Job, status: str) -> None:
-        """The span of a whole job, by the controller that recorded its end."""
-        attributes = {**self._of_job(job), STATUS: status, TASKS: job.spec.task_count}
-        self._span("job", _ids_of(job), None, job.submitted_at, clock.wall(), attributes)
-
-    # Recoveries.
+        """Record the span of a whole job; called by the controller that recorded its end."""
+        attributes = {**self._job_attributes(job), STATUS: status, TASKS: job.spec.task_count}
+        self._record_span(
+            "job",
+            ids=_ids_of(job),
+            parent=None,
+            began=job.submitted_at,
+            ended=clock.wall(),
+            attributes=attributes,
+        )
 
     def recovery_phase(
         self, partition: str, term: int, phase: str, since: datetime, counts: dict[str, int]
     ) -> None:
-        """A phase, within its recovery."""
-        attributes = {**_of_recovery(partition, term, counts), PHASE: phase}
-        ids = recovery_ids(partition, term)
-        self._span(f"recovery.{phase}", None, ids, _wall_at(since), clock.wall(), attributes)
+        """Record the span of a phase, within its recovery."""
+        attributes = {**_recovery_attributes(partition, term, counts), PHASE: phase}
+        self._record_span(
+            f"recovery.{phase}",
+            ids=None,
+            parent=recovery_ids(partition, term),
+            began=_wall_at(since),
+            ended=clock.wall(),
+            attributes=attributes,
+        )
 
     def recovery_over(
         self, partition: str, term: int, since: datetime, counts: dict[str, int]
     ) -> None:
-        """A whole recovery."""
-        attributes = _of_recovery(partition, term, counts)
-        ids = recovery_ids(partition, term)
-        self._span("recovery", ids, None, _wall_at(since), clock.wall(), attributes)
+        """Record the span of a whole recovery."""
+        self._record_span(
+            "recovery",
+            ids=recovery_ids(partition, term),
+            parent=None,
+            began=_wall_at(since),
+            ended=clock.wall(),
+            attributes=_recovery_attributes(partition, term, counts),
+        )
 
     def recovery_machine(self, partition: str, term: int, machine: str, since: datetime) -> None:
-        """From the beginning of the term until a machine was heard."""
+        """Record the span from the beginning of the term until a machine was heard."""
         attributes: Attributes = {ZONE: partition, TERM: term, MACHINE: machine}
-        ids = recovery_ids(partition, term)
-        self._span("recovery.machine", None, ids, _wall_at(since), clock.wall(), attributes)
+        self._record_span(
+            "recovery.machine",
+            ids=None,
+            parent=recovery_ids(partition, term),
+            began=_wall_at(since),
+            ended=clock.wall(),
+            attributes=attributes,
+        )
 
     def recovery_settled(
         self, partition: str, term: int, task: str, machine: str, how: str, since: datetime
     ) -> None:
-        """From when an unrecorded attempt was first seen until it was settled."""
+        """Record the span from when an unrecorded attempt was first seen until it was settled."""
         attributes: Attributes = {
             ZONE: partition,
             TERM: term,
             MACHINE: machine,
-            "roadbend.task": task,
-            "roadbend.recovery.settlement": how,
+            TASK: task,
+            SETTLEMENT: how,
         }
-        ids = recovery_ids(partition, term)
-        self._span("recovery.settlement", None, ids, _wall_at(since), clock.wall(), attributes)
+        self._record_span(
+            "recovery.settlement",
+            ids=None,
+            parent=recovery_ids(partition, term),
+            began=_wall_at(since),
+            ended=clock.wall(),
+            attributes=attributes,
+        )
 
 
-def _of_recovery(partition: str, term: int, counts: dict[str, int]) -> Attributes:
-    found: Attributes = {f"roadbend.recovery.{kind}": count for kind, count in counts.items()}
-    return {ZONE: partition, TERM: term, **found}
+def _recovery_attributes(partition: str, term: int, counts: dict[str, int]) -> Attributes:
+    counted: Attributes = {f"roadbend.recovery.{kind}": count for kind, count in counts.items()}
+    return {ZONE: partition, TERM: term, **counted}
 
 
 def _ids_of(job: Job) -> SpanIds:
@@ -202,9 +267,5 @@
     )
 
 
-def _remote(ids: SpanIds) -> trace.Span:
+def _remote_span(ids: SpanIds) -> trace.Span:
     return trace.NonRecordingSpan(_context_of(ids))
-
-
-# How often the counters are logged.
-COUNTERS_EVERY = timedelta(seconds=60)
--- a/roadbend/tracing/settings.py
+++ b/roadbend/tracing/settings.py
@@ -1,5 +1,8 @@
 """Operators' settings of tracing: `deploy/tracing.sexp`."""
 
+# `number` and `seconds` return fields of a dataclass, as `field` does.
+# ruff: noqa: RUF009
+
 from dataclasses import dataclass, field
 from datetime import timedelta
 from pathlib import Path
@@ -7,16 +10,18 @@
 from roadbend.settings import SettingsError, number, read_file, read_form, seconds
 
 
-def _text(default: str, text: str):
-    return field(default=default, metadata={"text": text})
+def _string(default: str, text: str) -> str:
+    # A field of a dataclass, typed as the value that the field holds.
+    declared: str = field(default=default, metadata={"text": text})
+    return declared
 
 
 @dataclass(frozen=True)
 class TracingSettings:
     """Where spans go, and how many. Durations are written in seconds."""
 
-    collector: str = _text("", "URL of a collector that takes OTLP over HTTP; empty: none")
-    file: str = _text("", "file to which spans are written as OTLP JSON lines; empty: none")
+    collector: str = _string("", "URL of a collector that takes OTLP over HTTP; empty: none")
+    file: str = _string("", "file to which spans are written as OTLP JSON lines; empty: none")
     share: float = number(1.0, 0.0, 1.0, "share of jobs that are traced, by their ids")
     queue_most: int = number(4096, 16, 100_000, "spans that wait for export; more are dropped")
     batch_most: int = number(512, 1, 10_000, "spans in one export")
@@ -29,7 +34,10 @@
 
 
 def load(path: Path) -> TracingSettings:
-    """The settings in a file; raises `SettingsError` that names the key."""
+    """Return the settings in a file.
+
+    Raises `SettingsError`, which names the key, if one is missing, unknown or out of range.
+    """
     settings = read_form(read_file(path), "tracing", TracingSettings)
     if not settings.collector and not settings.file:
         raise SettingsError("missing key: collector or file")
--- a/roadbend/tracing/switch.py
+++ b/roadbend/tracing/switch.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from datetime import timedelta
 from pathlib import Path
 from typing import TYPE_CHECKING
 
@@ -15,7 +16,7 @@
 from roadbend.log import Log
 from roadbend.tracing.export import BoundedProcessor, FileExporter
 from roadbend.tracing.ids import DerivedIds
-from roadbend.tracing.recorder import COUNTERS_EVERY, Recorder
+from roadbend.tracing.recorder import Recorder
 from roadbend.tracing.settings import TracingSettings
 
 if TYPE_CHECKING:
@@ -23,6 +24,8 @@
 
 log = Log("tracing")
 MEGABYTE = 1024 * 1024
+# How often the counters are logged.
+COUNTERS_EVERY = timedelta(seconds=60)
 
 
 class Tracing:
@@ -62,13 +65,13 @@
         self.recorder = Recorder(self.provider, ids, settings.attempts_most)
 
     async def run(self) -> None:
-        """Logs the counters while the controller runs."""
+        """Log the counters every minute while the controller runs."""
         while True:
             await clock.pause(COUNTERS_EVERY)
             self.log_counters()
 
     def log_counters(self) -> None:
-        """One line for each place that spans go to."""
+        """Log one line for each exporter."""
         for processor in self.processors:
             log.info(
                 "spans-exported",
@@ -81,22 +84,25 @@
 
 
 def exporters_of(settings: TracingSettings) -> list[SpanExporter]:
-    """The exporters that the settings name."""
-    out: list[SpanExporter] = []
+    """Return the exporters that the settings name: of a collector, a file, or both."""
+    exporters: list[SpanExporter] = []
     if settings.collector:
         within = settings.export_within.total_seconds()
-        out.append(OTLPSpanExporter(endpoint=settings.collector, timeout=within))
+        exporters.append(OTLPSpanExporter(endpoint=settings.collector, timeout=within))
     if settings.file:
-        out.append(FileExporter(Path(settings.file), settings.file_most * MEGABYTE))
-    return out
+        exporters.append(FileExporter(Path(settings.file), settings.file_most * MEGABYTE))
+    return exporters
 
 
 def install(
     controller: Controller, settings: TracingSettings, exporters: list[SpanExporter] | None = None
 ) -> Tracing:
-    """Switches tracing on in a controller that has not started yet."""
-    made = exporters_of(settings) if exporters is None else exporters
-    tracing = Tracing(controller.settings.zone, controller.settings.name, settings, made)
+    """Switch tracing on in a controller that has not started yet.
+
+    `exporters` stand in for those that the settings name.
+    """
+    used = exporters_of(settings) if exporters is None else exporters
+    tracing = Tracing(controller.settings.zone, controller.settings.name, settings, used)
     controller.context.observer = tracing.recorder
     controller.background.append(tracing.run)
     return tracing
