--- a/roadbend/bidding/machine_fit.py
+++ b/roadbend/bidding/machine_fit.py
@@ -18,7 +18,7 @@
 def count_fitting(
     leader: PartitionLeader, job: Job, projection: QueueProjection
 ) -> tuple[int, int]:
-    """Return how many tasks of a job fit on the machines that are up, and on those that boot."""
+    """Return how many tasks of a job fit on machines that are up, and on those that start up."""
     if job.id not in leader.avoid:
         return projection.fitting(job)
     booting = [
--- a/roadbend/bidding/responder.py
+++ b/roadbend/bidding/responder.py
@@ -166,8 +166,8 @@
 
         The jobs of a team at its quota queue all the same, a few tasks at a time.
         """
-        room = self._leader.context.fair_share.startable_tasks(spec, self._leader.partition)
-        return max(room, MIN_TEAM_TASKS)
+        startable = self._leader.context.fair_share.startable_tasks(spec, self._leader.partition)
+        return max(startable, MIN_TEAM_TASKS)
 
     def _fetch_time(
         self, job: Job, prospect: _Prospect, ready: Sequence[FreeCapacity]
--- a/roadbend/recovery/adoption.py
+++ b/roadbend/recovery/adoption.py
@@ -67,7 +67,7 @@
         return (not service, -(job.spec.priority if job is not None else 0), held.since)
 
     def _adopt_one(self, transaction: TransactionBuilder, held: HeldAttempt) -> bool:
-        """Put one attempt into the transaction; return False where that has no room for it."""
+        """Put one attempt into the transaction; return False where it does not fit."""
         job = self._leader.live(held.job)
         if job is None or keys.job_key(job.id) in transaction.changes:
             return False
--- a/roadbend/recovery/attempt_holder.py
+++ b/roadbend/recovery/attempt_holder.py
@@ -67,8 +67,6 @@
 
     def drop_absent(self, machine: Machine, heartbeat: WorkerHeartbeat) -> None:
         """Release what a machine's current heartbeat no longer shows."""
-        if not len(self._held_attempts):
-            return
         shown = {(task.job, task.task_index, task.attempt) for task in heartbeat.tasks}
         for held in self._held_attempts.all():
             if held.machine == machine.id and (held.job, held.index, held.attempt) not in shown:
--- a/roadbend/recovery/partition.py
+++ b/roadbend/recovery/partition.py
@@ -146,7 +146,9 @@
             self.leader.context.observer.recovery_machine(
                 leadership.partition, leadership.term, machine.id, leadership.acquired_at
             )
-        self._holder.drop_absent(machine, heartbeat)
+        # Most of the time nothing is held, and heartbeats are many.
+        if len(self.held_attempts):
+            self._holder.drop_absent(machine, heartbeat)
 
     def note_term_in_use(self, machine: str, term: int) -> None:
         """Take in that a machine that we have not answered has seen our term or a higher one."""
