--- /dev/null
+++ b/roadbend/autoscaler/capacity_refusals.py
@@ -0,0 +1,57 @@
+"""What the cloud has no capacity for, and how long it is not asked again."""
+
+import random
+from dataclasses import dataclass
+from datetime import datetime, timedelta
+
+from roadbend import clock
+from roadbend.autoscaler.messages import MachineKind
+from roadbend.log import Log
+from roadbend.retry import drawn
+from roadbend.settings import OperatorSettings
+
+log = Log("autoscaler")
+
+
+@dataclass
+class CapacityRefusal:
+    """Until when a zone and kind is not asked for again, and the pause that this came from."""
+
+    until: datetime
+    pause: timedelta
+
+
+class CapacityRefusals:
+    """The kinds of machines that the cloud refused, by zone; pauses double up to a bound."""
+
+    def __init__(self, operator: OperatorSettings, rng: random.Random) -> None:
+        self._operator, self._rng = operator, rng
+        self._refusals: dict[tuple[str, MachineKind], CapacityRefusal] = {}
+
+    def refuse(self, zone: str, kind: MachineKind) -> None:
+        """Note that the cloud had too few machines of a kind."""
+        operator, last = self._operator, self._refusals.get((zone, kind))
+        pause = operator.refusal_pause
+        if last is not None:
+            pause = min(operator.refusal_pause_max, last.pause * 2)
+        until = clock.now() + drawn(pause, self._rng)
+        self._refusals[zone, kind] = CapacityRefusal(until, pause)
+        log.info(
+            "capacity-refused",
+            partition=zone,
+            machine_type=kind.machine_type,
+            spot=kind.spot,
+            pause_s=pause.total_seconds(),
+        )
+
+    def clear(self, zone: str, kind: MachineKind) -> None:
+        """Note that the cloud had all machines that were asked for."""
+        self._refusals.pop((zone, kind), None)
+
+    def refused(self, zone: str, now: datetime) -> set[MachineKind]:
+        """Return the kinds that are not asked for in a zone now."""
+        return {
+            kind
+            for (refused_zone, kind), refusal in self._refusals.items()
+            if refused_zone == zone and refusal.until > now
+        }
--- a/roadbend/autoscaler/test_autoscaler.py
+++ b/roadbend/autoscaler/test_autoscaler.py
@@ -5,10 +5,12 @@
 import pytest
 
 from roadbend import clock
-from roadbend.autoscaler import policy
-from roadbend.autoscaler.messages import read_machine_types
-from roadbend.autoscaler.policy import Timing
-from roadbend.autoscaler.service import MAX_REQUESTS, Autoscaler
+from roadbend.autoscaler import machine_options
+from roadbend.autoscaler.machine_creation import MAX_REQUESTS, MachineCreation
+from roadbend.autoscaler.messages import MachineKind, read_machine_types
+from roadbend.autoscaler.scale_in import IdleMachine, machines_to_delete
+from roadbend.autoscaler.scale_out_policy import TimedTasks, machines_to_create
+from roadbend.autoscaler.warm_pool import tasks_to_keep
 from roadbend.fakes.world import MACHINE_TYPE
 from roadbend.http.server import MalformedError
 from roadbend.placement.forecast import MachineTimeline, Release
@@ -35,83 +37,91 @@
 
 
 def choices(refused=()):
-    return policy.options(MACHINE_TYPES.values(), "east", set(refused))
+    return machine_options.options(MACHINE_TYPES.values(), "east", set(refused))
 
 
 def test_a_task_that_can_wait_for_a_place_hires_nothing():
-    timing = Timing(pending(), 20.0, 60.0)
-    assert policy.wanted([timing], [busy(50.0)], choices(), "east", 1.0) == {}
-    assert sum(policy.wanted([timing], [busy(70.0)], choices(), "east", 1.0).values()) == 1
+    timing = TimedTasks(pending(), 20.0, 60.0)
+    assert machines_to_create([timing], [busy(50.0)], choices(), "east", 1.0) == {}
+    assert sum(machines_to_create([timing], [busy(70.0)], choices(), "east", 1.0).values()) == 1
 
 
 def test_what_has_missed_a_deadline_hurries_for_the_next_one_and_then_takes_what_is_cheap():
     ordinary = choices({("g2", True), ("s1", True)})
-    missed = Timing(pending(), 20.0, 3.0, later=(60.0,), least=1.0)
-    assert policy.wanted([missed], [busy(50.0)], ordinary, "east", 1.0) == {}
-    assert sum(policy.wanted([missed], [busy(70.0)], ordinary, "east", 1.0).values()) == 1
-    lost = Timing(pending(), 20.0, -80.0, later=(-20.0,), least=1.0)
-    assert policy.wanted([lost], [busy(70.0)], ordinary, "east", 1.0) == {}
-    assert sum(policy.wanted([lost], [busy(70.0)], choices(), "east", 1.0).values()) == 1
+    missed = TimedTasks(pending(), 20.0, 3.0, later_slacks=(60.0,), least_cost=1.0)
+    assert machines_to_create([missed], [busy(50.0)], ordinary, "east", 1.0) == {}
+    assert sum(machines_to_create([missed], [busy(70.0)], ordinary, "east", 1.0).values()) == 1
+    lost = TimedTasks(pending(), 20.0, -80.0, later_slacks=(-20.0,), least_cost=1.0)
+    assert machines_to_create([lost], [busy(70.0)], ordinary, "east", 1.0) == {}
+    assert sum(machines_to_create([lost], [busy(70.0)], choices(), "east", 1.0).values()) == 1
 
 
 def test_no_machine_is_hired_that_would_come_too_late_to_help():
-    assert policy.wanted([Timing(pending(), 20.0, 0.0)], [busy(9.0)], choices(), "east", 1.0) == {}
+    assert (
+        machines_to_create([TimedTasks(pending(), 20.0, 0.0)], [busy(9.0)], choices(), "east", 1.0)
+        == {}
+    )
 
 
 def test_tasks_behind_share_the_machine_that_the_first_called_for():
-    queue = [Timing(pending(1, 4, legs=4), 20.0, 12.0)]
-    assert policy.wanted(queue, [], choices(), "east", 1.0) == {("g2", True): 2}
+    queue = [TimedTasks(pending(1, 4, legs=4), 20.0, 12.0)]
+    assert machines_to_create(queue, [], choices(), "east", 1.0) == {("g2", True): 2}
 
 
 def test_ordinary_machines_where_spot_ones_are_refused_or_not_allowed():
-    late = [Timing(pending(loaners=False), 20.0, 0.0)]
-    assert all(not spot for _, spot in policy.wanted(late, [], choices(), "east", 1.0))
+    late = [TimedTasks(pending(loaners=False), 20.0, 0.0)]
+    assert all(not spot for _, spot in machines_to_create(late, [], choices(), "east", 1.0))
     refused = {("g2", True), ("s1", True)}
     assert all(
         not spot
-        for _, spot in policy.wanted(
-            [Timing(pending(), 20.0, 0.0)], [], choices(refused), "east", 1.0
+        for _, spot in machines_to_create(
+            [TimedTasks(pending(), 20.0, 0.0)], [], choices(refused), "east", 1.0
         )
     )
     everything = {(machine_type, spot) for machine_type in MACHINE_TYPES for spot in (True, False)}
-    assert policy.wanted(late, [], choices(everything), "east", 1.0) == {}
+    assert machines_to_create(late, [], choices(everything), "east", 1.0) == {}
 
 
 def test_a_type_on_which_a_service_wastes_the_machine_is_dear():
     service = pending(shape="daemon", loaners=False, dueS=None).job
     # Two fit on the large type at 6.0, one on the small at 5.0.
-    assert policy.expensive_machine_types(service, MACHINE_TYPES.values(), 1.3, "east") == {"s1"}
-    assert policy.expensive_machine_types(service, MACHINE_TYPES.values(), 2.0, "east") == set()
+    assert machine_options.expensive_machine_types(
+        service, MACHINE_TYPES.values(), 1.3, "east"
+    ) == {"s1"}
+    assert (
+        machine_options.expensive_machine_types(service, MACHINE_TYPES.values(), 2.0, "east")
+        == set()
+    )
     # Spread over zones, half of it must go where the cheap type is not to be had.
     far = read_machine_types([{**MACHINE_TYPE, "yards": ["west"]}, SMALL]).values()
     spread = pending(shape="daemon", loaners=False, dueS=None, legs=2, apart=True).job
     assert (
-        policy.expensive_machine_types(service, far, 1.3, "east") == {"s1"}
-        and policy.expensive_machine_types(spread, far, 1.3, "east") == set()
+        machine_options.expensive_machine_types(service, far, 1.3, "east") == {"s1"}
+        and machine_options.expensive_machine_types(spread, far, 1.3, "east") == set()
     )
-    assert policy.expensive_machine_types(spread, far, 1.3, "west") == {"s1"}
+    assert machine_options.expensive_machine_types(spread, far, 1.3, "west") == {"s1"}
 
 
 def test_warm_room_follows_measured_arrivals():
-    assert policy.warm_places([], 40 * S, 300 * S, 3, 99) == 0
-    assert policy.warm_places([1] * 6, 40 * S, 300 * S, 3, 99) == 1
+    assert tasks_to_keep([], 40 * S, 300 * S, 3, 99) == 0
+    assert tasks_to_keep([1] * 6, 40 * S, 300 * S, 3, 99) == 1
     # As many replicas in wide services come less evenly.
-    assert policy.warm_places([1] * 120, 40 * S, 300 * S, 3, 99) == 7
-    assert policy.warm_places([12] * 10, 40 * S, 300 * S, 3, 99) == 10
-    assert policy.warm_places([12] * 10, 40 * S, 300 * S, 3, 4) == 4
+    assert tasks_to_keep([1] * 120, 40 * S, 300 * S, 3, 99) == 7
+    assert tasks_to_keep([12] * 10, 40 * S, 300 * S, 3, 99) == 10
+    assert tasks_to_keep([12] * 10, 40 * S, 300 * S, 3, 4) == 4
 
 
 def test_the_longest_idle_goes_first_and_the_warm_room_stays():
     now = clock.ORIGIN + 100 * S
     idle = [
-        ("a", now - 50 * S, 2),
-        ("b", now - 90 * S, 2),
-        ("c", now - 3 * S, 0),
-        ("d", now - 60 * S, 0),
+        IdleMachine("a", now - 50 * S, 2),
+        IdleMachine("b", now - 90 * S, 2),
+        IdleMachine("c", now - 3 * S, 0),
+        IdleMachine("d", now - 60 * S, 0),
     ]
-    assert policy.to_return(idle, now, 8 * S, 2) == ["b", "d"]
-    assert policy.to_return(idle, now, 8 * S, 0) == ["d"]
-    assert policy.to_return(idle, now, 8 * S, -3) == ["d"]
+    assert machines_to_delete(idle, now, 8 * S, 2) == ["b", "d"]
+    assert machines_to_delete(idle, now, 8 * S, 0) == ["d"]
+    assert machines_to_delete(idle, now, 8 * S, -3) == ["d"]
 
 
 @pytest.mark.parametrize(
@@ -123,18 +133,20 @@
 
 
 async def test_more_machines_than_a_request_rents_take_several_in_one_round():
-    """One request a round, with rounds that grow with the machines, once kept a part of more than a
-    thousand waiting for minutes."""
+    """One request a round once kept a partition of more than a thousand machines waiting.
+
+    It waited for minutes, since rounds grow with the machines.
+    """
 
     async def requests(count: int, *there: int) -> list[int]:
-        autoscaler, left, asked = Autoscaler.__new__(Autoscaler), list(there), []
+        creation, left, asked = MachineCreation.__new__(MachineCreation), list(there), []
 
-        async def rent(_leader, _machine_type, _spot, count: int) -> int:
+        async def create(_leader, _kind, count: int) -> int:
             asked.append(count)
             return min(count, left.pop(0))
 
-        autoscaler._rent = rent
-        await autoscaler._rent_all(None, "g2", False, count)
+        creation._create = create
+        await creation.create_all(None, MachineKind("g2", False), count)
         return asked
 
     assert await requests(120, 50, 50, 50) == [50, 50, 20]
--- a/roadbend/autoscaler/warm_pool.py
+++ b/roadbend/autoscaler/warm_pool.py
@@ -1,87 +1,138 @@
-"""Free places that a partition keeps for services which must start sooner than a machine boots."""
+"""The warm pool: capacity kept free for services that must start sooner than a machine boots."""
 
+import math
 from dataclasses import replace
+from datetime import timedelta
+from typing import NamedTuple
 
 from roadbend import clock
-from roadbend.autoscaler import policy
-from roadbend.placement import free_capacity
+from roadbend.autoscaler.machine_options import expensive_machine_types
 from roadbend.placement.context import ControllerContext
-from roadbend.placement.free_capacity import FreeCapacity
+from roadbend.placement.free_capacity import FreeCapacity, allowed
 from roadbend.placement.leader import PartitionLeader
 from roadbend.store.records import Job
 
+# Boots take up to half as long again as they nominally do.
+MAX_STARTUP_RATIO = 1.5
+
+
+class WarmPoolTarget(NamedTuple):
+    """The service to keep capacity for, and for how many of its tasks; None and 0 for none."""
+
+    service: Job | None
+    tasks: int
+
+
+class Arrivals(NamedTuple):
+    """Services that the warm pool is for: the newest, and the tasks of each that came lately."""
+
+    newest: Job | None
+    task_counts: list[int]
+
+
+NO_TARGET = WarmPoolTarget(None, 0)
+
 
 class WarmPool:
-    """Says how many such places a partition should keep, and how many it has."""
+    """Says how much capacity a partition should keep free, and how much it has."""
 
-    def __init__(self, context: ControllerContext):
+    def __init__(self, context: ControllerContext) -> None:
         self._context = context
 
-    def wanted(self, partition: str) -> tuple[Job | None, int]:
-        """The service to keep room for, and how many places of this partition: for classes whose
-        aim is a start sooner than a machine boots, as many as measured arrivals justify."""
-        operator, wall = self._context.operator, clock.wall()
-        arrivals: list[int] = []
-        model = None
-        boot = max(
+    def target(self, partition: str) -> WarmPoolTarget:
+        """Return what a partition's warm pool should have room for.
+
+        For classes whose objective is a start sooner than a machine boots, as much as measured
+        arrivals justify.
+        """
+        operator = self._context.operator
+        startup = max(
             (machine_type.startup for machine_type in self._context.machine_types.values()),
             default=clock.ZERO,
         )
-        for job in self._context.view.jobs.values():
-            within = self._context.objectives.start_within(job.spec)
-            # Boots take up to half as long again as they nominally do.
-            if within is None or within > boot * 1.5 or not job.spec.service:
-                continue
-            if model is None or job.submitted_at > model.submitted_at:
-                model = job
-            if wall - job.submitted_at < operator.spare_window:
-                arrivals.append(job.spec.task_count)
-        if model is None:
-            return None, 0
-        # Only partitions that can host it cheaply keep room for it.
-        machine_types = self._context.machine_types
-        zones = {zone for machine_type in machine_types.values() for zone in machine_type.zones}
-        dear = {
-            zone: policy.expensive_machine_types(model, machine_types.values(), operator.dear, zone)
-            for zone in zones
-        }
-        hosts = {
-            zone
-            for name, machine_type in machine_types.items()
-            for zone in machine_type.zones
-            if name not in dear[zone]
-        }
-        if partition not in hosts:
-            return None, 0
-        partitions = len(hosts)
-        return model, policy.warm_places(
-            arrivals,
-            boot * operator.boot_factor,
+        arrivals = self._arrivals(startup)
+        if arrivals.newest is None:
+            return NO_TARGET
+        zones = self._zones_for(arrivals.newest)
+        if partition not in zones:
+            return NO_TARGET
+        tasks = tasks_to_keep(
+            arrivals.task_counts,
+            startup * operator.boot_factor,
             operator.spare_window,
-            partitions,
+            len(zones),
             operator.spare_most,
         )
+        return WarmPoolTarget(arrivals.newest, tasks)
+
+    def available(self, leader: PartitionLeader, service: Job, booting: list[FreeCapacity]) -> int:
+        """Return how many tasks of the service have room, less the services' tasks that wait.
 
-    def available(self, leader: PartitionLeader, model: Job, fresh: list[FreeCapacity]) -> int:
-        """Places that are free, or that work which may be stopped for it holds."""
-        index, have = leader.by_machine(), 0
-        dear = policy.expensive_machine_types(
-            model,
+        Room is what is free, boots, or is held by work that may be preempted for the service.
+        """
+        attempts, count = leader.by_machine(), 0
+        expensive = expensive_machine_types(
+            service,
             self._context.machine_types.values(),
             self._context.operator.dear,
             leader.partition,
         )
-        for capacity in leader.capacities() + [replace(capacity) for capacity in fresh]:
-            if (
-                not free_capacity.allowed(
-                    model, capacity.machine_type, capacity.zone, capacity.spot
-                )
-                or capacity.machine_type in dear
+        for capacity in leader.capacities() + [replace(capacity) for capacity in booting]:
+            if capacity.machine_type in expensive or not allowed(
+                service, capacity.machine_type, capacity.zone, capacity.spot
             ):
                 continue
-            for key, (job_slice, _) in index.get(capacity.id, {}).items():
+            for key, (job_slice, _) in attempts.get(capacity.id, {}).items():
                 job = self._context.view.jobs.get(key[0])
-                if job is None or job.spec.priority < model.spec.priority:
+                if job is None or job.spec.priority < service.spec.priority:
                     capacity.give(job_slice.resources)
-            have += capacity.count(model.spec.resources)
-        return have - sum(item.count for item in leader.queue.pending() if item.job.spec.service)
+            count += capacity.count(service.spec.resources)
+        waiting = (item for item in leader.queue.pending() if item.job.spec.service)
+        return count - sum(item.count for item in waiting)
+
+    def _arrivals(self, startup: timedelta) -> Arrivals:
+        """Find the services that must start sooner than a machine boots."""
+        window, wall = self._context.operator.spare_window, clock.wall()
+        newest: Job | None = None
+        task_counts: list[int] = []
+        for job in self._context.view.jobs.values():
+            within = self._context.objectives.start_within(job.spec)
+            if within is None or within > startup * MAX_STARTUP_RATIO or not job.spec.service:
+                continue
+            if newest is None or job.submitted_at > newest.submitted_at:
+                newest = job
+            if wall - job.submitted_at < window:
+                task_counts.append(job.spec.task_count)
+        return Arrivals(newest, task_counts)
+
+    def _zones_for(self, service: Job) -> set[str]:
+        """Return the zones that can host a service cheaply: only these keep capacity for it."""
+        machine_types = self._context.machine_types
+        max_cost_ratio = self._context.operator.dear
+        expensive = {
+            zone: expensive_machine_types(service, machine_types.values(), max_cost_ratio, zone)
+            for zone in {zone for row in machine_types.values() for zone in row.zones}
+        }
+        return {
+            zone
+            for name, machine_type in machine_types.items()
+            for zone in machine_type.zones
+            if name not in expensive[zone]
+        }
+
+
+def tasks_to_keep(
+    arrivals: list[int], startup: timedelta, window: timedelta, partitions: int, max_tasks: int
+) -> int:
+    """Return for how many tasks each partition's warm pool keeps capacity.
+
+    What arrives on average while a machine boots, and one standard deviation more, over the
+    partitions. `arrivals` are the tasks of each service that came within the window; wide services
+    make the deviation larger. Zero when none arrive.
+    """
+    if not arrivals:
+        return 0
+    share = startup / window
+    mean = sum(arrivals) * share
+    deviation = math.sqrt(sum(tasks * tasks for tasks in arrivals) * share)
+    return min(max_tasks, math.ceil((mean + deviation) / max(1, partitions)))
--- a/roadbend/bidding/scale_out.py
+++ b/roadbend/bidding/scale_out.py
@@ -5,16 +5,16 @@
 from typing import NamedTuple
 
 from roadbend import clock
-from roadbend.autoscaler import policy as autoscaling
+from roadbend.autoscaler import machine_options
 from roadbend.autoscaler.cloud import MAX_CREATIONS
-from roadbend.autoscaler.messages import MachineType
+from roadbend.autoscaler.messages import MachineKind, MachineType
 from roadbend.bidding.messages import BidRequest
 from roadbend.placement.leader import PartitionLeader
 from roadbend.placement.queue_order import PendingTasks
 from roadbend.store.records import Job
 
 # Machine types, and whether as spot machines, that the cloud refuses in a partition for now.
-ClosedTypes = Callable[[], set[tuple[str, bool]]]
+ClosedTypes = Callable[[], set[MachineKind]]
 
 
 class ScaleOutOffer(NamedTuple):
@@ -51,7 +51,7 @@
         )
         if waited >= context.objectives.patience(job.spec, longest_startup):
             return set()
-        return autoscaling.expensive_machine_types(
+        return machine_options.expensive_machine_types(
             job, machine_types, context.operator.dear, self._leader.partition
         )
 
@@ -66,20 +66,22 @@
         machine_types = leader.context.machine_types.values()
         options = [
             option
-            for option in autoscaling.options(machine_types, leader.partition, self._closed_types())
+            for option in machine_options.options(
+                machine_types, leader.partition, self._closed_types()
+            )
             if option.machine_type.name not in excluded
         ]
         task = _one_task(job)
-        option = autoscaling.cheapest(task, options, leader.partition, request.tasks)
+        option = machine_options.cheapest(task, options, leader.partition, request.tasks)
         if option is None:
             return None
-        price = autoscaling.cost(task, option, leader.partition, request.tasks)
-        least = autoscaling.least_cost(task, machine_types, request.tasks)
+        price = machine_options.cost(task, option, leader.partition, request.tasks)
+        least = machine_options.least_cost(task, machine_types, request.tasks)
         if price is None or least is None:
             return None
         if price > least * operator.dear and request.waited < operator.dear_wait:
             return None
-        machine = autoscaling.empty_room("", option, leader.partition)
+        machine = machine_options.new_machine("", option, leader.partition)
         # As many as one request creates; where the cloud has fewer it says so, and the type is
         # closed here.
         return ScaleOutOffer(option.machine_type, machine.count(job.spec.resources) * MAX_CREATIONS)
@@ -87,10 +89,10 @@
     def startup_for(self, job: Job) -> float | None:
         """Return the seconds until the cheapest machine for a job would be up; None for none."""
         leader = self._leader
-        options = autoscaling.options(
+        options = machine_options.options(
             leader.context.machine_types.values(), leader.partition, self._closed_types()
         )
-        option = autoscaling.cheapest(
+        option = machine_options.cheapest(
             _one_task(job), options, leader.partition, job.spec.task_count
         )
         return None if option is None else option.machine_type.startup.total_seconds()
--- a/roadbend/fleet/test_process_pauses.py
+++ b/roadbend/fleet/test_process_pauses.py
@@ -4,6 +4,7 @@
 import trio
 
 from roadbend.autoscaler.cloud import CloudBusyError
+from roadbend.autoscaler.machine_creation import while_leading
 from roadbend.autoscaler.messages import CreationRequest, MachineKind
 from roadbend.fakes.submission import job
 from roadbend.fakes.world import world
@@ -46,7 +47,7 @@
         assert await w.until(lambda: w.board.running("run-000001"), 60)
         controller = w.controllers["node-0"]
         machine, leader = next(iter(w.board.where["run-000001/0"])), controller.leaders["east"]
-        still = controller.autoscaler._still(leader)
+        still = while_leading(controller.context, leader)
         assert still()
         controller.election.lose("east", LossReason.RECORD_GONE)
         assert not still()
--- a/roadbend/placement/restrictions.py
+++ b/roadbend/placement/restrictions.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from roadbend import clock
-from roadbend.autoscaler import policy as renting
+from roadbend.autoscaler import machine_options
 from roadbend.log import Log
 from roadbend.placement import free_capacity, gang_reservations
 from roadbend.placement.bin_packing import Exclusions
@@ -68,7 +68,7 @@
             and job.id not in leader.withheld_types
             and wall - job.submitted_at < leader.context.objectives.patience(job.spec, boot)
         ):
-            dear = renting.expensive_machine_types(
+            dear = machine_options.expensive_machine_types(
                 job, machine_types, leader.context.operator.dear, leader.partition
             )
             if dear:
--- a/roadbend/test_growth.py
+++ b/roadbend/test_growth.py
@@ -11,7 +11,7 @@
 from roadbend import clock
 from roadbend.autoscaler.cloud import MAX_CREATIONS, Cloud
 from roadbend.autoscaler.messages import CreationRequest, MachineKind
-from roadbend.autoscaler.policy import Timing, wanted
+from roadbend.autoscaler.scale_out_policy import TimedTasks, machines_to_create
 from roadbend.autoscaler.test_autoscaler import choices
 from roadbend.bidding import bid_service
 from roadbend.fakes.submission import job
@@ -143,8 +143,8 @@
     queue = [pending(n, 50, legs=50) for n in range(100)]
     # What found no room is not looked for again by others alike.
     assert calls(lambda: bin_packing.place(queue, full)) < 200 * 10 + 100 * 20
-    late = [Timing(item, 20.0, 0.0) for item in queue]
-    assert calls(lambda: wanted(late[:2], [], choices(), "east", 1.0)) < 100 * 150
+    late = [TimedTasks(item, 20.0, 0.0) for item in queue]
+    assert calls(lambda: machines_to_create(late[:2], [], choices(), "east", 1.0)) < 100 * 150
 
 
 async def test_a_calm_report_costs_the_same_beside_few_machines_and_beside_many(calls):
