--- a/roadbend/autoscaler/capacity_refusals.py
+++ b/roadbend/autoscaler/capacity_refusals.py
@@ -7,7 +7,7 @@
 from roadbend import clock
 from roadbend.autoscaler.messages import MachineKind
 from roadbend.log import Log
-from roadbend.retry import drawn
+from roadbend.retry import jittered
 from roadbend.settings import OperatorSettings
 
 log = Log("autoscaler")
@@ -34,7 +34,7 @@
         pause = operator.refusal_pause
         if last is not None:
             pause = min(operator.refusal_pause_max, last.pause * 2)
-        until = clock.now() + drawn(pause, self._rng)
+        until = clock.now() + jittered(pause, self._rng)
         self._refusals[zone, kind] = CapacityRefusal(until, pause)
         log.info(
             "capacity-refused",
--- a/roadbend/autoscaler/machine_creation.py
+++ b/roadbend/autoscaler/machine_creation.py
@@ -106,5 +106,5 @@
                     request, while_leading(self._context, leader)
                 )
             except NoAnswerError:
-                await clock.pause(waits.next())
+                await clock.pause(waits.next_wait())
         raise NoAnswerError("creation of machines")
