--- a/roadbend/autoscaler/booting_machines.py
+++ b/roadbend/autoscaler/booting_machines.py
@@ -92,10 +92,10 @@
         What was created in an earlier term may long be up, and report here only now: the time
         counts from when the partition was acquired.
         """
-        late = []
+        late, recorded = [], leader.records.attempts_by_machine()
         for boot in self._of(leader.partition).values():
             since = max(boot.since, leader.leadership.acquired_at)
-            unheard = boot.id not in leader.machines and boot.id not in leader.by_machine()
+            unheard = boot.id not in leader.machines and boot.id not in recorded
             if unheard and now - since > self._patience(boot):
                 late.append(boot.id)
         return late
--- a/roadbend/autoscaler/machine_creation.py
+++ b/roadbend/autoscaler/machine_creation.py
@@ -77,7 +77,9 @@
             self._refusals.refuse(partition, kind)
             return 0
         self._booting.note_created(partition, created, kind, clock.now())
-        leader.rented.update(machine for machine in created if machine not in leader.machines)
+        for machine in created:
+            if machine not in leader.machines:
+                leader.registry.note_created(machine)
         log.info(
             "machines-created",
             partition=partition,
--- a/roadbend/autoscaler/scale_out_planner.py
+++ b/roadbend/autoscaler/scale_out_planner.py
@@ -53,7 +53,7 @@
         partition = leader.partition
         self._booting.forget_registered(leader)
         booting = self._booting.capacities(leader, now)
-        leader.booting = booting
+        leader.registry.note_booting(booting)
         queue = self._timed(leader, self._within_quotas(leader, leader.queue.pending()))
         choices = machine_options.options(self._context.machine_types.values(), partition, refused)
         machines = self._for_queue(leader, queue, choices, booting)
@@ -143,7 +143,7 @@
             run=run,
             slack=forecast.slack(item, waited, kept, first),
             image_gb=spec.image_gb,
-            excluded_types=leader.withheld_types.get(item.job.id, frozenset()),
+            excluded_types=leader.exclusions.withheld_types(item.job.id),
             later_slacks=tuple(later_slacks),
             least_cost=(
                 machine_options.least_cost(item, machine_types, item.count)
--- a/roadbend/autoscaler/service.py
+++ b/roadbend/autoscaler/service.py
@@ -111,4 +111,4 @@
         await self._cloud.delete_machines(late, precondition=while_leading(self._context, leader))
         self._booting.forget(partition, late)
         for machine in late:
-            leader.gone(machine, TerminationEvidence.DELETED)
+            leader.terminate_attempts(machine, TerminationEvidence.DELETED)
--- a/roadbend/autoscaler/warm_pool.py
+++ b/roadbend/autoscaler/warm_pool.py
@@ -70,14 +70,15 @@
 
         Room is what is free, boots, or is held by work that may be preempted for the service.
         """
-        attempts, count = leader.by_machine(), 0
+        attempts, count = leader.records.attempts_by_machine(), 0
         expensive = expensive_machine_types(
             service,
             self._context.machine_types.values(),
             self._context.operator.dear,
             leader.partition,
         )
-        for capacity in leader.capacities() + [replace(capacity) for capacity in booting]:
+        existing = leader.usable_machines.capacities()
+        for capacity in existing + [replace(capacity) for capacity in booting]:
             if capacity.machine_type in expensive or not allowed(
                 service, capacity.machine_type, capacity.zone, capacity.spot
             ):
--- a/roadbend/recovery/judgement.py
+++ b/roadbend/recovery/judgement.py
@@ -49,7 +49,7 @@
 
     def _facts(self, held: HeldAttempt, now: datetime) -> Facts:
         leader = self._leader
-        job, machine = leader.live(held.job), leader.machines.get(held.machine)
+        job, machine = leader.records.live_job(held.job), leader.machines.get(held.machine)
         others = self._held_attempts.others(held)
         machine_current = (
             machine is not None
--- a/roadbend/recovery/partition.py
+++ b/roadbend/recovery/partition.py
@@ -128,7 +128,7 @@
         A kill goes with the heartbeat's answer first, and directly only if that brought nothing;
         none goes to a task that its machine shows as ended, or whose end is recorded.
         """
-        if self.leader.recorded_attempt(key) != Attempt(stop.attempt, stop.machine):
+        if self.leader.records.recorded_attempt(key) != Attempt(stop.attempt, stop.machine):
             return True
         if stop.sent_at is not None and now - stop.sent_at < KILL_AGAIN:
             return True
