--- a/roadbend/controller/routes.py
+++ b/roadbend/controller/routes.py
@@ -5,7 +5,7 @@
 
 from roadbend import clock
 from roadbend.fleet.service import Fleet
-from roadbend.http.server import Request, Response
+from roadbend.http.messages import Request, Response, method_not_allowed
 from roadbend.intake.users import JobApi
 
 HEARTBEAT_PATH = "/hello"
@@ -31,17 +31,13 @@
         path = request.path
         if path == HEARTBEAT_PATH:
             if request.method != "POST":
-                return _method_not_allowed("POST")
+                return method_not_allowed("POST")
             return await self._fleet.handle_heartbeat(request)
         if path == HEALTH_PATH:
             if request.method != "GET":
-                return _method_not_allowed("GET")
+                return method_not_allowed("GET")
             up = self._is_up(clock.now())
             return Response(200 if up else 503, {"up": up})
         if path == JOBS_PATH or path.startswith(f"{JOBS_PATH}/"):
             return await self._users.handle(request)
         return Response(404, {"error": "no such path"})
-
-
-def _method_not_allowed(allowed: str) -> Response:
-    return Response(405, {"error": allowed}, (("allow", allowed),))
--- a/roadbend/http/messages.py
+++ b/roadbend/http/messages.py
@@ -40,6 +40,11 @@
 Handle = Callable[[Request], Awaitable[Response]]
 
 
+def method_not_allowed(allowed: str) -> Response:
+    """Answer that a path knows only one method."""
+    return Response(405, {"error": allowed}, (("allow", allowed),))
+
+
 def encode(body: Any) -> bytes:
     """Return a body's bytes; None is no body."""
     return b"" if body is None else cbor2.dumps(body)
--- a/roadbend/intake/admission.py
+++ b/roadbend/intake/admission.py
@@ -5,7 +5,7 @@
 from typing import TypeVar
 
 from roadbend import clock
-from roadbend.http.server import Response
+from roadbend.http.messages import Response
 from roadbend.intake.limit import AdaptiveLimit
 from roadbend.intake.refusals import busy
 
--- a/roadbend/intake/cancellation.py
+++ b/roadbend/intake/cancellation.py
@@ -5,7 +5,7 @@
 
 import trio
 
-from roadbend.http.server import Response
+from roadbend.http.messages import Response
 from roadbend.intake.job_states import JobStates
 from roadbend.intake.messages import JobState, JobStatus, is_job_id
 from roadbend.intake.refusals import NotNowError, NotNowReason, no_such_job
--- a/roadbend/intake/job_states.py
+++ b/roadbend/intake/job_states.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from roadbend.http.server import Response
+from roadbend.http.messages import Response
 from roadbend.intake import messages
 from roadbend.intake.final_states import FinalStateCache, fetch_final_state
 from roadbend.intake.freshness import Freshness
--- a/roadbend/intake/messages.py
+++ b/roadbend/intake/messages.py
@@ -9,7 +9,7 @@
 from enum import StrEnum
 from typing import Any, NamedTuple, TypedDict, TypeGuard
 
-from roadbend.http.server import MalformedError
+from roadbend.http.messages import MalformedError
 from roadbend.store.records import PRIORITY, JobSpec, Resources
 from roadbend.wire_values import flag, number, text, whole
 
--- a/roadbend/intake/query.py
+++ b/roadbend/intake/query.py
@@ -2,7 +2,7 @@
 
 import trio
 
-from roadbend.http.server import Response
+from roadbend.http.messages import Response
 from roadbend.intake.job_states import JobStates
 from roadbend.intake.messages import is_job_id
 from roadbend.intake.refusals import NotNowError, NotNowReason, no_such_job
--- a/roadbend/intake/refusals.py
+++ b/roadbend/intake/refusals.py
@@ -3,7 +3,7 @@
 from enum import StrEnum
 
 from roadbend.errors import RetryableError
-from roadbend.http.server import Response
+from roadbend.http.messages import Response
 
 # The seconds after which a user that was refused is to come back.
 BUSY_RETRY_S = 2
@@ -39,11 +39,6 @@
     return refused(404, "no such job")
 
 
-def method_not_allowed(allowed: str) -> Response:
-    """Answer that a path knows only one method."""
-    return Response(405, {"error": allowed}, (("allow", allowed),))
-
-
 def busy() -> Response:
     """Answer that too many requests are in progress."""
     return Response(429, {"error": "busy"}, _retry_after(BUSY_RETRY_S))
--- a/roadbend/intake/submission.py
+++ b/roadbend/intake/submission.py
@@ -6,7 +6,7 @@
 import trio
 
 from roadbend import clock
-from roadbend.http.server import MalformedError, Request, Response, decode
+from roadbend.http.messages import MalformedError, Request, Response, decode
 from roadbend.intake import messages
 from roadbend.intake.feasibility import NeverRunsError, can_run, check_gang_width
 from roadbend.intake.job_states import JobStates
--- a/roadbend/intake/users.py
+++ b/roadbend/intake/users.py
@@ -8,7 +8,7 @@
 
 from roadbend import clock
 from roadbend.http.client import NoAnswerError
-from roadbend.http.server import Request, Response
+from roadbend.http.messages import Request, Response, method_not_allowed
 from roadbend.intake import admission
 from roadbend.intake.admission import Admission
 from roadbend.intake.cancellation import CancellationHandler
@@ -18,7 +18,6 @@
 from roadbend.intake.refusals import (
     NotNowError,
     NotNowReason,
-    method_not_allowed,
     not_now,
     refused,
 )
--- a/roadbend/test_listen_address.py
+++ b/roadbend/test_listen_address.py
@@ -129,8 +129,8 @@
     addresses = {"client_listen": free_address(), "back": free_address(), key: taken}
     process = run_controller(write_settings(tmp_path, **addresses))
     output, errors = process.communicate(timeout=START_WITHIN_S)
-    assert (process.returncode, output) == (2, "")
-    assert errors == refusal(key, taken, "Address already in use")
+    said = refusal(key, taken, "Address already in use")
+    assert (process.returncode, output, errors) == (2, "", said)
 
 
 def test_a_process_whose_addresses_are_free_listens_on_both(tmp_path):
--- a/roadbend/test_nonsense.py
+++ b/roadbend/test_nonsense.py
@@ -1,5 +1,7 @@
-"""Nonsense from workers, peers, the cloud and the state service is refused or ignored, and ends no
-process."""
+"""Nonsense from workers, peers, the cloud and the state store is refused or ignored.
+
+It ends no process.
+"""
 
 import random
 
@@ -61,8 +63,11 @@
 
 
 async def test_gang_states_of_arrays_and_attempts_that_nobody_began_change_nothing():
-    """A machine's reports show states that its tasks can't have, reasons that nobody knows, and
-    attempts that were never begun, for tasks of an array, a service, a gang and of no job."""
+    """A machine's heartbeats show what can't be, and it changes nothing.
+
+    They show states that its tasks can't have, reasons that nobody knows, and attempts that were
+    never begun, for tasks of a job array, a service, a gang and of no job.
+    """
     rng = random.Random(6)
     async with world(count=1, teams=TEAMS) as w:
         assert await w.submit(0, job(1, shape="daemon", dueS=None, legs=2), None) == 201
