--- a/roadbend/bidding/rescheduler.py
+++ b/roadbend/bidding/rescheduler.py
@@ -116,7 +116,7 @@
         operator = self._context.operator
         waits: dict[str, timedelta] = {}
         for item in leader.queue.pending():
-            since = leader.queued.get(item.job.id)
+            since = leader.aging.queued_since(item.job.id)
             # A job that has just come cools down first, whatever the average, so that it can't go
             # to and fro.
             if since is not None and now - since >= operator.cool_down:
--- a/roadbend/fleet/heartbeat_evaluation.py
+++ b/roadbend/fleet/heartbeat_evaluation.py
@@ -6,7 +6,7 @@
 token proves presence only.
 """
 
-from collections.abc import Callable
+from collections.abc import Callable, Mapping
 from dataclasses import dataclass
 from datetime import datetime, timedelta
 
@@ -45,7 +45,7 @@
     # The recorded attempts, and the jobs of those that are neither over nor cancelled.
     recorded: MachineAttempts
     jobs: dict[str, Job]
-    stops: dict[TaskKey, StopOrder]
+    stops: Mapping[TaskKey, StopOrder]
     ended: Terminations
     may_start: bool
     # The attempt of a task that the partition's records name on any machine.
--- a/roadbend/recovery/attempt_holder.py
+++ b/roadbend/recovery/attempt_holder.py
@@ -85,7 +85,7 @@
                 continue
             log.info("held-attempt-decided", **self._log_fields(held), decision=held.decision)
             if held.decision in (Decision.ADOPT, Decision.RECORD_DONE):
-                self._leader.wake_up.set()
+                self._leader.steps.request()
 
     def find_lost_write(self) -> HeldAttempt | None:
         """Return an attempt that proves that the state store lost a write, if there is one.
@@ -95,7 +95,10 @@
         """
         term = self._leader.leadership.term
         for held in self._held_attempts.all():
-            if self._leader.live(held.job) is not None and held.attempt >> ATTEMPT_TERM_BITS < term:
+            if (
+                self._leader.records.live_job(held.job) is not None
+                and held.attempt >> ATTEMPT_TERM_BITS < term
+            ):
                 return held
         return None
 
@@ -106,10 +109,10 @@
         leader.context.observer.recovery_settled(
             leader.partition,
             leader.leadership.term,
-            f"{held.job}/{held.index}",
-            held.machine,
-            reason,
-            held.since,
+            task=f"{held.job}/{held.index}",
+            machine=held.machine,
+            how=reason,
+            since=held.since,
         )
         log.info("attempt-released", **self._log_fields(held), reason=reason)
 
