--- a/roadbend/bidding/allocation.py
+++ b/roadbend/bidding/allocation.py
@@ -111,7 +111,7 @@
         self._log_allocated(change)
         await self._tell_bidders(change, Assignment(job.id, cbor2.dumps(value), revision))
         for leader in self._leaders.values():
-            leader.wake_up.set()
+            leader.steps.request()
         return True
 
     async def _tell_bidders(self, change: AllocationChange, assignment: Assignment) -> None:
--- a/roadbend/bidding/bid_service.py
+++ b/roadbend/bidding/bid_service.py
@@ -135,7 +135,7 @@
             except Exception as error:  # cbor2 raises many kinds on hostile input
                 raise FrameError("assign") from error
         for leader in self._leaders.values():
-            leader.wake_up.set()
+            leader.steps.request()
         return b""
 
     def _on_revoke(self, _sender: str, payload: bytes) -> None:
--- a/roadbend/recovery/attempt_holder.py
+++ b/roadbend/recovery/attempt_holder.py
@@ -83,7 +83,7 @@
                 continue
             log.info("held-attempt-decided", **self._log_fields(held), decision=held.decision)
             if held.decision in (Decision.ADOPT, Decision.RECORD_DONE):
-                self._leader.wake_up.set()
+                self._leader.steps.request()
 
     def find_lost_write(self) -> HeldAttempt | None:
         """Return an attempt that proves that the state store lost a write, if there is one.
@@ -93,7 +93,10 @@
         """
         term = self._leader.leadership.term
         for held in self._held_attempts.all():
-            if self._leader.live(held.job) is not None and held.attempt >> ATTEMPT_TERM_BITS < term:
+            if (
+                self._leader.records.live_job(held.job) is not None
+                and held.attempt >> ATTEMPT_TERM_BITS < term
+            ):
                 return held
         return None
 
--- a/roadbend/recovery/machines.py
+++ b/roadbend/recovery/machines.py
@@ -49,7 +49,7 @@
         """Tell whether the cloud lists a machine as running, or the records name it."""
         row = self._inventory.rows.get(name)
         listed = row is not None and row.status == "running"
-        return listed or name in self._leader.by_machine()
+        return listed or name in self._leader.records.attempts_by_machine()
 
     def evidence(self, lost_writes: bool) -> Evidence:
         """Return what is known of the partition's machines now.
@@ -65,7 +65,7 @@
     def _presences(self) -> dict[str, Presence]:
         leader, inventory = self._leader, self._inventory
         listed = {row.id for row in inventory.rows.values() if row.zone == leader.partition}
-        names = listed | leader.by_machine().keys() | leader.machines.keys()
+        names = listed | leader.records.attempts_by_machine().keys() | leader.machines.keys()
         return {name: self._presence(name) for name in names}
 
     def _presence(self, name: str) -> Presence:
@@ -90,7 +90,7 @@
         """
         began, leader = clock.now(), self._leader
         differing, matching = [], 0
-        for name, rows in leader.by_machine().items():
+        for name, rows in leader.records.attempts_by_machine().items():
             machine = leader.machines.get(name)
             if machine is not None and machine.token.confirmed and self._matches(machine, rows):
                 matching += len(rows)
@@ -105,7 +105,7 @@
     def _matches(self, machine: Machine, rows: MachineAttempts) -> bool:
         # The keys of both are a job and an index, whatever the type that names them.
         tasks = cast("dict[tuple[str, int], ObservedTask]", machine.tasks)
-        live = self._leader.live
+        live = self._leader.records.live_job
         if len(tasks) != len(rows) or machine.unrecorded_tasks:
             return False
         for key, (_, attempt) in rows.items():
@@ -124,10 +124,10 @@
         leader, term = self._leader, self._leader.leadership.term
         recorded, live, shown = set(), set(), set()
         for name in names:
-            for (job, index), (_, attempt) in leader.by_machine()[name].items():
+            for (job, index), (_, attempt) in leader.records.attempts_by_machine()[name].items():
                 if attempt.number >> ATTEMPT_TERM_BITS < term:
                     recorded.add(Recorded(TaskId(job, index), attempt.number, name))
-                if leader.live(job) is not None:
+                if leader.records.live_job(job) is not None:
                     live.add(job)
             machine = leader.machines.get(name)
             for (job, index), seen in machine.tasks.items() if machine is not None else ():
