--- a/roadbend/bidding/bid_service.py
+++ b/roadbend/bidding/bid_service.py
@@ -10,6 +10,7 @@
 import cbor2
 
 from roadbend import clock
+from roadbend.autoscaler.messages import MachineKind
 from roadbend.bidding import casa, messages
 from roadbend.bidding.casa import Bid
 from roadbend.bidding.messages import Assignment, BidRequest, Revocation
@@ -24,8 +25,8 @@
 # A job that has waited for so long goes to any partition that could start it now.
 LONG_WAIT = timedelta(seconds=30)
 
-# Machine types, and whether as spot machines, that the cloud refuses in a partition at an instant.
-ClosedTypesAt = Callable[[str, datetime], set[tuple[str, bool]]]
+# The kinds of machines that the cloud refuses in a partition at an instant.
+ClosedTypesAt = Callable[[str, datetime], set[MachineKind]]
 
 
 class BidService:
