--- a/roadbend/rehearsal/__main__.py
+++ b/roadbend/rehearsal/__main__.py
@@ -1,29 +1,41 @@
-"""Runs rehearsals:
+"""Command line that runs rehearsals.
 
     python -m roadbend.rehearsal cold-restart --seed N
     python -m roadbend.rehearsal search cold-restart --seeds 0-99 --processes 4
     python -m roadbend.rehearsal script FILE
     python -m roadbend.rehearsal real-cold-restart --workers 200
 
-Exit status: 0 passed, 1 failed, 2 bad arguments or script."""
+Exit status: 0 passed, 1 failed, 2 bad arguments or script.
+"""
+
+from __future__ import annotations
 
 import argparse
 import os
 import sys
 from functools import partial
 from pathlib import Path
+from typing import TYPE_CHECKING
 
+from roadbend.controller import Controller
 from roadbend.recovery.service import install
 from roadbend.recovery.settings import RecoverySettings
-from roadbend.rehearsal import cold_restart
+from roadbend.rehearsal import cold_restart, real_processes
 from roadbend.rehearsal.report import Report
 from roadbend.rehearsal.runner import play
 from roadbend.rehearsal.scenario import FEWEST_WORKERS, MOST_WORKERS, Scenario
 from roadbend.rehearsal.script import ScriptError, read
 
+if TYPE_CHECKING:
+    from roadbend.rehearsal.search import Outcome
+
 SCENARIOS = {cold_restart.NAME: cold_restart.scenario}
-# What every controller of today's version has switched on.
-EQUIP = partial(install, settings=RecoverySettings())
+RECOVERY = RecoverySettings()
+
+
+def equip(controller: Controller) -> None:
+    """Switch on in a controller what every one of today's version has switched on."""
+    install(controller, RECOVERY)
 
 
 def _workers(text: str) -> int:
@@ -47,7 +59,7 @@
 
 
 def parser() -> argparse.ArgumentParser:
-    """The arguments of a rehearsal."""
+    """Return the parser of the command line."""
     out = argparse.ArgumentParser(
         prog="roadbend.rehearsal", description="Plays a failure in memory and judges the outcome."
     )
@@ -79,7 +91,7 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Carries out one command."""
+    """Carry out one command and return the exit status."""
     arguments = parser().parse_args(argv)
     if arguments.command == "search":
         return _search(arguments)
@@ -90,7 +102,7 @@
     except ScriptError as error:
         print(f"roadbend.rehearsal: {error}", file=sys.stderr)
         return 2
-    return _show(play(scenario, EQUIP), arguments.json)
+    return _show(play(scenario, equip), arguments.json)
 
 
 def _scenario(arguments: argparse.Namespace) -> Scenario:
@@ -101,8 +113,6 @@
 
 
 def _play_real_processes(arguments: argparse.Namespace) -> int:
-    from roadbend.rehearsal import real_processes
-
     recovery = not arguments.without_recovery
     report = real_processes.play(arguments.workers, arguments.seed, recovery, arguments.log)
     return _show(report, arguments.json)
@@ -113,17 +123,18 @@
     return 0 if report.verdict.passed else 1
 
 
-def _play_seed(arguments: argparse.Namespace, seed: int):
-    from roadbend.rehearsal.search import outcome_of
+def _play_seed(arguments: argparse.Namespace, seed: int) -> Outcome:
+    # Only a search needs the library for sketches.
+    from roadbend.rehearsal.search import outcome_of  # noqa: PLC0415
 
     make = SCENARIOS[arguments.scenario]
     recovery = not arguments.without_recovery
-    return outcome_of(play(make(seed, arguments.workers, recovery, arguments.cases), EQUIP))
+    return outcome_of(play(make(seed, arguments.workers, recovery, arguments.cases), equip))
 
 
 def _search(arguments: argparse.Namespace) -> int:
-    # Only this needs the library for sketches.
-    from roadbend.rehearsal.search import Totals, play_all
+    # Only a search needs the library for sketches.
+    from roadbend.rehearsal.search import Totals, play_all  # noqa: PLC0415
 
     totals = Totals()
     play_one = partial(_play_seed, arguments)
--- a/roadbend/rehearsal/cold_restart.py
+++ b/roadbend/rehearsal/cold_restart.py
@@ -30,20 +30,22 @@
 NAME = "cold-restart"
 SUMMARY = "All controllers end at once under running work, and return."
 # How long no controller is up, in seconds: less than a worker's lease leaves for the return.
-SHORTEST_AWAY, LONGEST_AWAY = 2.0, 8.0
+SHORTEST_AWAY = 2.0
+LONGEST_AWAY = 8.0
 # How long is watched after the return, in seconds.
 WATCHED = 40.0
 
-Draw = Callable[[random.Random], float]
-
 
 def _seconds(value: float) -> timedelta:
     return timedelta(seconds=round(value, 3))
 
 
 class _Plan:
-    """The actions of a seed: before the end of the controllers, while they are away, at their
-    return, and after it."""
+    """The actions of a seed.
+
+    They come before the end of the controllers, while they are away, at their return, and after
+    it. Each method adds one hard case.
+    """
 
     def __init__(self, rng: random.Random, workers: int) -> None:
         self.rng = rng
@@ -58,35 +60,35 @@
         self.previous_version_first = False
 
     def cancelled(self) -> None:
-        """Users are told that jobs are cancelled; the controllers end before workers hear."""
+        """Cancel jobs and tell users; the controllers end before workers hear."""
         self.cut_first.append(Cancel(2))
 
     def starts_on_their_way(self) -> None:
-        """Starts are recorded; the controllers end before all orders are out."""
+        """Record starts; the controllers end before all orders are out."""
         self.before += [Cancel(1), Wait(_seconds(3.0))]
         self.cut_first += [SubmitArrays(4), Wait(_seconds(self.rng.uniform(0.8, 1.6)))]
 
     def gangs_gathering(self) -> None:
-        """Gangs are recorded; the controllers end before all of their tasks are ordered."""
+        """Record gangs; the controllers end before all of their tasks are ordered."""
         self.cut_first += [SubmitGangs(2), Wait(_seconds(self.rng.uniform(0.8, 1.6)))]
 
     def team_at_limit(self) -> None:
-        """A team has more to do than its limit allows."""
+        """Give a team more to do than its quota allows."""
         self.before += [SubmitArrays(5, 4, limited=True), Wait(_seconds(8.0))]
 
     def boots_on_their_way(self) -> None:
-        """The controllers end while machines that they rented boot."""
+        """End the controllers while machines that they created boot."""
         self.before += [
             SubmitArrays(4, wave=True),
             Wait(_seconds(self.rng.uniform(2.0, 5.0))),
         ]
 
     def one_alone(self) -> None:
-        """One controller returns alone, and leads all partitions until the others follow."""
+        """Return one controller alone, which leads all partitions until the others follow."""
         self.first_alone = _seconds(self.rng.uniform(10.0, 16.0))
 
     def lost_writes(self) -> None:
-        """Work begins, and the state service loses the records of that."""
+        """Begin work, and let the state store lose the records of that."""
         self.before += [
             SubmitArrays(4, wave=True),
             Wait(_seconds(self.rng.uniform(0.0, 1.0))),
@@ -96,8 +98,10 @@
         self.away.append(LoseNewestWrites())
 
     def lost_term(self) -> None:
-        """A controller has ended and returned, and the state service loses the records of that:
-        workers have seen higher terms than it holds."""
+        """Restart a controller, and let the state store lose the records of that.
+
+        Workers have then seen higher terms than it holds.
+        """
         self.before += [
             RememberRecords(),
             StopController(0),
@@ -108,23 +112,23 @@
         self.away.append(LoseNewestWrites())
 
     def machines_end(self) -> None:
-        """Machines end while nobody listens."""
+        """End machines while no controller is up."""
         self.away.append(EndMachines(self.few))
 
     def machines_begin_anew(self) -> None:
-        """Machines begin anew while nobody listens."""
+        """Restart machines while no controller is up."""
         self.away.append(RebootMachines(self.few))
 
     def machines_hang(self) -> None:
-        """Machines hang over the return, and go on within their lease."""
+        """Hang machines over the return; they go on within their lease."""
         self.away.append(HangMachines(self.few, _seconds(self.rng.uniform(3, 9))))
 
     def machines_cut_off(self) -> None:
-        """Machines can't be reached for a while after the return."""
+        """Cut machines off for a while after the return."""
         self.away.append(CutMachines(self.few, _seconds(self.rng.uniform(4, 12))))
 
     def ends_again(self) -> None:
-        """The controllers end once more while they recover."""
+        """End the controllers once more while they recover."""
         self.after += [
             Wait(_seconds(self.rng.uniform(0.2, 4.0))),
             StopControllers(),
@@ -133,11 +137,11 @@
         ]
 
     def one_by_one(self) -> None:
-        """The controllers return one after the other."""
+        """Return the controllers one after the other."""
         self.pause = _seconds(self.rng.uniform(0.5, 3.0))
 
     def older_version_first(self) -> None:
-        """The first to return is of the version in production; it is replaced later."""
+        """Return a controller of the version in production first; replace it later."""
         self.previous_version_first = True
         self.after += [
             Wait(_seconds(self.rng.uniform(5.0, 9.0))),
@@ -147,19 +151,19 @@
         ]
 
     def state_down(self) -> None:
-        """The state service is down as the controllers return."""
+        """Take the state store down as the controllers return."""
         self.away.append(StateOutage(_seconds(self.rng.uniform(2.0, 6.0))))
 
     def state_slow(self) -> None:
-        """The state service is slow as the controllers return."""
+        """Slow the state store down as the controllers return."""
         self.away.append(SlowState(_seconds(self.rng.uniform(0.05, 0.3))))
 
     def cloud_down(self) -> None:
-        """The cloud's interface is down as the controllers return."""
+        """Take the cloud's interface down as the controllers return."""
         self.away.append(CloudOutage(_seconds(self.rng.uniform(5.0, 15.0))))
 
     def new_work(self) -> None:
-        """New work comes as the controllers return."""
+        """Submit new work as the controllers return."""
         self.after.append(SubmitArrays(3))
 
 
@@ -184,7 +188,7 @@
     "cloud-down": _Plan.cloud_down,
     "new-work": _Plan.new_work,
 }
-# The state service can lose its newest writes once, and what it lost holds no cancellation: those
+# The state store can lose its newest writes once, and what it lost holds no cancellation: those
 # nobody can know of any more.
 EXCLUDED = (
     {"lost-writes", "lost-term"},
@@ -202,7 +206,7 @@
 
 
 def draw_cases(rng: random.Random) -> tuple[str, ...]:
-    """None to four hard cases that can meet."""
+    """Draw none to four hard cases that can meet."""
     drawn: list[str] = []
     for name in rng.sample(sorted(HARD_CASES), rng.randint(0, MOST_CASES)):
         if not any(name in pair and pair & set(drawn) for pair in EXCLUDED):
@@ -216,7 +220,10 @@
     recovery: bool = True,
     cases: tuple[str, ...] | None = None,
 ) -> Scenario:
-    """The scenario of a seed; `cases`: hard cases to have in place of drawn ones."""
+    """Return the scenario of a seed.
+
+    `cases` names hard cases to have in place of drawn ones.
+    """
     rng = random.Random(f"{NAME} {seed}")
     drawn = draw_cases(rng) if cases is None else cases
     plan = _Plan(rng, workers)
@@ -238,4 +245,12 @@
         Wait(_seconds(WATCHED)),
     )
     summary = f"{SUMMARY} Hard cases: {', '.join(drawn) or 'none'}."
-    return Scenario(NAME, summary, seed, workers, actions, Limits(), recovery)
+    return Scenario(
+        name=NAME,
+        summary=summary,
+        seed=seed,
+        workers=workers,
+        actions=actions,
+        limits=Limits(),
+        recovery=recovery,
+    )
--- a/roadbend/rehearsal/measurement.py
+++ b/roadbend/rehearsal/measurement.py
@@ -14,12 +14,16 @@
 from roadbend.fakes.cloud import FakeCloud
 from roadbend.fakes.state import FakeStateService
 from roadbend.fakes.worker import FakeWorker
+from roadbend.rehearsal.messages import is_gang, priority
 
 # How often the records and the workers are compared, in seconds.
 COMPARE_EVERY = 0.5
 # A stop made room for a task that begins on the machine within so many seconds.
 MAKES_ROOM_FOR = 15.0
-PRIORITY = {"production": 3, "high": 2, "normal": 1, "best_effort": 0}
+# Verbs of orders to workers.
+RUN = "run"
+KILL = "kill"
+FORGET = "forget"
 
 
 @dataclass(frozen=True)
@@ -60,7 +64,7 @@
     rules: Rules
 
     def workers(self) -> list[FakeWorker]:
-        """The workers of the machines that work."""
+        """Return the workers of the machines that work."""
 
 
 @dataclass
@@ -71,7 +75,7 @@
     faulted: set[str]
     began: float = field(default_factory=trio.current_time)
     settled_after: float | None = None
-    # What the state service lost and machines still run counts as needless when it is stopped.
+    # What the state store lost and machines still run counts as needless when it is stopped.
     _kept: frozenset[Placed] = frozenset()
     _open: set[Placed] = field(default_factory=set)
 
@@ -82,11 +86,11 @@
         self._state_requests, self._revision = world.state.requests, world.state.revision
         self._cloud_requests, self._rented = world.cloud.requests, len(world.cloud.names)
         self._starts = len(world.board.starts)
-        self._terms = max(
+        recorded_term = max(
             (value["n"] for value in world.state.starting("r/term/").values()), default=0
         )
         highest = max((placed.attempt for placed in self._all_attempts()), default=0)
-        self._last_term = max(self._terms, highest >> ATTEMPT_BITS)
+        self._last_term = max(recorded_term, highest >> ATTEMPT_BITS)
         self._open = set(self._differing(self.before))
         self._kept = self.before.matching | self.before.unrecorded
         self.excuse(self.faulted)
@@ -100,19 +104,22 @@
         return found.missing | found.ended | found.cancelled | found.unrecorded | found.leftovers
 
     def excuse(self, machines: Iterable[str]) -> None:
-        """Something was done to machines: what becomes of their tasks is no restart's fault."""
+        """Leave out machines that something was done to.
+
+        What becomes of their tasks is no fault of the restart.
+        """
         names = set(machines)
         cases = self.world.rules.cases
         rows = self._kept | self.before.silent | self.before.missing
         touched = {row.job for row in rows if row.machine in names}
         # A gang that lost one of its tasks is to be stopped whole.
-        gangs = {name for name in touched if cases[name].body["shape"] == "group"}
+        gangs = {name for name in touched if is_gang(cases[name].body)}
         self._kept = frozenset(
             row for row in self._kept if row.machine not in names and row.job not in gangs
         )
 
     async def watch(self) -> None:
-        """Looks again and again whether all that differed at the return is settled."""
+        """Compare again and again until all that differed at the return is settled."""
         while self.settled_after is None:
             await trio.sleep(COMPARE_EVERY)
             now = true_differences(self.world.state, self.world.workers())
@@ -122,7 +129,7 @@
                 self.settled_after = trio.current_time() - self.began
 
     def measured(self) -> Measured:
-        """The figures up to now."""
+        """Return the figures up to now."""
         world, rules = self.world, self.world.rules
         received = [
             order
@@ -131,15 +138,15 @@
             and not self._ends_gang(order, rules)
         ]
         needless = self._needless_stops(received, rules)
-        unrecorded = {(row.task, row.attempt, row.machine) for row in self.before.unrecorded}
+        unrecorded = self.before.unrecorded
         stopped = {
-            (order.task, order.attempt, order.machine)
+            Placed(order.task, order.attempt, order.machine)
             for order in received
-            if order.verb == "kill" and order.effective
+            if order.verb == KILL and order.effective
         }
         repeated = {
             verb: sum(1 for order in received if order.verb == verb and not order.effective)
-            for verb in ("run", "kill", "forget")
+            for verb in (RUN, KILL, FORGET)
         }
         return Measured(
             differences=self.before.counts(),
@@ -161,40 +168,46 @@
 
     @staticmethod
     def _ends_gang(order: ReceivedOrder, rules: Rules) -> bool:
-        """The first task of a gang that is done ends its job, and the others are told to stop,
-        though they end by themselves: no part of a restart."""
-        case = rules.cases[order.task.rpartition("/")[0]]
-        return order.verb == "kill" and case.body["shape"] == "group" and case.complete
+        """Whether an order stops a gang that is done.
+
+        The first task of a gang that is done ends its job, and the others are told to stop,
+        though they end by themselves. That is not due to a restart.
+        """
+        case = rules.cases[_job_of(order.task)]
+        return order.verb == KILL and is_gang(case.body) and case.complete
 
     def _needless_stops(self, received: list[ReceivedOrder], rules: Rules) -> list[ReceivedOrder]:
-        """Stops of tasks that worked when the controllers returned, whose users had not called
-        them off, and whose room no task of a higher priority took."""
+        """Return stops that nothing asked for.
+
+        These are of tasks that worked when the controllers returned, whose users had not cancelled
+        them, and whose capacity no task of a higher priority took.
+        """
         return [
             order
             for order in received
-            if order.verb == "kill"
+            if order.verb == KILL
             and order.effective
             and Placed(order.task, order.attempt, order.machine) in self._kept
-            and rules.cases[order.task.rpartition("/")[0]].asked is None
+            and rules.cases[_job_of(order.task)].asked is None
             and not self._made_room(order, rules)
         ]
 
     def _made_room(self, stop: ReceivedOrder, rules: Rules) -> bool:
         """Whether a task of a higher priority began on the machine right after the stop."""
-        rank = PRIORITY[rules.cases[stop.task.rpartition("/")[0]].body["rank"]]
+        stopped = priority(rules.cases[_job_of(stop.task)].body)
         return any(
             machine == stop.machine
             and 0 <= at - stop.at < MAKES_ROOM_FOR
-            and PRIORITY[rules.cases[task.rpartition("/")[0]].body["rank"]] > rank
+            and priority(rules.cases[_job_of(task)].body) > stopped
             for at, task, machine in self.world.board.starts[self._starts :]
         )
 
     def _needless_restarts(self, received: list[ReceivedOrder], rules: Rules) -> list[str]:
-        """Tasks that worked when the controllers returned and have begun again since."""
+        """Return the tasks that worked when the controllers returned and have begun again since."""
         made_room = {
             order.task
             for order in received
-            if order.verb == "kill" and order.effective and self._made_room(order, rules)
+            if order.verb == KILL and order.effective and self._made_room(order, rules)
         }
         running = {row.task: row for row in self._kept if row.task not in made_room}
         again = []
@@ -203,3 +216,7 @@
             if row is not None and rules.cases[row.job].asked is None:
                 again.append(f"{task} from {row.machine} to {machine}")
         return again
+
+
+def _job_of(task: str) -> str:
+    return task.rpartition("/")[0]
--- a/roadbend/rehearsal/report.py
+++ b/roadbend/rehearsal/report.py
@@ -2,11 +2,19 @@
 
 import json
 from dataclasses import asdict, dataclass
+from typing import NamedTuple
 
 from roadbend.rehearsal.measurement import Measured
 from roadbend.rehearsal.verdict import Verdict
 
 
+class Event(NamedTuple):
+    """Something that happened in a rehearsal, in seconds since its begin."""
+
+    at: float
+    text: str
+
+
 @dataclass(frozen=True)
 class Report:
     """The outcome of one rehearsal."""
@@ -16,14 +24,14 @@
     seed: int
     workers: int
     recovery: bool
-    events: tuple[tuple[float, str], ...]
+    events: tuple[Event, ...]
     measured: Measured
     verdict: Verdict
     # Whether its times are those of a simulated clock.
     simulated: bool = True
 
     def text(self) -> str:
-        """A page that can be read without knowing the code."""
+        """Return the report as text that can be read without knowing the code."""
         measured = self.measured
         lines = [
             f"Rehearsal {self.scenario}, seed {self.seed}, {self.workers} workers, "
@@ -32,7 +40,7 @@
             self.summary,
             "",
             "What happened",
-            *(f"  {at:7.1f} s  {event}" for at, event in self.events),
+            *(f"  {event.at:7.1f} s  {event.text}" for event in self.events),
             "",
             "What was found",
             *(
@@ -45,7 +53,7 @@
             f"differences {sum(measured.differences.values())}",
             f"  unrecorded attempts kept {measured.unrecorded_kept}, "
             f"stopped {measured.unrecorded_stopped}",
-            f"  orders repeated: {_pairs(measured.repeated)}",
+            f"  orders repeated: {_format_counts(measured.repeated)}",
             f"  state service: {measured.state_requests} requests, "
             f"{measured.state_changes} changes; cloud: {measured.cloud_requests} requests, "
             f"{measured.rented} of them to rent",
@@ -55,9 +63,9 @@
         return "\n".join(lines)
 
     def as_json(self) -> str:
-        """The same for programs."""
+        """Return the report as JSON, for programs."""
         return json.dumps({**asdict(self), "passed": self.verdict.passed}, indent=2, sort_keys=True)
 
 
-def _pairs(counts: dict[str, int]) -> str:
+def _format_counts(counts: dict[str, int]) -> str:
     return ", ".join(f"{name} {count}" for name, count in counts.items())
--- a/roadbend/rehearsal/scenario.py
+++ b/roadbend/rehearsal/scenario.py
@@ -10,14 +10,15 @@
     from roadbend.rehearsal.stage import Stage
 
 # What a rehearsal may be asked for; more than this does not fit one ordinary machine.
-FEWEST_WORKERS, MOST_WORKERS = 6, 4000
+FEWEST_WORKERS = 6
+MOST_WORKERS = 4000
 
 
 class Action(Protocol):
     """Something that happens in a scenario. Actions are frozen dataclasses."""
 
     async def play(self, stage: Stage) -> None:
-        """Makes it happen, and returns once it has."""
+        """Make it happen, and return once it has."""
 
 
 @dataclass(frozen=True)
--- a/roadbend/rehearsal/script.py
+++ b/roadbend/rehearsal/script.py
@@ -10,10 +10,11 @@
     (return-controllers)
     (wait 40)
 
-An action has the name of its class and takes its values in order; durations are in seconds."""
+An action has the name of its class and takes its values in order; durations are in seconds.
+"""
 
-import inspect
-from dataclasses import MISSING, Field, fields
+import math
+from dataclasses import MISSING, Field, dataclass, field, fields
 from datetime import timedelta
 from pathlib import Path
 from typing import Any
@@ -24,9 +25,12 @@
 from roadbend.rehearsal import actions
 from roadbend.rehearsal.scenario import FEWEST_WORKERS, MOST_WORKERS, Action, Scenario
 
+# What stands once at the most, with the type of its value.
 HEADINGS = {"scenario": str, "seed": int, "workers": int}
-# The longest script, in lines, and the longest duration in it.
-MOST_LINES, LONGEST = 500, timedelta(hours=2)
+# The longest script, in lines.
+MOST_LINES = 500
+# The longest duration in a script.
+LONGEST = timedelta(hours=2)
 
 
 class ScriptError(PermanentError):
@@ -37,15 +41,20 @@
     return "".join(f"-{c.lower()}" if c.isupper() else c for c in name).lstrip("-")
 
 
-ACTIONS: dict[str, type] = {
-    _kebab(name): kind
-    for name, kind in inspect.getmembers(actions, inspect.isclass)
-    if kind.__module__ == actions.__name__
-}
+ACTIONS: dict[str, type[Any]] = {_kebab(name): getattr(actions, name) for name in actions.__all__}
+
+
+@dataclass
+class _Headings:
+    scenario: str = "script"
+    seed: int = 0
+    workers: int = 60
+    # Names of the headings that the script has.
+    given: set[str] = field(default_factory=set)
 
 
 def read(path: Path) -> Scenario:
-    """The scenario in a file."""
+    """Return the scenario in a file; raise `ScriptError` if it can't be read or played."""
     try:
         text = path.read_text()
     except (OSError, UnicodeDecodeError) as error:
@@ -54,11 +63,11 @@
 
 
 def parse(text: str) -> Scenario:
-    """The scenario in a text."""
+    """Return the scenario in a text; raise `ScriptError`, which names the line."""
     lines = text.splitlines()
     if len(lines) > MOST_LINES:
         raise ScriptError(f"line {MOST_LINES + 1}: a script has at most {MOST_LINES} lines")
-    headings: dict[str, Any] = {}
+    headings = _Headings()
     found: list[Action] = []
     for number, line in enumerate(lines, 1):
         content = line.partition(";")[0].strip()
@@ -72,7 +81,7 @@
     return _scenario(headings, found)
 
 
-def _form(number: int, content: str) -> tuple[str, list]:
+def _form(number: int, content: str) -> tuple[str, list[Any]]:
     try:
         tree = sexpdata.loads(content)
     except Exception as error:  # sexpdata raises several unrelated kinds
@@ -82,17 +91,19 @@
     return tree[0].value(), tree[1:]
 
 
-def _take_heading(number: int, name: str, values: list, headings: dict[str, Any]) -> None:
-    if name in headings:
+def _take_heading(number: int, name: str, values: list[Any], headings: _Headings) -> None:
+    if name in headings.given:
         raise ScriptError(f"line {number}: given twice: {name}")
     if len(values) != 1 or type(values[0]) is not HEADINGS[name]:
         raise ScriptError(f"line {number}: {name} takes one {HEADINGS[name].__name__}")
-    if name == "workers" and not FEWEST_WORKERS <= values[0] <= MOST_WORKERS:
+    (value,) = values
+    if name == "workers" and not FEWEST_WORKERS <= value <= MOST_WORKERS:
         raise ScriptError(f"line {number}: workers must be from {FEWEST_WORKERS} to {MOST_WORKERS}")
-    headings[name] = values[0]
+    headings.given.add(name)
+    setattr(headings, name, value)
 
 
-def _action(number: int, name: str, values: list) -> Action:
+def _action(number: int, name: str, values: list[Any]) -> Action:
     kind = ACTIONS.get(name)
     if kind is None:
         raise ScriptError(f"line {number}: unknown action: {name}")
@@ -103,16 +114,17 @@
     if len(values) < least:
         raise ScriptError(f"line {number}: {name} takes at least {least} values")
     taken = zip(specs, values, strict=False)
-    return kind(**{spec.name: _value(number, spec, value) for spec, value in taken})
+    action: Action = kind(**{spec.name: _value(number, spec, value) for spec, value in taken})
+    return action
 
 
-def _value(number: int, spec: Field, value: Any) -> Any:
+def _value(number: int, spec: Field[Any], value: Any) -> bool | int | timedelta:
     where = f"line {number}: {spec.name.replace('_', '-')}"
     if spec.type == "bool":
         if value not in (0, 1):
             raise ScriptError(f"{where} must be 0 or 1")
         return bool(value)
-    if isinstance(value, bool) or not isinstance(value, int | float) or value != value:
+    if isinstance(value, bool) or not isinstance(value, int | float) or _is_nan(value):
         raise ScriptError(f"{where} must be a number")
     if spec.type == "timedelta":
         if not 0 <= value <= LONGEST.total_seconds():
@@ -123,14 +135,19 @@
     return value
 
 
-def _scenario(headings: dict[str, Any], found: list[Action]) -> Scenario:
+def _is_nan(value: float) -> bool:
+    # Whole numbers may be too large for `math.isnan`.
+    return isinstance(value, float) and math.isnan(value)
+
+
+def _scenario(headings: _Headings, found: list[Action]) -> Scenario:
     kinds = [type(action) for action in found]
     if actions.StartWork not in kinds or actions.ReturnControllers not in kinds:
         raise ScriptError("a script needs (start-work) and (return-controllers)")
     return Scenario(
-        headings.get("scenario", "script"),
+        headings.scenario,
         "An operator's own scenario.",
-        headings.get("seed", 0),
-        headings.get("workers", 60),
+        headings.seed,
+        headings.workers,
         tuple(found),
     )
--- a/roadbend/rehearsal/search.py
+++ b/roadbend/rehearsal/search.py
@@ -29,34 +29,41 @@
 
 
 def outcome_of(report: Report) -> Outcome:
-    """The outcome of a report."""
+    """Return what is kept of a report."""
     return Outcome(
-        report.seed,
-        report.verdict.passed,
-        tuple(f"{row.check}: {row.detail}" for row in report.verdict.findings if not row.passed),
-        report.summary,
-        report.measured.orders,
-        report.measured.needed,
-        sum(report.measured.differences.values()),
-        report.measured.settled_after,
+        seed=report.seed,
+        passed=report.verdict.passed,
+        failures=tuple(
+            f"{finding.check}: {finding.detail}"
+            for finding in report.verdict.findings
+            if not finding.passed
+        ),
+        summary=report.summary,
+        orders=report.measured.orders,
+        needed=report.measured.needed,
+        differences=sum(report.measured.differences.values()),
+        settled_after=report.measured.settled_after,
     )
 
 
 def play_all(play_one: Callable[[int], Outcome], seeds: range, processes: int) -> Iterator[Outcome]:
-    """Plays all seeds in several processes; outcomes come as they end."""
+    """Play all seeds in several processes; yield outcomes as they come."""
     with multiprocessing.Pool(processes) as pool:
         yield from pool.imap_unordered(play_one, seeds)
 
 
 class Totals:
-    """All outcomes together. Settlement times are a sketch, so totals of several runs merge."""
+    """All outcomes together.
+
+    Settlement times are a sketch, so that totals of several runs can be merged.
+    """
 
     def __init__(self) -> None:
         self.runs = self.failed = self.orders = self.needed = self.differences = 0
         self.times = kll_floats_sketch(SKETCH_SIZE)
 
     def add(self, outcome: Outcome) -> None:
-        """Takes in one outcome."""
+        """Add one outcome."""
         self.runs += 1
         self.failed += not outcome.passed
         self.orders += outcome.orders
@@ -66,7 +73,7 @@
             self.times.update(outcome.settled_after)
 
     def merge(self, other: Totals) -> None:
-        """Takes in the totals of other runs."""
+        """Add the totals of other runs."""
         self.runs += other.runs
         self.failed += other.failed
         self.orders += other.orders
@@ -75,12 +82,13 @@
         self.times.merge(other.times)
 
     def text(self) -> str:
-        """A line for the reader."""
+        """Return the totals as one line of text."""
         if self.times.is_empty():
             times = "none settled"
         else:
-            middle, worst = self.times.get_quantile(0.5), self.times.get_quantile(0.99)
-            times = f"settled after {middle:.1f} s (99%: {worst:.1f} s)"
+            median = self.times.get_quantile(0.5)
+            worst = self.times.get_quantile(0.99)
+            times = f"settled after {median:.1f} s (99%: {worst:.1f} s)"
         return (
             f"{self.runs} rehearsals, {self.failed} failed; {self.differences} differences, "
             f"{self.orders} orders received, {self.needed} needed; {times}"
--- a/roadbend/rehearsal/stage.py
+++ b/roadbend/rehearsal/stage.py
@@ -5,21 +5,27 @@
 import random
 from dataclasses import dataclass, field
 from datetime import timedelta
-from typing import Any
+from http import HTTPStatus
 
 import trio
 
 from roadbend.fakes.state import StoredCopy
 from roadbend.fakes.world import World
 from roadbend.rehearsal.measurement import Restart
+from roadbend.rehearsal.messages import Body
+from roadbend.rehearsal.report import Event
 
-# How often users repeat a submission that found nobody, and how often at the most.
-RETRY_EVERY, RETRIES = timedelta(seconds=2), 30
+# How long users wait before they repeat a submission that was not accepted.
+RETRY_EVERY = timedelta(seconds=2)
+# How often they try at the most.
+MOST_TRIES = 30
+# Answers to a submission that is accepted: known already, or new.
+ACCEPTED = (HTTPStatus.OK, HTTPStatus.CREATED)
 
 
 @dataclass
 class Stage:
-    """One rehearsal under way."""
+    """One rehearsal under way: the deployment, the draws, and what is kept of what happened."""
 
     world: World
     rng: random.Random
@@ -33,30 +39,38 @@
     faulted: set[str] = field(default_factory=set)
     restart: Restart | None = None
     # What happened, with the time, for the report.
-    events: list[tuple[float, str]] = field(default_factory=list)
+    events: list[Event] = field(default_factory=list)
     _submitted: int = 0
 
     def note(self, event: str) -> None:
-        """Adds a line to the report."""
-        self.events.append((trio.current_time(), event))
+        """Add a line to the report."""
+        self.events.append(Event(trio.current_time(), event))
 
     def next_number(self) -> int:
-        """A job number that was not used yet."""
+        """Return a job number that was not used yet."""
         self._submitted += 1
         return self._submitted
 
-    async def submit(self, body: dict[str, Any], length: float | None) -> bool:
-        """Submits as users do: again and elsewhere until it is accepted."""
+    async def submit(self, body: Body, length: float | None) -> bool:
+        """Submit as users do: again and elsewhere until the job is accepted.
+
+        Its tasks run for `length` seconds, or until they are stopped. Return whether it was
+        accepted within the tries that users make.
+        """
         first = self.rng.randrange(self.world.count)
-        for turn in range(RETRIES):
+        for turn in range(MOST_TRIES):
             at = (first + turn) % self.world.count
-            if await self.world.submit(at, body, length) in (200, 201):
+            if await self.world.submit(at, body, length) in ACCEPTED:
                 return True
             await trio.sleep(RETRY_EVERY.total_seconds())
         return False
 
+    def controller_names(self) -> list[str]:
+        """Return the names of all controllers, whether they are up or not, in order."""
+        return [f"node-{at}" for at in range(self.world.count)]
+
     def running_machines(self) -> list[str]:
-        """Names of the machines that work and that nothing was done to, in order."""
+        """Return the names of the machines that work and that nothing was done to, in order."""
         return sorted(
             machine.id
             for machine in self.world.cloud.machines.values()
@@ -67,7 +81,7 @@
         )
 
     def draw_machines(self, count: int) -> list[str]:
-        """Machines for a fault; from here on they count as faulted."""
+        """Draw machines for a fault; from here on they count as faulted."""
         machines = self.running_machines()
         drawn = self.rng.sample(machines, min(count, len(machines)))
         self.faulted.update(drawn)
--- a/roadbend/rehearsal/test_rehearsal.py
+++ b/roadbend/rehearsal/test_rehearsal.py
@@ -1,5 +1,6 @@
 """The kit itself: verdicts, scripts, arguments, and the same verdict for the same seed."""
 
+import random
 from dataclasses import replace
 
 import pytest
@@ -8,7 +9,7 @@
 from roadbend.rehearsal.cold_restart import EXCLUDED, HARD_CASES, draw_cases, scenario
 from roadbend.rehearsal.measurement import Measured
 from roadbend.rehearsal.scenario import Limits
-from roadbend.rehearsal.script import ScriptError, parse
+from roadbend.rehearsal.script import ACTIONS, ScriptError, parse
 from roadbend.rehearsal.search import Outcome, Totals
 from roadbend.rehearsal.verdict import judge
 
@@ -68,8 +69,6 @@
 
 
 def test_seeds_draw_every_hard_case_and_none_that_exclude_each_other():
-    import random
-
     drawn = [draw_cases(random.Random(seed)) for seed in range(300)]
     assert {name for names in drawn for name in names} == set(HARD_CASES)
     assert not any(pair <= set(names) for pair in EXCLUDED for names in drawn)
@@ -94,6 +93,30 @@
     assert found.actions[3].previous_version_first is True
 
 
+def test_scripts_know_every_action_by_the_name_that_operators_use():
+    assert sorted(ACTIONS) == [
+        "cancel",
+        "cloud-outage",
+        "cut-machines",
+        "cut-workers",
+        "end-machines",
+        "hang-machines",
+        "lose-newest-writes",
+        "reboot-machines",
+        "remember-records",
+        "return-controller",
+        "return-controllers",
+        "slow-state",
+        "start-work",
+        "state-outage",
+        "stop-controller",
+        "stop-controllers",
+        "submit-arrays",
+        "submit-gangs",
+        "wait",
+    ]
+
+
 @pytest.mark.parametrize(
     "old, new, message",
     [
--- a/roadbend/rehearsal/verdict.py
+++ b/roadbend/rehearsal/verdict.py
@@ -23,12 +23,16 @@
 
     @property
     def passed(self) -> bool:
+        """Whether nothing that was checked failed."""
         return all(finding.passed for finding in self.findings)
 
 
 def judge(measured: Measured, broken: list[str], open_jobs: list[str], limits: Limits) -> Verdict:
-    """`broken`: rules broken, as the judge of the fakes saw it. `open_jobs`: accepted jobs that
-    neither run whole nor have their final answer at the end."""
+    """Judge a rehearsal by its figures.
+
+    `broken` holds the rules that were broken, as the checker of the fakes saw it; `open_jobs` the
+    accepted jobs that neither run whole nor have their final answer at the end.
+    """
     extra = measured.orders - measured.needed
     # One repeated order of a handful is no storm.
     few = extra <= 1 and measured.needed > 0
