--- a/roadbend/autoscaler/cloud.py
+++ b/roadbend/autoscaler/cloud.py
@@ -7,11 +7,11 @@
 
 from roadbend import clock
 from roadbend.errors import RoadbendError
-from roadbend.fleet.messages import number, text
 from roadbend.http.client import Client, NoAnswerError
 from roadbend.http.server import MalformedError
 from roadbend.store.records import Resources
 from roadbend.store.request_budget import SharedTokenBucket
+from roadbend.wire_values import number, text
 
 # Most names that one deletion takes, and most machines that one request hires.
 MAX_NAMES = 100
@@ -116,7 +116,7 @@
 
     def share(self, others: list[float]) -> None:
         self._bucket.measure()
-        self._bucket.lend(others)
+        self._bucket.borrow(others)
 
     async def _turn(self, rank: int) -> None:
         self._waiting[rank] += 1
@@ -150,7 +150,7 @@
         if status == 503 and isinstance(answer, dict) and answer.get("error") == "no capacity":
             raise NoCapacityError
         if status == 429:
-            self._bucket.drain()
+            self._bucket.empty()
         if status in (429, 503):
             raise CloudBusyError(str(status))
         if status != 200:
--- a/roadbend/autoscaler/service.py
+++ b/roadbend/autoscaler/service.py
@@ -23,9 +23,11 @@
 from roadbend.http.server import MalformedError
 from roadbend.log import Log
 from roadbend.placement import forecast
-from roadbend.placement import policy as placing
 from roadbend.placement.context import ControllerContext
+from roadbend.placement.free_capacity import FreeCapacity
 from roadbend.placement.leader import PartitionLeader
+from roadbend.placement.queue_order import PendingTasks
+from roadbend.placement.quota_allowance import QuotaAllowance, QuotaAmount
 from roadbend.placement.quotas import within
 from roadbend.retry import Backoff, drawn
 from roadbend.store import keys
@@ -157,7 +159,7 @@
                 continue
             self._first_listed.setdefault(row.id, now)
             boots = self._boots.setdefault(row.zone, {})
-            if row.id in self._context.deleted:
+            if row.id in self._context.deleted_machines.ids:
                 # The list lags: what we deleted still appears in it, and is no stray.
                 continue
             if row.status in ("booting", "running") and row.id not in boots:
@@ -177,7 +179,7 @@
                 if self._context.election.may_start(now) and self._context.machine_types:
                     hires = self._plan(leader, now)
                     # Where looking at everything takes long, it is done less often.
-                    pause = max(ROUND, self._context.rest(clock.now() - now))
+                    pause = max(ROUND, self._context.reuse_window(clock.now() - now))
                     await self._round(leader, now, *hires)
             except (NoAnswerError, CloudBusyError) as error:
                 log.debug("cloud-unavailable", partition=partition, error=str(error)[:60])
@@ -200,9 +202,7 @@
             if p == partition and row.until > now
         }
 
-    def booting_capacities(
-        self, leader: PartitionLeader, now: datetime
-    ) -> list[placing.FreeCapacity]:
+    def booting_capacities(self, leader: PartitionLeader, now: datetime) -> list[FreeCapacity]:
         out = []
         for boot in self._boots.get(leader.partition, {}).values():
             machine_type = self._context.machine_types.get(boot.machine_type)
@@ -252,9 +252,7 @@
                 model, self._context.machine_types.values(), operator.dear, partition
             )
             fit = [o for o in choices if o.machine_type.name not in dear]
-            option = policy.cheapest(
-                placing.PendingTasks(model, ((0, 1),), True), fit, partition, keep
-            )
+            option = policy.cheapest(PendingTasks(model, ((0, 1),), True), fit, partition, keep)
             if option is not None and not any(
                 machine_type == option.machine_type.name and not spot for machine_type, spot in want
             ):
@@ -307,9 +305,7 @@
                 boots.pop(name, None)
                 leader.gone(name, "deleted")
 
-    def _timed(
-        self, leader: PartitionLeader, queue: list[placing.PendingTasks]
-    ) -> list[policy.Timing]:
+    def _timed(self, leader: PartitionLeader, queue: list[PendingTasks]) -> list[policy.Timing]:
         out, wall, operator = [], clock.wall(), self._context.operator
         boot = max(
             (machine_type.startup for machine_type in self._context.machine_types.values()),
@@ -325,7 +321,7 @@
             # The last task decides; for the later deadline, which is the last chance, some more is
             # kept.
             sure = kept * 1.3 + 0.5 * boot
-            first, *more = self._context.deadlines(spec)
+            first, *more = self._context.objectives.deadline_factors(spec)
             later = [forecast.slack(item, waited, sure, x) for x in more]
             first = forecast.slack(item, waited, kept, first)
             least = (
@@ -337,18 +333,18 @@
         return out
 
     def _within_limits(
-        self, leader: PartitionLeader, left: list[placing.PendingTasks]
-    ) -> list[placing.PendingTasks]:
+        self, leader: PartitionLeader, left: list[PendingTasks]
+    ) -> list[PendingTasks]:
         """Nothing is hired for tasks that their team's limit keeps waiting anyway."""
 
-        def capacity(team: str) -> tuple[float, float] | None:
-            most = self._context.most_for(team, leader.partition)
+        def capacity(team: str) -> QuotaAmount | None:
+            most = self._context.fair_share.quota_for(team, leader.partition)
             if most is None:
                 return None
             used = self._context.view.usage.get(leader.partition, {}).get(team, (0.0, 0.0))
-            return most[0] - used[0], most[1] - used[1]
+            return QuotaAmount(most[0] - used[0], most[1] - used[1])
 
-        return within(placing.QuotaAllowance(capacity), left)
+        return within(QuotaAllowance(capacity), left)
 
     async def _rent_all(
         self, leader: PartitionLeader, machine_type: str, spot: bool, count: int
--- a/roadbend/fleet/direct_commands.py
+++ b/roadbend/fleet/direct_commands.py
@@ -9,6 +9,7 @@
 from roadbend import clock
 from roadbend.fleet import messages
 from roadbend.fleet.machines import DirectStart, Machine
+from roadbend.fleet.messages import StartTask, StopTask, WorkerOrder
 from roadbend.fleet.terminations import TaskKey
 from roadbend.http.client import Client, NoAnswerError
 from roadbend.http.net import Net
@@ -47,22 +48,24 @@
         # however many hang, what waits here is bounded by the machines.
         self._stopping: set[str] = set()
 
-    async def _send_kills(self, leader: PartitionLeader, machine: str, orders: list[dict]) -> None:
+    async def _send_kills(
+        self, leader: PartitionLeader, machine: str, orders: list[WorkerOrder]
+    ) -> None:
         self._stopping.add(machine)
         try:
             await self.command(leader, machine, orders)
         finally:
             self._stopping.discard(machine)
 
-    async def command(self, leader: PartitionLeader, machine: str, orders: list[dict]) -> None:
+    async def command(
+        self, leader: PartitionLeader, machine: str, orders: list[WorkerOrder]
+    ) -> None:
         target = leader.machines.get(machine)
         if target is None:
             return
-        body = {
-            "baton": leader.heartbeats.token(target),
-            "stint": target.position[0],
-            "orders": orders,
-        }
+        body = messages.direct_command(
+            leader.heartbeats.token(target), target.contact.position.epoch, orders
+        )
         client = Client(self._net, target.address, most=1, keep=0)
         try:
             async with self._direct:
@@ -91,7 +94,7 @@
         what became of it, the machine's token is raised, so that the order is refused should it
         arrive later (`machines.Direct`)."""
         machine = leader.machines.get(name)
-        if machine is None or machine.incarnation >= MAX_INCARNATIONS:
+        if machine is None or machine.token.incarnation >= MAX_INCARNATIONS:
             return
         async with self._direct:
             now, recorded = clock.now(), leader.by_machine().get(name, {})
@@ -108,19 +111,19 @@
             if (
                 not rows
                 or leader.machines.get(name) is not machine
-                or not machine.token_confirmed
+                or not machine.token.confirmed
                 or not leader.usable(machine, now, self._context.settings.heartbeat_interval * 2.2)
                 or election.leadership(leader.partition) != leader.leadership
                 or not election.may_start(now)
             ):
                 return
-            epoch = machine.position[0]
+            epoch = machine.contact.position.epoch
             for key, attempt in rows:
-                machine.direct[key] = DirectStart(attempt.number, epoch)
-            machine.unchanged_version = None
-            machine.lease_started_at = now
-            orders = [messages.run(*key, attempt.number) for key, attempt in rows]
-            body = {"baton": leader.heartbeats.token(machine), "stint": epoch, "orders": orders}
+                machine.token.direct_starts[key] = DirectStart(attempt.number, epoch)
+            machine.last_evaluation.invalidate()
+            machine.contact.lease_started_at = now
+            orders = [StartTask(*key, attempt.number) for key, attempt in rows]
+            body = messages.direct_command(leader.heartbeats.token(machine), epoch, orders)
             client, heartbeat = Client(self._net, machine.address, most=1, keep=0), None
             try:
                 status, answer = await client.request(
@@ -131,14 +134,17 @@
                 elif status in (400, 409):
                     # Nothing was executed, nor will be.
                     for key, attempt in rows:
-                        if key in machine.direct and machine.direct[key].attempt == attempt.number:
-                            del machine.direct[key]
+                        if (
+                            key in machine.token.direct_starts
+                            and machine.token.direct_starts[key].attempt == attempt.number
+                        ):
+                            del machine.token.direct_starts[key]
                     return
             except (NoAnswerError, MalformedError) as error:
                 log.debug("direct-command-lost", machine=name, error=error)
         if heartbeat is not None and heartbeat.machine == name:
             for key, attempt in rows:
-                row = machine.direct.get(key)
+                row = machine.token.direct_starts.get(key)
                 if row is not None and row.attempt == attempt.number:
                     row.acknowledged_position = heartbeat.position
             return
@@ -152,13 +158,11 @@
         report's answer brings the token, a held order to start would still be carried out, perhaps
         after a user was told that the job is cancelled."""
         for _ in range(FENCE_TRIES):
-            if leader.machines.get(machine.id) is not machine or machine.token_confirmed:
+            if leader.machines.get(machine.id) is not machine or machine.token.confirmed:
                 return
-            body = {
-                "baton": leader.heartbeats.token(machine),
-                "stint": machine.position[0],
-                "orders": [],
-            }
+            body = messages.direct_command(
+                leader.heartbeats.token(machine), machine.contact.position.epoch
+            )
             client = Client(self._net, machine.address, most=1, keep=0)
             try:
                 async with self._direct:
@@ -177,7 +181,7 @@
             if len(sent) > MAX_SENT:
                 sent = {k: at for k, at in sent.items() if now - at < SENT_FOR}
             for leader in list(self._leaders.values()):
-                orders: dict[str, list[dict]] = {}
+                orders: dict[str, list[WorkerOrder]] = {}
                 with leader.lock:
                     leader.stop_dead(now)
                     for key, stop in leader.stops.items():
@@ -189,9 +193,8 @@
                             continue
                         if stop.machine in leader.machines:
                             sent[mark] = now
-                            grace = stop.grace.total_seconds()
                             orders.setdefault(stop.machine, []).append(
-                                messages.kill(*key, stop.attempt, grace)
+                                StopTask(*key, stop.attempt, stop.grace)
                             )
                 for machine, rows in orders.items():
                     nursery.start_soon(self._send_kills, leader, machine, rows)
--- a/roadbend/placement/leader.py
+++ b/roadbend/placement/leader.py
@@ -15,12 +15,13 @@
 from roadbend.fleet.machines import Machine, StopOrder
 from roadbend.fleet.terminations import TaskKey, Termination, Terminations
 from roadbend.log import Log
-from roadbend.partitions.election import Leadership
-from roadbend.placement import ends, gangs, policy, quotas, starts
+from roadbend.partitions.leadership import Leadership
+from roadbend.placement import ends, gangs, quotas, starts
 from roadbend.placement.context import ControllerContext
+from roadbend.placement.free_capacity import RESOURCE_TOLERANCE, FreeCapacity
 from roadbend.placement.heartbeats import HeartbeatHandler
 from roadbend.placement.pending_queue import PendingQueue
-from roadbend.placement.policy import FreeCapacity, PendingTasks
+from roadbend.placement.queue_order import PendingTasks
 from roadbend.placement.queue_projection import QueueProjections
 from roadbend.placement.recovery_hooks import PartitionRecovery
 from roadbend.placement.transaction import TransactionBuilder
@@ -36,8 +37,6 @@
 # long that may be: where steps take long, reports are to be answered between them.
 STEP_REST = 2
 STEP_REST_MOST = timedelta(seconds=1)
-# Most machines remembered as deleted.
-MAX_DELETED = 32_768
 
 
 class PartitionLeader:
@@ -121,7 +120,7 @@
         return self.context.view.job_slices.get(self.partition, {})
 
     def live(self, job: str) -> Job | None:
-        return None if job in self.context.cancelled else self.context.view.jobs.get(job)
+        return None if job in self.context.cancellations.jobs else self.context.view.jobs.get(job)
 
     def capacities(
         self, ended: Container[TaskKey] = (), least: Resources | None = None
@@ -156,9 +155,9 @@
                     memory + resources.memory,
                 )
             if least is not None and (
-                least.gpus > gpus + policy.EPS
-                or least.cpus > cpus + policy.EPS
-                or least.memory > memory + policy.EPS
+                least.gpus > gpus + RESOURCE_TOLERANCE
+                or least.cpus > cpus + RESOURCE_TOLERANCE
+                or least.memory > memory + RESOURCE_TOLERANCE
             ):
                 continue
             out.append(
@@ -192,15 +191,16 @@
         return cpus, gpus, memory
 
     def usable(self, machine: Machine, now: datetime, silent: timedelta) -> bool:
+        lifecycle, token = machine.lifecycle, machine.token
         return (
-            machine.draining is None
-            and machine.reclaim_at is None
-            and not machine.fencing
+            lifecycle.draining is None
+            and lifecycle.reclaim_at is None
+            and not lifecycle.fencing
             and machine.unrecorded_tasks == 0
             # Until a machine has carried our token it may be a late copy of a report that we see;
             # one that we hired in this term and that reports for the first time is no such thing.
-            and (machine.token_confirmed or machine.newly_created)
-            and machine.fresh(now, silent)
+            and (token.confirmed or token.newly_created)
+            and machine.contact.fresh(now, silent)
             and len(machine.failures) < self.context.operator.error_limit
         )
 
@@ -212,7 +212,7 @@
         self.stops[key] = StopOrder(attempt.number, grace, why, now, attempt.machine)
         machine = self.machines.get(attempt.machine)
         if machine is not None:
-            machine.unchanged_version = None
+            machine.last_evaluation.invalidate()
 
     def _stop_useless(self, key: TaskKey, attempt: Attempt, now: datetime) -> None:
         stop = self.stops.get(key)
@@ -420,11 +420,9 @@
             for key, (_, attempt) in self.by_machine().get(machine, {}).items():
                 self.ended.note(key, Termination(attempt.number, machine, False, cause))
             if machine in self.machines:
-                self.machines[machine].unchanged_version = None
+                self.machines[machine].last_evaluation.invalidate()
             if cause == "deleted":
                 self.machines.pop(machine, None)
                 self.rented.discard(machine)
-                self.context.deleted[machine] = clock.now()
-                while len(self.context.deleted) > MAX_DELETED:
-                    self.context.deleted.popitem(last=False)
+                self.context.deleted_machines.add(machine)
         self.wake_up.set()
--- a/roadbend/placement/queue_projection.py
+++ b/roadbend/placement/queue_projection.py
@@ -9,10 +9,10 @@
 from typing import TYPE_CHECKING
 
 from roadbend import clock
-from roadbend.placement import forecast, policy
-from roadbend.placement.forecast import MachineTimeline
-from roadbend.placement.policy import FreeCapacity
-from roadbend.store.records import Job, Resources
+from roadbend.placement import forecast, free_capacity
+from roadbend.placement.forecast import MachineTimeline, Release, release_time
+from roadbend.placement.free_capacity import FreeCapacity
+from roadbend.store.records import Job
 
 if TYPE_CHECKING:
     from roadbend.placement.leader import PartitionLeader
@@ -57,7 +57,7 @@
             counts = [0, 0]
             for timeline in self.timelines:
                 capacity = timeline.capacity
-                if capacity.fits(spec.resources) and policy.allowed(
+                if capacity.fits(spec.resources) and free_capacity.allowed(
                     job, capacity.machine_type, capacity.zone, capacity.spot
                 ):
                     counts[capacity.ready_in > 0] += capacity.count(spec.resources)
@@ -95,7 +95,7 @@
         starts = forecast.project(queue, timelines, self.run_seconds, self.most_forecast(timelines))
         projection = QueueProjection(timelines, starts)
         self._projections.append(
-            (mark, now, max(REUSE, leader.context.rest(clock.now() - now)), projection)
+            (mark, now, max(REUSE, leader.context.reuse_window(clock.now() - now)), projection)
         )
         return projection
 
@@ -107,7 +107,7 @@
 
     def run_seconds(self, job: Job) -> float:
         leader = self._leader
-        return forecast.run_seconds(job, leader.context.factor(job.spec.job_class))
+        return forecast.run_seconds(job, leader.context.run_times.factor(job.spec.job_class))
 
     def timelines(self, more: list[FreeCapacity]) -> list[MachineTimeline]:
         """The machines with what runs on them and when that is thought to end."""
@@ -120,9 +120,8 @@
             releases = []
             for key, (job_slice, attempt) in index.get(capacity.id, {}).items():
                 if key in leader.stops:
-                    releases.append(
-                        (leader.stops[key].grace.total_seconds() + 1.0, job_slice.resources)
-                    )
+                    grace = leader.stops[key].grace.total_seconds()
+                    releases.append(Release(grace + 1.0, job_slice.resources))
                     continue
                 if job_slice.job not in lengths:
                     job = leader.context.view.jobs.get(job_slice.job)
@@ -145,11 +144,7 @@
                 else:
                     spec = leader.context.view.jobs[job_slice.job].spec
                     left = run + capacity.fetch(spec.image, spec.image_gb)
-                releases.append((left, job_slice.resources))
-            releases.sort(key=_when)
+                releases.append(Release(left, job_slice.resources))
+            releases.sort(key=release_time)
             out.append(MachineTimeline(capacity, releases))
         return out + [MachineTimeline(capacity) for capacity in more]
-
-
-def _when(row: tuple[float, Resources]) -> float:
-    return row[0]
--- a/roadbend/placement/quotas.py
+++ b/roadbend/placement/quotas.py
@@ -8,8 +8,9 @@
 
 from roadbend import clock
 from roadbend.log import Log
-from roadbend.placement import policy
-from roadbend.placement.policy import PendingTasks, QuotaAllowance
+from roadbend.placement.free_capacity import RESOURCE_TOLERANCE
+from roadbend.placement.queue_order import PendingTasks
+from roadbend.placement.quota_allowance import QuotaAllowance, QuotaAmount
 from roadbend.placement.transaction import TransactionBuilder
 from roadbend.store import keys
 from roadbend.store.records import Resources
@@ -29,14 +30,14 @@
 
 def team_left(
     leader: PartitionLeader, transaction: TransactionBuilder, team: str
-) -> tuple[float, float] | None:
+) -> QuotaAmount | None:
     """What a team's limit leaves this partition, after what the transaction in the making starts
     and ends."""
-    most = leader.context.most_for(team, leader.partition)
+    most = leader.context.fair_share.quota_for(team, leader.partition)
     if most is None:
         return None
     used = transaction.used(team)
-    return most[0] - used[0], most[1] - used[1]
+    return QuotaAmount(most[0] - used[0], most[1] - used[1])
 
 
 def within(limits: QuotaAllowance, items: Iterable[PendingTasks]) -> list[PendingTasks]:
@@ -55,10 +56,10 @@
     """Whether an item leaves its team's room to a job that another partition holds and that has
     begun nothing for too long: a partition's own steady stream must not starve it."""
     jobs = overdue.get(item.job.spec.team)
-    if not jobs or item.overdue:
+    if not jobs or item.starved:
         return False
     view, here = leader.context.view, item.job.spec
-    scarce = leader.context.room_left(here, leader.partition) < 2 * item.count
+    scarce = leader.context.fair_share.startable_tasks(here, leader.partition) < 2 * item.count
     # Only for so long: one that has not begun by then waits for something else than the team's
     # room.
     since = clock.wall() - leader.context.operator.begin_within - YIELD
@@ -80,13 +81,13 @@
     """Sees to it that the team's record sets enough aside for this partition, in the same
     transaction. Some more than is needed is taken while there is plenty, so that partitions seldom
     meet there."""
-    limits, team_key = leader.context.limits(team), keys.team_key(team)
+    limits, team_key = leader.context.fair_share.quota(team), keys.team_key(team)
     used = transaction.used(team)
     used = (used[0] + tasks * resources.cpus, used[1] + tasks * resources.gpus)
     use = transaction.team(team)
     have = use.partitions.get(leader.partition, (0.0, 0.0))
     bound = [most < float("inf") for most in limits]
-    short = any(b and u > h + policy.EPS for b, u, h in zip(bound, used, have, strict=True))
+    short = any(b and u > h + RESOURCE_TOLERANCE for b, u, h in zip(bound, used, have, strict=True))
     if not transaction.room_for(*record_keys, *([team_key] if short else [])):
         return False
     if short:
@@ -104,7 +105,7 @@
     """Gives back what is set aside and not needed here, once others may want it."""
     view = leader.context.view
     waiting: dict[str, tuple[float, float]] = {}
-    overdue = leader.context.overdue(now)
+    overdue = leader.context.starvation.starved_jobs(now)
     for item in leader.queue.pending():
         # What has waited here for longer may wait for a machine that can't be had; other partitions
         # may have room.
@@ -117,7 +118,7 @@
             )
     for name, use in view.quotas.items():
         have = use.partitions.get(leader.partition)
-        key, limits = keys.team_key(name), leader.context.limits(name)
+        key, limits = keys.team_key(name), leader.context.fair_share.quota(name)
         if have is None or limits is None or key in transaction.changes:
             continue
         if now - leader.reserved_at.get(name, clock.ORIGIN) < RESERVE_EVERY:
@@ -127,11 +128,11 @@
             most < float("inf") and total > 0.75 * most
             for total, most in zip((use.cpus, use.gpus), limits, strict=True)
         )
-        if not pressed and (any(u > policy.EPS for u in used) or name in waiting):
+        if not pressed and (any(u > RESOURCE_TOLERANCE for u in used) or name in waiting):
             continue
         fresh = [min(h, u + w) for h, u, w in zip(have, used, wants, strict=True)]
         if all(
-            h - f <= policy.EPS for h, f in zip(have, fresh, strict=True)
+            h - f <= RESOURCE_TOLERANCE for h, f in zip(have, fresh, strict=True)
         ) or not transaction.room_for(key):
             continue
         leader.reserved_at[name] = now
--- a/roadbend/placement/test_placement.py
+++ b/roadbend/placement/test_placement.py
@@ -7,12 +7,15 @@
 from roadbend import clock
 from roadbend.fakes.submission import job
 from roadbend.fakes.world import settings_for
+from roadbend.fleet.terminations import TaskKey
 from roadbend.intake.messages import read_submission
-from roadbend.placement import forecast, policy
-from roadbend.placement.context import within_guarantee
-from roadbend.placement.forecast import MachineTimeline
-from roadbend.placement.policy import FreeCapacity, PendingTasks, Victim
-from roadbend.store.records import Job, Resources
+from roadbend.placement import bin_packing, forecast, free_capacity, preemption_policy, queue_order
+from roadbend.placement.fair_share import within_guarantee
+from roadbend.placement.forecast import MachineTimeline, Release
+from roadbend.placement.free_capacity import FreeCapacity
+from roadbend.placement.preemption_policy import RunningTask, Victim
+from roadbend.placement.queue_order import PendingTasks
+from roadbend.store.records import Attempt, Job, Resources
 
 TOTAL = Resources(24, 2, 144)
 
@@ -28,12 +31,21 @@
     name, cpus=24.0, gpus=2.0, memory=144.0, spot=False, images=(), **more
 ) -> FreeCapacity:
     return FreeCapacity(
-        name, "g2", "east", spot, cpus, gpus, memory, frozenset(images), TOTAL, **more
+        id=name,
+        machine_type="g2",
+        zone="east",
+        spot=spot,
+        cpus=cpus,
+        gpus=gpus,
+        memory=memory,
+        images=frozenset(images),
+        total=TOTAL,
+        **more,
     )
 
 
 def best(job, capacities):
-    return next((capacity.id for capacity in policy.suitable(job, capacities)), None)
+    return next((capacity.id for capacity in bin_packing.suitable(job, capacities)), None)
 
 
 def test_the_image_leads_then_the_least_scrap():
@@ -67,16 +79,26 @@
         pending(4, rank="production", dueS=None),
         pending(5, rank="best_effort", dueS=1.0),
     ]
-    assert [p.job.id[-1] for p in sorted(rows, key=policy.rank)] == ["4", "3", "2", "1", "5"]
+    assert [p.job.id[-1] for p in sorted(rows, key=queue_order.rank)] == ["4", "3", "2", "1", "5"]
 
 
 def victim(name, priority, loss, beyond=False) -> Victim:
-    return Victim(Resources(8, 1, 40), priority, beyond, "blue", loss, name)
+    task = RunningTask(TaskKey(name, 0), Attempt(1, "a"), pending().job)
+    return Victim(
+        resources=Resources(8, 1, 40),
+        priority=priority,
+        beyond_guarantee=beyond,
+        team="blue",
+        loss=loss,
+        task=task,
+    )
 
 
 def stopped(item, capacities, running):
-    found = policy.clearings(item, capacities, running)
-    return (found[0][0].id, [row.handle for row in found[0][1]]) if found else None
+    found = preemption_policy.clearings(item, capacities, running)
+    if not found:
+        return None
+    return found[0].capacity.id, [victim.task.key.job for victim in found[0].victims]
 
 
 def test_work_that_cannot_be_in_time_goes_behind_work_that_can_and_every_part_judges_alike():
@@ -87,14 +109,18 @@
         return [
             item.job.id
             for item in sorted(
-                items, key=lambda i: policy.rank(i, policy.lateness(i.job, wall, times))
+                items, key=lambda i: queue_order.rank(i, queue_order.lateness(i.job, wall, times))
             )
         ]
 
     lost = pending(1, age=200, expectedS=20.0, dueS=100.0)
     second = pending(2, age=90, expectedS=20.0, dueS=100.0)
     first = pending(3, age=10, expectedS=20.0, dueS=100.0)
-    assert [policy.lateness(item.job, wall, times) for item in (lost, second, first)] == [2, 1, 0]
+    assert [queue_order.lateness(item.job, wall, times) for item in (lost, second, first)] == [
+        2,
+        1,
+        0,
+    ]
     assert order(lost, second, first) == ["run-000003", "run-000002", "run-000001"]
     # What has begun nothing for long, and what is within its team's guarantee, still goes first.
     overdue = PendingTasks(lost.job, lost.tasks, False, True)
@@ -104,7 +130,7 @@
         "run-000003",
     ]
     # Nothing but the job itself and the time of day is asked: partitions can't disagree about it.
-    assert policy.lateness(pending(5, age=500, dueS=None).job, wall, times) == 0
+    assert queue_order.lateness(pending(5, age=500, dueS=None).job, wall, times) == 0
 
 
 def test_only_lesser_work_or_work_beyond_anothers_guarantee_is_stopped():
@@ -132,12 +158,12 @@
 def test_the_forecast_waits_for_what_comes_free():
     timeline = MachineTimeline(
         capacity("a", cpus=0, gpus=0, memory=0),
-        [(5.0, Resources(4, 1, 20)), (9.0, Resources(8, 1, 40))],
+        [Release(5.0, Resources(4, 1, 20)), Release(9.0, Resources(8, 1, 40))],
     )
     assert timeline.earliest(Resources(4, 1, 20)) == 5.0
     assert timeline.earliest(Resources(8, 1, 40)) == 9.0
     assert timeline.earliest(Resources(20, 1, 40)) == forecast.NEVER
-    timeline.put(pending().job, 9.0, 30.0)
+    timeline.assign(pending().job, 9.0, 30.0)
     assert (
         timeline.earliest(Resources(4, 1, 20)) == 9.0
         and timeline.earliest(Resources(8, 1, 40)) == 39.0
@@ -157,11 +183,11 @@
         MachineTimeline(capacity("warm", fetch_gb_per_s=0.5, images=["img-1"], ready_in=20.0)),
     )
     assert forecast.earliest(item.job, [without_image, warm]) == (20.0, warm)
-    without_image.put(item.job, 0.0, 10.0)
+    without_image.assign(item.job, 0.0, 10.0)
     # The image is on its way; the next task of this job begins there at once.
     assert (
-        without_image.releases[0][0] == 90.0
-        and forecast.earliest(item.job, [without_image, warm])[1] is without_image
+        without_image.releases[0].at == 90.0
+        and forecast.earliest(item.job, [without_image, warm]).timeline is without_image
     )
 
 
@@ -174,7 +200,7 @@
             rows = []
             for n, timeline in enumerate(timelines):
                 start = timeline.earliest(spec.resources)
-                if start < forecast.NEVER and policy.allowed(
+                if start < forecast.NEVER and free_capacity.allowed(
                     item.job,
                     timeline.capacity.machine_type,
                     timeline.capacity.zone,
@@ -188,7 +214,7 @@
                 break
             _, _, _, start, timeline = min(rows)
             starts.setdefault(item.job.id, []).append(start)
-            timeline.put(item.job, start, run(item.job))
+            timeline.assign(item.job, start, run(item.job))
     return starts
 
 
@@ -210,10 +236,10 @@
             room_.images = frozenset(rng.sample(("img-1", "img-2", "img-3"), rng.randrange(3)))
             room_.ready_in = rng.choice((0.0, 0.0, 0.0, rng.uniform(1, 40)))
             ends = [
-                (rng.uniform(1, 90), Resources(rng.choice((6.0, 12.0)), 1, 0))
+                Release(rng.uniform(1, 90), Resources(rng.choice((6.0, 12.0)), 1, 0))
                 for _ in range(rng.randrange(3))
             ]
-            timelines.append(MachineTimeline(room_, sorted(ends, key=lambda row: row[0])))
+            timelines.append(MachineTimeline(room_, sorted(ends, key=lambda release: release.at)))
         queue = [
             pending(
                 n,
@@ -241,7 +267,7 @@
 
     def cost(machines):
         timelines = [
-            MachineTimeline(capacity(f"m-{n}", gpus=0.0), [(10.0 + n, Resources(8, 1, 40))])
+            MachineTimeline(capacity(f"m-{n}", gpus=0.0), [Release(10.0 + n, Resources(8, 1, 40))])
             for n in range(machines)
         ]
         queue = [pending(n, 2, legs=2) for n in range(1, 41)]
--- a/roadbend/recovery/judgement.py
+++ b/roadbend/recovery/judgement.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from roadbend.fleet.machines import Machine
-from roadbend.placement import policy as placing
+from roadbend.placement import free_capacity
 from roadbend.recovery.surroundings import Surroundings
 from roadbend.recovery.unrecorded import (
     Bounds,
@@ -50,17 +50,17 @@
         others = self._held.others(held)
         stays = (
             machine is not None
-            and machine.token_confirmed
-            and machine.draining is None
-            and machine.reclaim_at is None
-            and not machine.fencing
+            and machine.token.confirmed
+            and machine.lifecycle.draining is None
+            and machine.lifecycle.reclaim_at is None
+            and not machine.lifecycle.fencing
         )
         return Facts(
             records_read=_is_after(self._around.records_read(), held.since),
             peers_heard=_is_after(self._around.peers_heard(), held.since),
             superseded=job is not None and self.is_superseded(job, held.index),
             job_lives=job is not None,
-            job_over=True if held.job in leader.context.cancelled else held.job_over,
+            job_over=True if held.job in leader.context.cancellations.jobs else held.job_over,
             gang=job is not None and job.spec.gang,
             shows_done=held.shows_done,
             machine_current=stays,
@@ -69,13 +69,13 @@
             higher_elsewhere=any(row.attempt > held.attempt for row in others),
             machines_known=self._machines_known(now),
             within_limit=job is not None
-            and leader.context.room_left(job.spec, leader.partition) > 0,
+            and leader.context.fair_share.startable_tasks(job.spec, leader.partition) > 0,
             waited=now - held.since,
         )
 
     def _allows(self, job: Job, machine: Machine) -> bool:
         """The job may run there, given its other tasks."""
-        if not placing.allowed(job, machine.machine_type, machine.zone, machine.spot):
+        if not free_capacity.allowed(job, machine.machine_type, machine.zone, machine.spot):
             return False
         if job.spec.together:
             return set(job.allocation) <= {self._leader.partition}
--- a/roadbend/recovery/service.py
+++ b/roadbend/recovery/service.py
@@ -19,6 +19,7 @@
 from roadbend.recovery.unrecorded import HeldAttempt
 from roadbend.store import keys
 from roadbend.store.client import (
+    Change,
     ConflictError,
     LeaseEndedError,
     RefusedError,
@@ -159,9 +160,9 @@
         """Since when every live controller was heard; now where there is none."""
         now = clock.now()
         heard = [
-            link.known.asked
+            link.known.asked_at
             for link in self._controller.peers.links.values()
-            if link.alive(now) and link.known.asked is not None
+            if link.alive(now) and link.known.asked_at is not None
         ]
         return min(heard, default=now)
 
@@ -249,7 +250,7 @@
         )
         partition.terms_in_use, partition.in_use_since = {}, None
         self._note_lost_writes(leader.partition)
-        self._context.election.raise_above(leader.partition, seen)
+        self._context.election.raise_term_above(leader.partition, seen)
 
     async def _read_ends(self, partition: PartitionRecovery) -> None:
         """Whether jobs that no record names as live have ended."""
@@ -307,7 +308,7 @@
         return bool(partition.found) or partition.cold and bool(self._inherited)
 
     async def _write(
-        self, partition: PartitionRecovery, rows: list[dict], conditions: dict[str, int]
+        self, partition: PartitionRecovery, rows: list[Change], conditions: dict[str, int]
     ) -> bool:
         """One small transaction, on the term's stamp."""
         leader = partition.leader
--- a/roadbend/test_growth.py
+++ b/roadbend/test_growth.py
@@ -13,21 +13,22 @@
 from roadbend.autoscaler.cloud import Cloud
 from roadbend.autoscaler.policy import Timing, wanted
 from roadbend.autoscaler.test_autoscaler import choices
-from roadbend.bidding import requester
+from roadbend.bidding import bid_service
 from roadbend.fakes.submission import job
 from roadbend.fakes.world import world
 from roadbend.http.client import NoAnswerError
 from roadbend.placement import (
+    bin_packing,
     ends,
     forecast,
     gang_reservations,
-    policy,
     preemption,
     quotas,
     restrictions,
     starts,
 )
 from roadbend.placement.forecast import MachineTimeline
+from roadbend.placement.quota_allowance import QuotaAllowance, QuotaAmount
 from roadbend.placement.test_placement import capacity, pending
 from roadbend.settings import OperatorSettings, Team
 from roadbend.store import keys, ranges, records
@@ -141,7 +142,7 @@
     full = [capacity(f"m-{n}", gpus=0.0) for n in range(200)]
     queue = [pending(n, 50, legs=50) for n in range(100)]
     # What found no room is not looked for again by others alike.
-    assert calls(lambda: policy.place(queue, full)) < 200 * 10 + 100 * 20
+    assert calls(lambda: bin_packing.place(queue, full)) < 200 * 10 + 100 * 20
     late = [Timing(item, 20.0, 0.0) for item in queue]
     assert calls(lambda: wanted(late[:2], [], choices(), "east", 1.0)) < 100 * 150
 
@@ -388,7 +389,7 @@
             terms.append(leadership.term if leadership else None)
             mod_revision, lease_id = (
                 controller.view.mod_revision(keys.controller_key("node-0")),
-                controller.election._lease_id,
+                controller.election.lease.id,
             )
             w.crash(0)
             await trio.sleep(0.1)
@@ -397,7 +398,9 @@
             late = {
                 "when": [{"path": keys.controller_key("node-0"), "stamp": mod_revision}],
                 "apply": [
-                    put(keys.controller_key("node-0"), {"boot": controller.incarnation}, lease_id)
+                    put(
+                        keys.controller_key("node-0"), {"boot": controller.incarnation}, lease_id
+                    ).to_map()
                 ],
             }
             assert w.state.compare_and_swap(late).status != 200
@@ -425,7 +428,7 @@
                 return any(
                     (leader := controller.leaders.get("east")) is not None
                     and all(
-                        m in leader.machines and leader.machines[m].token_confirmed
+                        m in leader.machines and leader.machines[m].token.confirmed
                         for m in machines
                     )
                     for name, controller in w.controllers.items()
@@ -492,14 +495,14 @@
     fell behind."""
     async with world(count=1) as w:
         context = w.controllers["node-0"].context
-        whole = context.rest(timedelta(milliseconds=50))
+        whole = context.reuse_window(timedelta(milliseconds=50))
         assert set(context.election.leaderships) == {"east"}
         quarter = replace(context, settings=replace(context.settings, cpu=0.25))
-        assert quarter.rest(timedelta(milliseconds=50)) == whole * 4
+        assert quarter.reuse_window(timedelta(milliseconds=50)) == whole * 4
         context.election.leaderships["west"] = replace(
             context.election.leaderships["east"], partition="west"
         )
-        assert context.rest(timedelta(milliseconds=50)) == whole * 2
+        assert context.reuse_window(timedelta(milliseconds=50)) == whole * 2
         del context.election.leaderships["west"]
 
 
@@ -539,7 +542,7 @@
     # A job that no partition can start is offered everywhere well before that, its turn among
     # others counted.
     assert (
-        requester.LONG_WAIT + 4 * OperatorSettings().reoffer_every + OperatorSettings().cool_down
+        bid_service.LONG_WAIT + 4 * OperatorSettings().reoffer_every + OperatorSettings().cool_down
         < timedelta(seconds=60)
     )
 
@@ -548,8 +551,8 @@
     """A wide array that only fits a machine type that is full stood first, and took all that its
     team had left."""
     wide, small = pending(1, 10, legs=50, rigs=["big"]), pending(2, 20, legs=2)
-    limits = policy.QuotaAllowance(lambda team: (1000.0, 4.0))
-    placed, left, _ = policy.place([wide, small], [capacity("m-1", gpus=2.0)], limits=limits)
+    limits = QuotaAllowance(lambda team: QuotaAmount(1000.0, 4.0))
+    placed, left, _ = bin_packing.place([wide, small], [capacity("m-1", gpus=2.0)], quota=limits)
     assert [(item.job.id, task_index) for item, task_index, _ in placed] == [
         ("run-000002", 0),
         ("run-000002", 1),
@@ -557,6 +560,6 @@
     assert left[0].job.id == "run-000001" and left[0].count == 4
     # What waits for a machine that was hired for it keeps the limit from lesser work, for a while.
     high = pending(3, 10, legs=4, rigs=["big"], rank="production")
-    limits = policy.QuotaAllowance(lambda team: (1000.0, 4.0), lambda job: True)
-    placed, _, _ = policy.place([high, small], [capacity("m-1", gpus=2.0)], limits=limits)
+    limits = QuotaAllowance(lambda team: QuotaAmount(1000.0, 4.0), lambda job: True)
+    placed, _, _ = bin_packing.place([high, small], [capacity("m-1", gpus=2.0)], quota=limits)
     assert placed == []
