--- /dev/null
+++ b/tests/test_architecture_page.py
@@ -0,0 +1,52 @@
+"""The modules, classes and functions that docs/architecture.md names exist."""
+
+import ast
+import re
+from pathlib import Path
+
+ROOT = Path(__file__).parents[1]
+PACKAGE = ROOT / "roadbend"
+PAGE = (ROOT / "docs" / "architecture.md").read_text()
+REFERENCE = re.compile(r"`(?:roadbend/)?([a-z_/]+\.py)(?::([A-Za-z_]+)(?:\.([a-z_]+))?)?`")
+MIN_REFERENCES = 30
+
+
+def _path(module: str) -> Path:
+    inside = PACKAGE / module
+    return inside if inside.exists() else ROOT / module
+
+
+def _definitions(path: Path) -> set[str]:
+    """Return what a module defines at its top, and methods as `Class.method`."""
+    found = set()
+    for node in ast.parse(path.read_text()).body:
+        if isinstance(node, ast.ClassDef | ast.FunctionDef | ast.AsyncFunctionDef):
+            found.add(node.name)
+        if isinstance(node, ast.ClassDef):
+            found |= {
+                f"{node.name}.{member.name}"
+                for member in node.body
+                if isinstance(member, ast.FunctionDef | ast.AsyncFunctionDef)
+            }
+    return found
+
+
+def test_every_module_that_the_page_names_exists():
+    modules = {match[0] for match in REFERENCE.findall(PAGE)}
+    assert len(modules) >= MIN_REFERENCES
+    assert sorted(module for module in modules if not _path(module).exists()) == []
+
+
+def test_every_class_and_function_that_the_page_names_exists():
+    missing = []
+    for module, name, member in REFERENCE.findall(PAGE):
+        wanted = f"{name}.{member}" if member else name
+        path = _path(module)
+        if wanted and path.exists() and wanted not in _definitions(path):
+            missing.append(f"{module}:{wanted}")
+    assert missing == []
+
+
+def test_every_package_is_in_the_table():
+    packages = {path.parent.name for path in PACKAGE.glob("*/__init__.py")}
+    assert sorted(name for name in packages if f"`{name}`" not in PAGE) == []
--- /dev/null
+++ b/tests/test_imports.py
@@ -0,0 +1,99 @@
+"""What may import what. docs/architecture.md explains the order.
+
+Imports for types alone count too: a reader follows them like any other.
+"""
+
+import ast
+from collections.abc import Iterator
+from pathlib import Path
+
+import pytest
+
+ROOT = Path(__file__).parents[1]
+PACKAGE = "roadbend"
+
+# Each package or top module, with those that it may import. The lower ones come first; nothing may
+# import what stands below it in this table.
+MAY_IMPORT: dict[str, set[str]] = {
+    "errors": set(),
+    "log": set(),
+    "clock": set(),
+    "retry": {"clock"},
+}
+
+
+def _module_name(path: Path) -> str:
+    parts = path.relative_to(ROOT).with_suffix("").parts
+    return ".".join(parts[:-1] if parts[-1] == "__init__" else parts)
+
+
+def _is_test(path: Path) -> bool:
+    return path.name.startswith("test_") or path.name == "conftest.py"
+
+
+MODULES = {
+    _module_name(path): path
+    for path in sorted((ROOT / PACKAGE).rglob("*.py"))
+    if not _is_test(path)
+}
+
+
+def _imported(path: Path) -> Iterator[str]:
+    """Yield the modules of the package that a module imports."""
+    for node in ast.walk(ast.parse(path.read_text())):
+        if isinstance(node, ast.ImportFrom) and node.module and node.module.startswith(PACKAGE):
+            for name in node.names:
+                submodule = f"{node.module}.{name.name}"
+                yield submodule if submodule in MODULES else node.module
+        elif isinstance(node, ast.Import):
+            yield from (name.name for name in node.names if name.name.startswith(PACKAGE))
+
+
+IMPORTS = {name: set(_imported(path)) for name, path in MODULES.items()}
+
+
+def _unit(module: str) -> str:
+    """Return the package or top module that a module belongs to."""
+    parts = module.split(".")
+    return parts[1] if len(parts) > 1 else PACKAGE
+
+
+def _cycle_from(start: str) -> list[str]:
+    """Return a way along imports from a module back to itself; empty if there is none."""
+    ways = [[start]]
+    seen = {start}
+    while ways:
+        way = ways.pop()
+        for target in sorted(IMPORTS.get(way[-1], ())):
+            if target == start:
+                return [*way, start]
+            if target not in seen:
+                seen.add(target)
+                ways.append([*way, target])
+    return []
+
+
+def test_no_module_imports_itself_through_others():
+    assert [way for module in IMPORTS if (way := _cycle_from(module))] == []
+
+
+@pytest.mark.parametrize("unit", sorted({_unit(module) for module in MODULES}))
+def test_a_package_imports_only_what_stands_below_it(unit):
+    imported = {
+        _unit(target)
+        for module, targets in IMPORTS.items()
+        if _unit(module) == unit
+        for target in targets
+    }
+    assert imported - {unit} <= MAY_IMPORT[unit]
+
+
+def test_the_table_goes_from_the_bottom_up():
+    order = list(MAY_IMPORT)
+    upward = {
+        (unit, lower)
+        for unit, imports in MAY_IMPORT.items()
+        for lower in imports
+        if order.index(lower) >= order.index(unit)
+    }
+    assert upward == set()
