--- a/roadbend/bidding/machine_fit.py
+++ b/roadbend/bidding/machine_fit.py
@@ -7,7 +7,7 @@
 from datetime import timedelta
 
 from roadbend import clock
-from roadbend.autoscaler.cloud import MachineType
+from roadbend.autoscaler.messages import MachineType
 from roadbend.placement import free_capacity
 from roadbend.placement.free_capacity import FreeCapacity
 from roadbend.placement.leader import PartitionLeader
@@ -18,8 +18,8 @@
 def count_fitting(
     leader: PartitionLeader, job: Job, projection: QueueProjection
 ) -> tuple[int, int]:
-    """Return how many tasks of a job fit on the machines that are up, and on those that boot."""
-    if job.id not in leader.avoid:
+    """Return how many tasks of a job fit on machines that are up, and on those that start up."""
+    if not leader.exclusions.failed_on(job.id):
         return projection.fitting(job)
     booting = [
         timeline.capacity for timeline in projection.timelines if timeline.capacity.ready_in > 0
@@ -33,7 +33,7 @@
         capacity.count(job.spec.resources)
         for capacity in capacities
         if free_capacity.allowed(job, capacity.machine_type, capacity.zone, capacity.spot)
-        and capacity.id not in leader.avoid.get(job.id, ())
+        and capacity.id not in leader.exclusions.failed_on(job.id)
     )
 
 
--- a/roadbend/controller/heartbeats.py
+++ b/roadbend/controller/heartbeats.py
@@ -19,12 +19,12 @@
 
     def __init__(
         self,
+        *,
         incarnation: str,
         context: ControllerContext,
         leaders: Mapping[str, PartitionLeader],
         fleet: Fleet,
         cancellations: ConfirmedCancellations,
-        *,
         budget: RequestBudget,
         cloud: Cloud,
     ) -> None:
@@ -76,4 +76,4 @@
             # A worker's heartbeat with nothing new is answered without a step of the leader: what
             # is to be stopped must be marked before the next one comes.
             for leader in self._leaders.values():
-                leader.stop_dead(clock.now())
+                leader.stops.order_all_cancelled(clock.now())
--- a/roadbend/fleet/messages.py
+++ b/roadbend/fleet/messages.py
@@ -95,8 +95,7 @@
     machine_type: str
     zone: str
     spot: bool
-    epoch: int
-    sequence: int
+    position: HeartbeatPosition
     # The highest fencing token that the worker has seen.
     token: int
     # Seconds until the cloud reclaims the machine, if it has said so.
@@ -105,11 +104,6 @@
     # The tasks as they came, to compare the next heartbeat with.
     reported_tasks: UnreadTasks
 
-    @property
-    def position(self) -> HeartbeatPosition:
-        """Return its position among all heartbeats of its worker."""
-        return HeartbeatPosition(self.epoch, self.sequence)
-
 
 @dataclass(frozen=True)
 class StartTask:
@@ -183,8 +177,9 @@
         machine_type=text(data.get("rig"), "rig"),
         zone=text(data.get("yard"), "yard"),
         spot=flag(data.get("loaners"), "loaners"),
-        epoch=whole(data.get("stint"), "stint"),
-        sequence=whole(data.get("tick"), "tick"),
+        position=HeartbeatPosition(
+            whole(data.get("stint"), "stint"), whole(data.get("tick"), "tick")
+        ),
         token=whole(data.get("baton"), "baton"),
         notice=None if notice is None else min(number(notice, "recallS"), MAX_NOTICE_S),
         tasks=tasks,
@@ -248,10 +243,12 @@
 
 # The wire form of what controllers send.
 
+Body = dict[str, Any]
+
 
-def order_to_wire(order: WorkerOrder) -> dict[str, Any]:
+def order_to_wire(order: WorkerOrder) -> Body:
     """Return an order as the worker's protocol has it."""
-    row: dict[str, Any] = {
+    row: Body = {
         "verb": _VERBS[type(order)].value,
         "leg": f"{order.job}/{order.task_index}",
         "try": order.attempt,
@@ -261,12 +258,12 @@
     return row
 
 
-def heartbeat_answer(token: int, orders: Iterable[WorkerOrder] = ()) -> dict[str, Any]:
+def heartbeat_answer(token: int, orders: Iterable[WorkerOrder] = ()) -> Body:
     """Return the body of the answer that a heartbeat is accepted with."""
     return {"baton": token, "orders": [order_to_wire(order) for order in orders]}
 
 
-def direct_command(token: int, epoch: int, orders: Iterable[WorkerOrder] = ()) -> dict[str, Any]:
+def direct_command(token: int, epoch: int, orders: Iterable[WorkerOrder] = ()) -> Body:
     """Return the body of a direct command, which holds for one epoch of the worker."""
     return {
         "baton": token,
@@ -275,6 +272,6 @@
     }
 
 
-def redirect(controller: str) -> dict[str, Any]:
+def redirect(controller: str) -> Body:
     """Return the body of the answer that sends a worker to another controller."""
     return {"dispatcher": controller}
--- a/roadbend/fleet/test_process_pauses.py
+++ b/roadbend/fleet/test_process_pauses.py
@@ -4,6 +4,8 @@
 import trio
 
 from roadbend.autoscaler.cloud import CloudBusyError
+from roadbend.autoscaler.machine_creation import while_leading
+from roadbend.autoscaler.messages import CreationRequest, MachineKind
 from roadbend.fakes.submission import job
 from roadbend.fakes.world import world
 from roadbend.partitions.leadership import LossReason
@@ -11,8 +13,10 @@
 
 
 async def test_a_controller_that_stood_still_takes_no_machine_for_silent():
-    """Its machines' reports lie unread when it goes on; all of them looked silent, and were looked
-    into at once."""
+    """Heartbeats lie unread when a controller goes on after a pause.
+
+    All of its machines once looked silent then, and were looked into at once.
+    """
     async with world(count=1, teams={"red": Team("red", 0, 0, 4, 40)}, capacity=20) as w:
         assert (
             await w.submit(0, job(1, legs=16, yard="east", shape="daemon", dueS=None), None) == 201
@@ -45,13 +49,15 @@
         assert await w.until(lambda: w.board.running("run-000001"), 60)
         controller = w.controllers["node-0"]
         machine, leader = next(iter(w.board.where["run-000001/0"])), controller.leaders["east"]
-        still = controller.autoscaler._still(leader)
+        still = while_leading(controller.context, leader)
         assert still()
         controller.election.lose("east", LossReason.RECORD_GONE)
         assert not still()
         for call in (
-            controller.cloud.delete([machine], still=still),
-            controller.cloud.rent("h-1", "g2", "east", False, 1, still),
+            controller.cloud.delete_machines([machine], precondition=still),
+            controller.cloud.create_machines(
+                CreationRequest("h-1", MachineKind("g2", False), "east", 1), still
+            ),
         ):
             with pytest.raises(CloudBusyError):
                 await call
--- a/roadbend/recovery/adoption.py
+++ b/roadbend/recovery/adoption.py
@@ -8,7 +8,6 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
-from roadbend.placement import quotas
 from roadbend.placement.free_capacity import RESOURCE_TOLERANCE
 from roadbend.placement.transaction import TransactionBuilder
 from roadbend.recovery.judgement import Judgement
@@ -22,31 +21,36 @@
 
 
 class Adoption:
-    """Puts held attempts into an owner's transactions. `let_go` is called with each that was
-    written, and why it is no longer held."""
+    """Puts held attempts into a leader's transactions.
+
+    `release` is called with each that was written, and why it is no longer held.
+    """
 
     def __init__(
         self,
         leader: PartitionLeader,
-        held: HeldAttempts,
+        held_attempts: HeldAttempts,
         judgement: Judgement,
         pace: AdaptiveBound,
-        let_go: Callable[[HeldAttempt, str], None],
+        release: Callable[[HeldAttempt, str], None],
     ) -> None:
-        self._leader, self._held, self._judgement = leader, held, judgement
-        self._pace, self._let_go = pace, let_go
+        self._leader, self._held_attempts, self._judgement = leader, held_attempts, judgement
+        self._pace, self._release = pace, release
         # Those in the transaction that was last put together, until it is confirmed.
         self._unconfirmed: set[tuple[str, int]] = set()
 
     def adopt(self, transaction: TransactionBuilder, now: datetime) -> bool:
-        """Writes what is to be adopted, services first, as much at once as the pace allows."""
+        """Write what is to be adopted, services first, as much at once as the pace allows.
+
+        Tells whether some is left for the next transaction.
+        """
         if self._unconfirmed:
             # Nobody confirmed the last ones: they were refused, or their answer was lost.
             self._pace.failed()
             self._unconfirmed = set()
         due = [
             held
-            for held in self._held.all()
+            for held in self._held_attempts.all()
             if held.decision in (Decision.ADOPT, Decision.RECORD_DONE)
             and self._judgement.decide(held, now) is held.decision
         ]
@@ -56,14 +60,14 @@
                 return True
         return False
 
-    def _order(self, held: HeldAttempt) -> tuple:
-        job = self._leader.live(held.job)
+    def _order(self, held: HeldAttempt) -> tuple[bool, int, datetime]:
+        job = self._leader.records.live_job(held.job)
         service = job is not None and job.spec.service
         return (not service, -(job.spec.priority if job is not None else 0), held.since)
 
     def _adopt_one(self, transaction: TransactionBuilder, held: HeldAttempt) -> bool:
-        """Puts one attempt into the transaction; False where that has no room for it."""
-        job = self._leader.live(held.job)
+        """Put one attempt into the transaction; return False where it does not fit."""
+        job = self._leader.records.live_job(held.job)
         if job is None or keys.job_key(job.id) in transaction.changes:
             return False
         piece = self._with_attempt(transaction, job, held)
@@ -76,7 +80,7 @@
                 return False
             transaction.charge(job.spec.team, job.spec.resources, 1)
         transaction.set_slice(piece)
-        self._need_held(transaction, job, held.index)
+        self._hold_task(transaction, job, held.index)
         self._unconfirmed.add((held.job, held.index))
         transaction.after.append(partial(self._adopted, held))
         return True
@@ -84,10 +88,14 @@
     def _with_attempt(
         self, transaction: TransactionBuilder, job: Job, held: HeldAttempt
     ) -> SliceShard:
-        """The slice that names the attempt, or says that its task is done."""
-        leader, job_slice = self._leader, self._leader.job_slices().get(job.id)
-        own_shard = held.index // leader.width
-        shard = own_shard if job_slice is None else job_slice.shard_of(held.index, leader.width)
+        """Return the shard that names the attempt, or says that its task is done."""
+        leader, job_slice = self._leader, self._leader.records.job_slices().get(job.id)
+        own_shard = held.index // leader.records.shard_width
+        shard = (
+            own_shard
+            if job_slice is None
+            else job_slice.shard_of(held.index, leader.records.shard_width)
+        )
         piece = transaction.slice(job.id, job.spec.team, job.spec.resources, shard)
         if held.decision is Decision.RECORD_DONE:
             return replace(piece, done=ranges.union(piece.done, ((held.index, held.index + 1),)))
@@ -97,29 +105,35 @@
     def _reserve_quota(
         self, transaction: TransactionBuilder, job: Job, record_keys: list[str]
     ) -> bool:
-        left = quotas.team_left(self._leader, transaction, job.spec.team)
+        left = self._leader.quotas.team_left(transaction, job.spec.team)
         resources = job.spec.resources
         if (
             left is None
-            or resources.cpus > left[0] + RESOURCE_TOLERANCE
-            or resources.gpus > left[1] + RESOURCE_TOLERANCE
+            or resources.cpus > left.cpus + RESOURCE_TOLERANCE
+            or resources.gpus > left.gpus + RESOURCE_TOLERANCE
         ):
             return False
-        return quotas.reserve_quota(
-            self._leader, transaction, job.spec.team, resources, 1, record_keys
+        return self._leader.quotas.reserve_quota(
+            transaction,
+            team=job.spec.team,
+            resources=resources,
+            tasks=1,
+            record_keys=record_keys,
         )
 
-    def _need_held(self, transaction: TransactionBuilder, job: Job, index: int) -> None:
-        """The partition holds the task from here on, on the job's stamp. Where another partition
-        held it, that partition's slice is a condition too: it may have recorded a start a moment
-        ago."""
+    def _hold_task(self, transaction: TransactionBuilder, job: Job, index: int) -> None:
+        """Have the partition hold the task, on condition that the job's record is as it was read.
+
+        Where another partition held it, that partition's shard is a condition too: it may have
+        recorded a start a moment ago.
+        """
         partition, one = self._leader.partition, ((index, index + 1),)
         if ranges.has(job.allocation.get(partition, ()), index):
             transaction.require_job(job)
             return
         for other, held in job.allocation.items():
             if ranges.has(held, index):
-                key = keys.slice_key(other, job.id, index // self._leader.width)
+                key = keys.slice_key(other, job.id, index // self._leader.records.shard_width)
                 transaction.conditions[key] = self._leader.context.view.mod_revision(key)
                 job = job.with_partition(other, ranges.minus(held, one))
         transaction.set_job(
@@ -127,10 +141,10 @@
         )
 
     def _adopted(self, held: HeldAttempt) -> None:
-        """The transaction was carried out."""
+        """Note that the transaction with an attempt was carried out."""
         self._unconfirmed.discard((held.job, held.index))
         self._pace.succeeded()
         machine = self._leader.machines.get(held.machine)
         if machine is not None:
             machine.last_evaluation.invalidate()
-        self._let_go(held, str(held.decision))
+        self._release(held, str(held.decision))
--- a/roadbend/recovery/judgement.py
+++ b/roadbend/recovery/judgement.py
@@ -8,7 +8,7 @@
 
 from roadbend.fleet.machines import Machine
 from roadbend.placement import free_capacity
-from roadbend.recovery.surroundings import Surroundings
+from roadbend.recovery.environment import RecoveryEnvironment
 from roadbend.recovery.unrecorded import (
     Bounds,
     Decision,
@@ -25,30 +25,33 @@
 
 
 class Judgement:
-    """Gathers the facts about held attempts. `machines_known`: whether no machine of the partition
-    can hold anything that was not seen, at that moment."""
+    """Gathers the facts about held attempts, and decides by them.
+
+    `machines_known` tells whether, at an instant, no machine of the partition can hold anything
+    that was not seen.
+    """
 
     def __init__(
         self,
         leader: PartitionLeader,
-        around: Surroundings,
-        held: HeldAttempts,
+        environment: RecoveryEnvironment,
+        held_attempts: HeldAttempts,
         machines_known: Callable[[datetime], bool],
     ) -> None:
-        self._leader, self._around, self._held = leader, around, held
+        self._leader, self._environment, self._held_attempts = leader, environment, held_attempts
         self._machines_known = machines_known
 
     def decide(self, held: HeldAttempt, now: datetime) -> Decision:
-        """What is done about an attempt now."""
-        settings = self._around.settings
+        """Return what is done about an attempt now."""
+        settings = self._environment.settings
         bounds = Bounds(settings.answer_most, settings.late_write)
         return decide(self._facts(held, now), bounds)
 
     def _facts(self, held: HeldAttempt, now: datetime) -> Facts:
         leader = self._leader
-        job, machine = leader.live(held.job), leader.machines.get(held.machine)
-        others = self._held.others(held)
-        stays = (
+        job, machine = leader.records.live_job(held.job), leader.machines.get(held.machine)
+        others = self._held_attempts.others(held)
+        machine_current = (
             machine is not None
             and machine.token.confirmed
             and machine.lifecycle.draining is None
@@ -56,14 +59,14 @@
             and not machine.lifecycle.fencing
         )
         return Facts(
-            records_read=_is_after(self._around.records_read(), held.since),
-            peers_heard=_is_after(self._around.peers_heard(), held.since),
+            records_read=_is_after(self._environment.records_read_at(), held.since),
+            peers_heard=_is_after(self._environment.peers_heard_since(), held.since),
             superseded=job is not None and self.is_superseded(job, held.index),
             job_lives=job is not None,
             job_over=True if held.job in leader.context.cancellations.jobs else held.job_over,
             gang=job is not None and job.spec.gang,
             shows_done=held.shows_done,
-            machine_current=stays,
+            machine_current=machine_current,
             machine_allowed=job is not None and machine is not None and self._allows(job, machine),
             also_elsewhere=bool(others),
             higher_elsewhere=any(row.attempt > held.attempt for row in others),
@@ -74,7 +77,7 @@
         )
 
     def _allows(self, job: Job, machine: Machine) -> bool:
-        """The job may run there, given its other tasks."""
+        """Tell whether the job may run on a machine, given its other tasks."""
         if not free_capacity.allowed(job, machine.machine_type, machine.zone, machine.spot):
             return False
         if job.spec.together:
@@ -83,8 +86,7 @@
         return not job.spec.apart or here < job.spec.zone_cap
 
     def is_superseded(self, job: Job, index: int) -> bool:
-        """Whether the records name an attempt of a task in any partition, or say that it is
-        done."""
+        """Tell whether the records name an attempt of a task anywhere, or say that it is done."""
         if index >= job.spec.task_count or ranges.has(job.done, index):
             return True
         for job_slices in self._leader.context.view.job_slices.values():
--- a/roadbend/test_growth.py
+++ b/roadbend/test_scalability.py
@@ -9,27 +9,26 @@
 import trio
 
 from roadbend import clock
-from roadbend.autoscaler import cloud as renting
-from roadbend.autoscaler.cloud import Cloud
-from roadbend.autoscaler.policy import Timing, wanted
-from roadbend.autoscaler.test_autoscaler import choices
+from roadbend.autoscaler.cloud import MAX_CREATIONS, Cloud
+from roadbend.autoscaler.messages import CreationRequest, MachineKind
+from roadbend.autoscaler.scale_out_policy import TimedTasks, machines_to_create
 from roadbend.bidding import bid_service
+from roadbend.fakes.scheduling import capacity, choices, pending
 from roadbend.fakes.submission import job
 from roadbend.fakes.world import world
 from roadbend.http.client import NoAnswerError
 from roadbend.placement import (
+    aging,
     bin_packing,
-    ends,
+    failure_backoff,
     forecast,
     gang_reservations,
     preemption,
     quotas,
-    restrictions,
     starts,
 )
 from roadbend.placement.forecast import MachineTimeline
 from roadbend.placement.quota_allowance import QuotaAllowance, QuotaAmount
-from roadbend.placement.test_placement import capacity, pending
 from roadbend.settings import OperatorSettings, Team
 from roadbend.store import keys, ranges, records
 from roadbend.store.client import delete, put
@@ -143,8 +142,8 @@
     queue = [pending(n, 50, legs=50) for n in range(100)]
     # What found no room is not looked for again by others alike.
     assert calls(lambda: bin_packing.place(queue, full)) < 200 * 10 + 100 * 20
-    late = [Timing(item, 20.0, 0.0) for item in queue]
-    assert calls(lambda: wanted(late[:2], [], choices(), "east", 1.0)) < 100 * 150
+    late = [TimedTasks(item, 20.0, 0.0) for item in queue]
+    assert calls(lambda: machines_to_create(late[:2], [], choices(), "east", 1.0)) < 100 * 150
 
 
 async def test_a_calm_report_costs_the_same_beside_few_machines_and_beside_many(calls):
@@ -353,10 +352,12 @@
 
 async def test_more_than_a_hundred_dead_machines_are_all_deleted_or_none_counts_as_gone():
     client = Calls()
-    await Cloud(client, 2.0, 3).delete([f"m-{n}" for n in range(230)], urgent=True)
+    await Cloud(client, 2.0, 3).delete_machines([f"m-{n}" for n in range(230)], urgent=True)
     assert [count for _, _, count in client.asked] == [100, 100, 30]
     with pytest.raises(NoAnswerError):
-        await Cloud(Calls(fail_at=2), 2.0, 3).delete([f"m-{n}" for n in range(230)], urgent=True)
+        await Cloud(Calls(fail_at=2), 2.0, 3).delete_machines(
+            [f"m-{n}" for n in range(230)], urgent=True
+        )
 
 
 async def test_hiring_goes_before_listing():
@@ -364,15 +365,16 @@
     cloud = Cloud(client, 2.0, 3)
     async with trio.open_nursery() as nursery:
         for _ in range(6):
-            nursery.start_soon(cloud.machines)
+            nursery.start_soon(cloud.list_machines)
         await trio.sleep(0.5)
         for n in range(3):
-            nursery.start_soon(cloud.rent, f"h-{n}", "g2", "east", True, 50)
+            request = CreationRequest(f"h-{n}", MachineKind("g2", True), "east", 50)
+            nursery.start_soon(cloud.create_machines, request)
     order = [method for method, _, _ in client.asked]
     assert order.index("POST") <= 2 and order[-3:] == ["GET"] * 3
     # Lists of several pages at every controller leave most calls to hiring.
-    assert cloud.list_pause(700) >= timedelta(seconds=2 * 3 / (0.3 * 2.0))
-    assert renting.MAX_HIRED == 50
+    assert cloud.list_interval(700) >= timedelta(seconds=2 * 3 / (0.3 * 2.0))
+    assert MAX_CREATIONS == 50
 
 
 async def test_two_lives_of_a_controller_never_share_a_term_or_a_hire_name():
@@ -524,7 +526,7 @@
         del begun[:]
         began = trio.current_time()
         for _ in range(200):
-            leader.wake_up.set()
+            leader.steps.request()
             await trio.sleep(0.05)
         # A third of the time at the most; and it goes on.
         assert 5 <= len(begun) <= (trio.current_time() - began) / 0.9 + 1
@@ -535,10 +537,10 @@
     other is a rest after failures, its team's limit kept for work whose machine boots, and all
     that it is passed over for: room left to a job of another partition, being made, or kept for a
     gang."""
-    assert ends.BACKOFF_MOST + quotas.HOLD + restrictions.PASSED_OVER < timedelta(seconds=90)
-    assert quotas.YIELD < restrictions.PASSED_OVER
-    assert preemption.RESERVATION_LIFETIME < restrictions.PASSED_OVER
-    assert gang_reservations.KEEP < restrictions.PASSED_OVER
+    assert failure_backoff.MAX_REST + quotas.HOLD + aging.MAX_PASSED_OVER < timedelta(seconds=90)
+    assert quotas.YIELD < aging.MAX_PASSED_OVER
+    assert preemption.RESERVATION_LIFETIME < aging.MAX_PASSED_OVER
+    assert gang_reservations.KEEP < aging.MAX_PASSED_OVER
     # A job that no partition can start is offered everywhere well before that, its turn among
     # others counted.
     assert (
