--- a/roadbend/autoscaler/booting_machines.py
+++ b/roadbend/autoscaler/booting_machines.py
@@ -4,12 +4,12 @@
 from dataclasses import dataclass
 from datetime import datetime, timedelta
 
-from roadbend.autoscaler import machine_options
-from roadbend.autoscaler.machine_options import MachineOption
-from roadbend.autoscaler.messages import ListedMachine, MachineKind, MachineStatus
+from roadbend.cloud.messages import ListedMachine, MachineKind, MachineStatus
+from roadbend.placement import machine_options
 from roadbend.placement.context import ControllerContext
 from roadbend.placement.free_capacity import FreeCapacity
 from roadbend.placement.leader import PartitionLeader
+from roadbend.placement.machine_options import MachineOption
 
 # After so many times its usual boot time a machine may still come, but others are created in its
 # place.
--- a/roadbend/autoscaler/capacity_refusals.py
+++ b/roadbend/autoscaler/capacity_refusals.py
@@ -5,7 +5,7 @@
 from datetime import datetime, timedelta
 
 from roadbend import clock
-from roadbend.autoscaler.messages import MachineKind
+from roadbend.cloud.messages import MachineKind
 from roadbend.log import Log
 from roadbend.retry import jittered
 from roadbend.settings import OperatorSettings
--- a/roadbend/autoscaler/catalog.py
+++ b/roadbend/autoscaler/catalog.py
@@ -3,8 +3,8 @@
 from datetime import timedelta
 
 from roadbend import clock
-from roadbend.autoscaler.cloud import Cloud, CloudBusyError, NoCapacityError
-from roadbend.autoscaler.messages import (
+from roadbend.cloud.client import Cloud, CloudBusyError, NoCapacityError
+from roadbend.cloud.messages import (
     MachineType,
     catalog_value,
     is_same_but_for_spot_prices,
--- a/roadbend/autoscaler/inventory_loop.py
+++ b/roadbend/autoscaler/inventory_loop.py
@@ -5,8 +5,8 @@
 
 from roadbend import clock
 from roadbend.autoscaler.booting_machines import BootingMachines
-from roadbend.autoscaler.cloud import Cloud, CloudBusyError, NoCapacityError
-from roadbend.autoscaler.messages import ListedMachine
+from roadbend.cloud.client import Cloud, CloudBusyError, NoCapacityError
+from roadbend.cloud.messages import ListedMachine
 from roadbend.fleet.cloud_inventory import CloudInventory
 from roadbend.http.client import NoAnswerError
 from roadbend.log import Log
--- a/roadbend/autoscaler/machine_creation.py
+++ b/roadbend/autoscaler/machine_creation.py
@@ -6,8 +6,8 @@
 from roadbend import clock
 from roadbend.autoscaler.booting_machines import BootingMachines
 from roadbend.autoscaler.capacity_refusals import CapacityRefusals
-from roadbend.autoscaler.cloud import MAX_CREATIONS, Cloud, NoCapacityError, Precondition
-from roadbend.autoscaler.messages import CreationRequest, MachineKind
+from roadbend.cloud.client import MAX_CREATIONS, Cloud, NoCapacityError, Precondition
+from roadbend.cloud.messages import CreationRequest, MachineKind
 from roadbend.http.client import NoAnswerError
 from roadbend.log import Log
 from roadbend.placement.context import ControllerContext
--- a/roadbend/autoscaler/scale_in.py
+++ b/roadbend/autoscaler/scale_in.py
@@ -4,12 +4,11 @@
 from typing import NamedTuple
 
 from roadbend import clock
-from roadbend.autoscaler import machine_options
-from roadbend.autoscaler.cloud import MAX_DELETIONS, Cloud, Precondition
+from roadbend.cloud.client import MAX_DELETIONS, Cloud, Precondition
 from roadbend.fleet.machines import Machine
 from roadbend.fleet.terminations import TerminationEvidence
 from roadbend.log import Log
-from roadbend.placement import free_capacity
+from roadbend.placement import free_capacity, machine_options
 from roadbend.placement.context import ControllerContext
 from roadbend.placement.leader import PartitionLeader
 from roadbend.store.records import Job
--- a/roadbend/autoscaler/scale_out_planner.py
+++ b/roadbend/autoscaler/scale_out_planner.py
@@ -6,16 +6,15 @@
 from typing import NamedTuple
 
 from roadbend import clock
-from roadbend.autoscaler import machine_options
 from roadbend.autoscaler.booting_machines import BootingMachines
-from roadbend.autoscaler.machine_options import MachineOption
-from roadbend.autoscaler.messages import MachineKind
 from roadbend.autoscaler.scale_out_policy import TimedTasks, machines_to_create
 from roadbend.autoscaler.warm_pool import WarmPool
-from roadbend.placement import forecast
+from roadbend.cloud.messages import MachineKind
+from roadbend.placement import forecast, machine_options
 from roadbend.placement.context import ControllerContext
 from roadbend.placement.free_capacity import FreeCapacity
 from roadbend.placement.leader import PartitionLeader
+from roadbend.placement.machine_options import MachineOption
 from roadbend.placement.queue_order import PendingTasks
 from roadbend.placement.quota_allowance import QuotaAllowance
 from roadbend.placement.quotas import within
--- a/roadbend/autoscaler/scale_out_policy.py
+++ b/roadbend/autoscaler/scale_out_policy.py
@@ -8,14 +8,7 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from roadbend.autoscaler.machine_options import (
-    MachineOption,
-    cheapest,
-    cost,
-    new_machine,
-    ready_after,
-)
-from roadbend.autoscaler.messages import MachineKind
+from roadbend.cloud.messages import MachineKind
 from roadbend.placement.forecast import (
     NEVER,
     MachineTimeline,
@@ -23,6 +16,13 @@
     StartCandidates,
 )
 from roadbend.placement.free_capacity import UNLIMITED_TASKS, min_resources
+from roadbend.placement.machine_options import (
+    MachineOption,
+    cheapest,
+    cost,
+    new_machine,
+    ready_after,
+)
 from roadbend.placement.queue_order import PendingTasks
 from roadbend.store.records import Resources
 
--- a/roadbend/autoscaler/service.py
+++ b/roadbend/autoscaler/service.py
@@ -7,13 +7,13 @@
 from roadbend.autoscaler.booting_machines import BootingMachines
 from roadbend.autoscaler.capacity_refusals import CapacityRefusals
 from roadbend.autoscaler.catalog import Catalog
-from roadbend.autoscaler.cloud import Cloud, CloudBusyError
 from roadbend.autoscaler.inventory_loop import InventoryLoop
 from roadbend.autoscaler.machine_creation import MachineCreation, while_leading
-from roadbend.autoscaler.messages import MachineKind
 from roadbend.autoscaler.scale_in import ScaleIn
 from roadbend.autoscaler.scale_out_planner import ScaleOutPlanner, ScalingPlan
 from roadbend.autoscaler.warm_pool import WarmPool
+from roadbend.cloud.client import Cloud, CloudBusyError
+from roadbend.cloud.messages import MachineKind
 from roadbend.fleet.service import Fleet
 from roadbend.fleet.terminations import TerminationEvidence
 from roadbend.http.client import NoAnswerError
--- a/roadbend/autoscaler/test_autoscaler.py
+++ b/roadbend/autoscaler/test_autoscaler.py
@@ -5,15 +5,15 @@
 import pytest
 
 from roadbend import clock
-from roadbend.autoscaler import machine_options
 from roadbend.autoscaler.machine_creation import MAX_REQUESTS, MachineCreation
-from roadbend.autoscaler.messages import MachineKind, read_machine_types
 from roadbend.autoscaler.scale_in import IdleMachine, machines_to_delete
 from roadbend.autoscaler.scale_out_policy import TimedTasks, machines_to_create
 from roadbend.autoscaler.warm_pool import tasks_to_keep
+from roadbend.cloud.messages import MachineKind, read_machine_types
 from roadbend.fakes.platform import MACHINE_TYPE
 from roadbend.fakes.scheduling import MACHINE_TYPES, SMALL, choices, pending
 from roadbend.http.server import MalformedError
+from roadbend.placement import machine_options
 from roadbend.placement.forecast import MachineTimeline, Release
 from roadbend.placement.free_capacity import FreeCapacity
 from roadbend.store.records import Resources
--- a/roadbend/autoscaler/warm_pool.py
+++ b/roadbend/autoscaler/warm_pool.py
@@ -6,10 +6,10 @@
 from typing import NamedTuple
 
 from roadbend import clock
-from roadbend.autoscaler.machine_options import expensive_machine_types
 from roadbend.placement.context import ControllerContext
 from roadbend.placement.free_capacity import FreeCapacity, allowed
 from roadbend.placement.leader import PartitionLeader
+from roadbend.placement.machine_options import expensive_machine_types
 from roadbend.store.records import Job
 
 # Boots take up to half as long again as they nominally do.
--- a/roadbend/bidding/machine_fit.py
+++ b/roadbend/bidding/machine_fit.py
@@ -7,7 +7,7 @@
 from datetime import timedelta
 
 from roadbend import clock
-from roadbend.autoscaler.messages import MachineType
+from roadbend.cloud.messages import MachineType
 from roadbend.placement import free_capacity
 from roadbend.placement.free_capacity import FreeCapacity
 from roadbend.placement.leader import PartitionLeader
--- a/roadbend/bidding/scale_out.py
+++ b/roadbend/bidding/scale_out.py
@@ -5,10 +5,10 @@
 from typing import NamedTuple
 
 from roadbend import clock
-from roadbend.autoscaler import machine_options
-from roadbend.autoscaler.cloud import MAX_CREATIONS
-from roadbend.autoscaler.messages import MachineKind, MachineType
 from roadbend.bidding.messages import BidRequest
+from roadbend.cloud.client import MAX_CREATIONS
+from roadbend.cloud.messages import MachineKind, MachineType
+from roadbend.placement import machine_options
 from roadbend.placement.leader import PartitionLeader
 from roadbend.placement.queue_order import PendingTasks
 from roadbend.store.records import Job
--- a/roadbend/autoscaler/cloud.py
+++ b/roadbend/cloud/client.py
@@ -9,7 +9,7 @@
 from typing import Any, TypeVar
 
 from roadbend import clock
-from roadbend.autoscaler.messages import (
+from roadbend.cloud.messages import (
     LIST_PAGE_SIZE,
     CreationRequest,
     ListedMachine,
--- a/roadbend/controller/controller.py
+++ b/roadbend/controller/controller.py
@@ -7,9 +7,9 @@
 
 import trio
 
-from roadbend.autoscaler.cloud import Cloud
 from roadbend.autoscaler.service import Autoscaler
 from roadbend.bidding.service import Bidding
+from roadbend.cloud.client import Cloud
 from roadbend.controller.availability import Availability
 from roadbend.controller.cancellations import CancellationPropagation, ConfirmedCancellations
 from roadbend.controller.heartbeats import PeerExchange
--- a/roadbend/controller/heartbeats.py
+++ b/roadbend/controller/heartbeats.py
@@ -4,7 +4,7 @@
 from datetime import datetime
 
 from roadbend import clock
-from roadbend.autoscaler.cloud import Cloud
+from roadbend.cloud.client import Cloud
 from roadbend.controller.cancellations import ConfirmedCancellations
 from roadbend.fleet.service import Fleet
 from roadbend.peers.heartbeat import PeerHeartbeat, RequestRates
--- a/roadbend/controller/rate_sharing.py
+++ b/roadbend/controller/rate_sharing.py
@@ -3,7 +3,7 @@
 from datetime import timedelta
 
 from roadbend import clock
-from roadbend.autoscaler.cloud import Cloud
+from roadbend.cloud.client import Cloud
 from roadbend.peers.links import Peers
 from roadbend.store.request_budget import RequestBudget
 
--- a/roadbend/fakes/scheduling.py
+++ b/roadbend/fakes/scheduling.py
@@ -5,13 +5,13 @@
 from typing import Any
 
 from roadbend import clock
-from roadbend.autoscaler import machine_options
-from roadbend.autoscaler.machine_options import MachineOption
-from roadbend.autoscaler.messages import MachineKind, read_machine_types
+from roadbend.cloud.messages import MachineKind, read_machine_types
 from roadbend.fakes.platform import MACHINE_TYPE
 from roadbend.fakes.submission import job
 from roadbend.intake.messages import read_submission
+from roadbend.placement import machine_options
 from roadbend.placement.free_capacity import FreeCapacity
+from roadbend.placement.machine_options import MachineOption
 from roadbend.placement.queue_order import PendingTasks
 from roadbend.store.records import Job, Resources
 
--- a/roadbend/fleet/cloud_inventory.py
+++ b/roadbend/fleet/cloud_inventory.py
@@ -1,6 +1,6 @@
 """The cloud's list of our machines, as last read."""
 
-from roadbend.autoscaler.messages import ListedMachine, MachineStatus
+from roadbend.cloud.messages import ListedMachine, MachineStatus
 
 # Machines remembered as having been listed once, beside those that are listed now.
 MAX_REMEMBERED = 16_384
--- a/roadbend/fleet/deletions.py
+++ b/roadbend/fleet/deletions.py
@@ -5,7 +5,7 @@
 import trio
 
 from roadbend import clock
-from roadbend.autoscaler.cloud import MAX_DELETIONS, Cloud, CloudBusyError, NoCapacityError
+from roadbend.cloud.client import MAX_DELETIONS, Cloud, CloudBusyError, NoCapacityError
 from roadbend.http.client import NoAnswerError
 
 # For how long deletions are gathered, and how old they may be when they go out: after longer this
--- a/roadbend/fleet/failure_detector.py
+++ b/roadbend/fleet/failure_detector.py
@@ -10,7 +10,7 @@
 import trio
 
 from roadbend import clock
-from roadbend.autoscaler.cloud import Cloud
+from roadbend.cloud.client import Cloud
 from roadbend.fleet import liveness_policy
 from roadbend.fleet.cloud_inventory import CloudInventory
 from roadbend.fleet.deletions import Deletions
--- a/roadbend/fleet/fencing.py
+++ b/roadbend/fleet/fencing.py
@@ -1,7 +1,7 @@
 """Making sure that a machine runs nothing any more: by its deletion, or by its worker's lease."""
 
 from roadbend import clock
-from roadbend.autoscaler.cloud import CloudBusyError, NoCapacityError
+from roadbend.cloud.client import CloudBusyError, NoCapacityError
 from roadbend.fleet.deletions import Deletions
 from roadbend.fleet.leader import Controller, Leader
 from roadbend.fleet.liveness_policy import LeaseTerms, is_lease_expired
--- a/roadbend/fleet/service.py
+++ b/roadbend/fleet/service.py
@@ -4,7 +4,7 @@
 from datetime import datetime
 
 from roadbend import clock
-from roadbend.autoscaler.cloud import Cloud
+from roadbend.cloud.client import Cloud
 from roadbend.fleet import messages
 from roadbend.fleet.cloud_inventory import CloudInventory
 from roadbend.fleet.direct_commands import DirectCommands
--- a/roadbend/fleet/test_large_fleet.py
+++ b/roadbend/fleet/test_large_fleet.py
@@ -5,7 +5,7 @@
 
 import trio
 
-from roadbend.autoscaler.messages import ListedMachine
+from roadbend.cloud.messages import ListedMachine
 from roadbend.fakes.submission import job
 from roadbend.fakes.world import world
 from roadbend.fleet import cloud_inventory
--- a/roadbend/fleet/test_process_pauses.py
+++ b/roadbend/fleet/test_process_pauses.py
@@ -3,9 +3,9 @@
 import pytest
 import trio
 
-from roadbend.autoscaler.cloud import CloudBusyError
 from roadbend.autoscaler.machine_creation import while_leading
-from roadbend.autoscaler.messages import CreationRequest, MachineKind
+from roadbend.cloud.client import CloudBusyError
+from roadbend.cloud.messages import CreationRequest, MachineKind
 from roadbend.fakes.submission import job
 from roadbend.fakes.world import world
 from roadbend.partitions.leadership import LossReason
--- a/roadbend/intake/feasibility.py
+++ b/roadbend/intake/feasibility.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterable, Mapping
 
-from roadbend.autoscaler.messages import MachineType
+from roadbend.cloud.messages import MachineType
 from roadbend.errors import PermanentError
 from roadbend.settings import PlatformSettings, Team
 from roadbend.store.records import JobSpec, Resources
--- a/roadbend/intake/test_intake.py
+++ b/roadbend/intake/test_intake.py
@@ -5,7 +5,7 @@
 import pytest
 import trio
 
-from roadbend.autoscaler.messages import read_machine_types
+from roadbend.cloud.messages import read_machine_types
 from roadbend.fakes import user
 from roadbend.fakes.platform import MACHINE_TYPE, settings_for
 from roadbend.fakes.submission import job
--- a/roadbend/placement/context.py
+++ b/roadbend/placement/context.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, field
 from datetime import timedelta
 
-from roadbend.autoscaler.messages import MachineType
+from roadbend.cloud.messages import MachineType
 from roadbend.observer import Observer
 from roadbend.partitions.election import LeaderElection
 from roadbend.placement.cancellations import Cancellations
--- a/roadbend/autoscaler/machine_options.py
+++ b/roadbend/placement/machine_options.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable, Set
 from dataclasses import dataclass
 
-from roadbend.autoscaler.messages import MachineKind, MachineType
+from roadbend.cloud.messages import MachineKind, MachineType
 from roadbend.placement.free_capacity import UNLIMITED_TASKS, FreeCapacity, allowed
 from roadbend.placement.queue_order import PendingTasks
 from roadbend.store.records import Job
--- a/roadbend/placement/restrictions.py
+++ b/roadbend/placement/restrictions.py
@@ -8,9 +8,8 @@
 from datetime import datetime, timedelta
 
 from roadbend import clock
-from roadbend.autoscaler import machine_options
 from roadbend.log import Log
-from roadbend.placement import free_capacity
+from roadbend.placement import free_capacity, machine_options
 from roadbend.placement.bin_packing import Exclusions, TaskShape
 from roadbend.placement.free_capacity import FreeCapacity
 from roadbend.placement.gang_reservations import GangReservations
--- a/roadbend/placement/usable_machines.py
+++ b/roadbend/placement/usable_machines.py
@@ -4,7 +4,7 @@
 from datetime import datetime, timedelta
 
 from roadbend import clock
-from roadbend.autoscaler.messages import MachineType
+from roadbend.cloud.messages import MachineType
 from roadbend.fleet.machines import Machine
 from roadbend.fleet.terminations import TaskKey
 from roadbend.placement.free_capacity import RESOURCE_TOLERANCE, FreeCapacity
--- a/roadbend/recovery/survey.py
+++ b/roadbend/recovery/survey.py
@@ -12,8 +12,8 @@
 
 import trio
 
-from roadbend.autoscaler.cloud import Cloud, CloudBusyError
-from roadbend.autoscaler.messages import ListedMachine
+from roadbend.cloud.client import Cloud, CloudBusyError
+from roadbend.cloud.messages import ListedMachine
 from roadbend.errors import RetryableError
 from roadbend.fleet import messages
 from roadbend.http.client import Client, NoAnswerError
--- a/roadbend/test_scalability.py
+++ b/roadbend/test_scalability.py
@@ -9,10 +9,10 @@
 import trio
 
 from roadbend import clock
-from roadbend.autoscaler.cloud import MAX_CREATIONS, Cloud
-from roadbend.autoscaler.messages import CreationRequest, MachineKind
 from roadbend.autoscaler.scale_out_policy import TimedTasks, machines_to_create
 from roadbend.bidding import bid_service
+from roadbend.cloud.client import MAX_CREATIONS, Cloud
+from roadbend.cloud.messages import CreationRequest, MachineKind
 from roadbend.fakes.scheduling import capacity, choices, pending
 from roadbend.fakes.submission import job
 from roadbend.fakes.world import world
--- a/tests/compatibility/adapter.py
+++ b/tests/compatibility/adapter.py
@@ -22,10 +22,10 @@
 
 import roadbend
 from roadbend import cli, clock, log
-from roadbend.autoscaler.messages import read_machine_types
 from roadbend.bidding import messages as bidding_messages
 from roadbend.bidding.casa import Bid
 from roadbend.bidding.messages import BidRequest
+from roadbend.cloud.messages import read_machine_types
 from roadbend.errors import RoadbendError
 from roadbend.fakes.network import Network
 from roadbend.fakes.submission import gang, job
