--- a/roadbend/bidding/bid_service.py
+++ b/roadbend/bidding/bid_service.py
@@ -10,12 +10,12 @@
 import cbor2
 
 from roadbend import clock
-from roadbend.autoscaler.messages import MachineKind
 from roadbend.bidding import casa, messages
 from roadbend.bidding.casa import Bid
 from roadbend.bidding.messages import Assignment, BidRequest, Revocation
 from roadbend.bidding.promises import Promises
 from roadbend.bidding.responder import Responder
+from roadbend.cloud.messages import MachineKind
 from roadbend.peers.frames import FrameError, FrameKind
 from roadbend.peers.links import Peers
 from roadbend.placement.context import ControllerContext
