--- a/roadbend/placement/leader.py
+++ b/roadbend/placement/leader.py
@@ -20,7 +20,6 @@
 from roadbend.placement.aging import JobAging
 from roadbend.placement.apart_gangs import ApartGangs
 from roadbend.placement.context import ControllerContext
-from roadbend.placement.ends import TerminationRecorder
 from roadbend.placement.exclusions import PlacementExclusions
 from roadbend.placement.gang_attempts import GangAttempts
 from roadbend.placement.gang_reservations import GangReservations
@@ -39,6 +38,7 @@
 from roadbend.placement.starts import StartScheduler
 from roadbend.placement.step_signal import StepSignal
 from roadbend.placement.stop_orders import StopOrders
+from roadbend.placement.termination_recorder import TerminationRecorder
 from roadbend.placement.transaction_sender import TransactionSender
 from roadbend.placement.usable_machines import UsableMachines
 from roadbend.store.client import UnavailableError
@@ -67,6 +67,8 @@
         send = partial(send_starts, self) if send_starts else None
         self.lock = threading.RLock()
         self.state = state = PartitionState.create(context, leadership, send)
+        # The registered machines by id; kept here, for others look into them in long loops.
+        self.machines: Mapping[str, Machine] = state.registry.by_id
         self.usable_machines = UsableMachines(state.records, state.registry)
         self.steps = StepSignal()
         self.transactions = TransactionSender(
@@ -80,7 +82,6 @@
         self.heartbeats = HeartbeatHandler(state, self.gangs, self.steps, self.lock)
         self._recorder = TerminationRecorder(state)
         self._scheduler = self._make_scheduler()
-        self._step_took = clock.ZERO
         # Asked before the records are acted on; answers otherwise where recovery is switched on.
         self.recovery = PartitionRecovery()
 
@@ -128,11 +129,6 @@
         """The partition's machines, and those that are to become so."""
         return self.state.registry
 
-    @property
-    def machines(self) -> Mapping[str, Machine]:
-        """The registered machines by id."""
-        return self.state.registry.by_id
-
     @property
     def terminations(self) -> Terminations:
         """The terminated attempts that are not recorded yet."""
@@ -174,7 +170,7 @@
             while again and self.records.is_leading():
                 # Together with what comes in the next moment: fewer and fuller transactions.
                 await clock.pause(
-                    max(STEP_GAP, min(MAX_STEP_REST, self._step_took * STEP_REST_FACTOR))
+                    max(STEP_GAP, min(MAX_STEP_REST, self.steps.last_duration * STEP_REST_FACTOR))
                 )
                 self.steps.begin()
                 try:
@@ -210,11 +206,11 @@
             self.gangs.keep_whole(now)
             self._tidy(now)
             transaction = self.transactions.new_transaction()
-            more = self._recorder.record_ends(transaction, now)
+            more = self._recorder.record(transaction, now)
             more = self.recovery.adopt(transaction, now) or more
             more = self._scheduler.start(transaction, now) or more
             self.quotas.reserve(self.queue.pending(), transaction, now)
-            self._step_took = clock.now() - now
+            self.steps.note_duration(clock.now() - now)
         if not transaction.changes:
             return False
         return await self.transactions.send(transaction, more)
--- a/roadbend/placement/step_signal.py
+++ b/roadbend/placement/step_signal.py
@@ -1,7 +1,11 @@
 """When a scheduling step is called for, and when it has ended."""
 
+from datetime import timedelta
+
 import trio
 
+from roadbend import clock
+
 
 class StepSignal:
     """Counts the steps of one partition's loop, and wakes those who wait for one."""
@@ -11,6 +15,8 @@
         # Set at the end of every step, and then replaced.
         self._step_ended = trio.Event()
         self._begun = self._ended = 0
+        # How long the last step took to work out, without sending it.
+        self.last_duration = clock.ZERO
 
     def request(self) -> None:
         """Call for a step."""
@@ -25,6 +31,10 @@
         self._requested = trio.Event()
         self._begun += 1
 
+    def note_duration(self, duration: timedelta) -> None:
+        """Note how long the step took to work out, without sending it."""
+        self.last_duration = duration
+
     def end(self) -> None:
         """End the step, however it went."""
         self._ended = self._begun
--- a/roadbend/test_double_starts.py
+++ b/roadbend/test_double_starts.py
@@ -15,8 +15,8 @@
 from roadbend.fleet.messages import parse_heartbeat
 from roadbend.fleet.terminations import TaskKey, Termination, TerminationEvidence
 from roadbend.partitions.leadership import Leadership
-from roadbend.placement.ends import TerminationRecorder
 from roadbend.placement.partition_state import PartitionState
+from roadbend.placement.termination_recorder import TerminationRecorder
 from roadbend.placement.transaction import TransactionBuilder
 from roadbend.settings import Team
 from roadbend.store.client import ConflictError, delete, put
