--- a/roadbend/controller/controller.py
+++ b/roadbend/controller/controller.py
@@ -124,11 +124,11 @@
 
     def _make_exchange(self, cancellations: ConfirmedCancellations) -> PeerExchange:
         return PeerExchange(
-            self.incarnation,
-            self.context,
-            self.leaders,
-            self.fleet,
-            cancellations,
+            incarnation=self.incarnation,
+            context=self.context,
+            leaders=self.leaders,
+            fleet=self.fleet,
+            cancellations=cancellations,
             budget=self._budget,
             cloud=self.cloud,
         )
@@ -138,12 +138,12 @@
             self.settings.name, self.peers, self._exchange, self.view, self.reader
         )
         users = JobApi(
-            self.context,
-            self.bidding.requester.submit,
-            cancellations.add,
-            propagation.propagate,
-            self._availability.state_refuses_only_us,
-            AdaptiveLimit(ceiling=self.operator.users_at_once),
+            context=self.context,
+            submit=self.bidding.requester.submit,
+            told=cancellations.add,
+            propagate_cancellations=propagation.propagate,
+            state_refuses_only_us=self._availability.state_refuses_only_us,
+            limit=AdaptiveLimit(ceiling=self.operator.users_at_once),
         )
         return Router(self.fleet, users, self._availability.up)
 
@@ -227,8 +227,8 @@
         nursery.start_soon(self._server.sweep)
         nursery.start_soon(self.reader.run)
         nursery.start_soon(self.election.run)
-        nursery.start_soon(self.autoscaler.catalog_loop)
-        nursery.start_soon(self.autoscaler.list_loop)
+        nursery.start_soon(self.autoscaler.catalog.run)
+        nursery.start_soon(self.autoscaler.inventory.run)
         nursery.start_soon(self.fleet.commands.send_stops, nursery)
         nursery.start_soon(self.fleet.failure_detector.watch, nursery)
         nursery.start_soon(reachability.watch)
--- a/roadbend/placement/restrictions.py
+++ b/roadbend/placement/restrictions.py
@@ -8,7 +8,7 @@
 from datetime import datetime, timedelta
 
 from roadbend import clock
-from roadbend.autoscaler import policy as renting
+from roadbend.autoscaler import machine_options
 from roadbend.log import Log
 from roadbend.placement import free_capacity
 from roadbend.placement.bin_packing import Exclusions, TaskShape
@@ -73,7 +73,7 @@
                 and job.id not in withheld
                 and wall - job.submitted_at < self._context.objectives.patience(job.spec, boot)
             ):
-                dear = renting.expensive_machine_types(
+                dear = machine_options.expensive_machine_types(
                     job, machine_types, self._context.operator.dear, self._partition
                 )
                 if dear:
