--- a/roadbend/test_scalability.py
+++ b/roadbend/test_scalability.py
@@ -25,7 +25,6 @@
     gang_reservations,
     preemption,
     quotas,
-    starts,
 )
 from roadbend.placement.forecast import MachineTimeline
 from roadbend.placement.quota_allowance import QuotaAllowance, QuotaAmount
@@ -514,14 +513,12 @@
     async with world(count=1) as w:
         leader, begun = w.controllers["node-0"].leaders["east"], []
 
-        def slow(part_runtime, *_) -> bool:
-            if part_runtime is not leader:
-                return False
+        def slow(_transaction, _now) -> bool:
             begun.append(trio.current_time())
             trio.lowlevel.current_clock().jump(0.3)
             return True
 
-        monkeypatch.setattr(starts, "start", slow)
+        monkeypatch.setattr(leader._scheduler, "start", slow)
         await trio.sleep(2)
         del begun[:]
         began = trio.current_time()
