--- a/roadbend/recovery/test_recovery.py
+++ b/roadbend/recovery/test_recovery.py
@@ -203,7 +203,7 @@
         start_all(w)
         # A zone without machines has nobody who saw its lost term. Without the guard a peer takes
         # the partition over after some ten seconds, when leases have ended.
-        zones = {x.zone for x in w.workers()}
+        zones = {x.place.zone for x in w.workers()}
         assert await w.until(lambda: all(w._term(z) > highest[z] for z in zones), 4)
         await trio.sleep(25)
         assert len(w.board.starts) == starts
