--- a/roadbend/autoscaler/__init__.py
+++ b/roadbend/autoscaler/__init__.py
@@ -1,1 +1,1 @@
-"""Renting machines: what there is, what to hire, what to give back."""
+"""Autoscaling: which machines there are, which to create, and which to delete."""
--- a/roadbend/autoscaler/test_autoscaler.py
+++ b/roadbend/autoscaler/test_autoscaler.py
@@ -1,4 +1,4 @@
-"""What is hired, kept and given back."""
+"""What is created, kept and deleted."""
 
 from datetime import timedelta
 
