--- a/roadbend/fakes/cloud.py
+++ b/roadbend/fakes/cloud.py
@@ -1,4 +1,4 @@
-"""The cloud's fake: a catalog, capacity, machines that boot and whose workers then report."""
+"""The cloud's fake: a catalog, capacity, and machines that boot and whose workers then run."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -9,10 +9,13 @@
 
 from roadbend.http.server import Request, Response, decode
 
+# The most machines that one answer lists.
+MOST_PER_PAGE = 500
+
 
 @dataclass
 class Rented:
-    """A machine of the fake cloud."""
+    """A machine of the fake cloud, and the scopes that end it or its present incarnation."""
 
     id: str
     machine_type: str
@@ -26,7 +29,7 @@
 
 
 class FakeCloud:
-    """The cloud in memory: catalog, renting, deletion, the list."""
+    """The cloud in memory: its catalog, creation and deletion of machines, and their list."""
 
     def __init__(
         self,
@@ -35,8 +38,10 @@
         capacity: int,
         make: Callable[..., Any],
     ):
-        """`make(machine id, type, zone, spot)` gives a worker with a `run` method and an
-        `address`.
+        """Make an empty cloud.
+
+        `capacity`: how many machines there are of each type, zone and kind. `make(machine id, type,
+        zone, spot)` gives a worker with a `run` method and an `address`.
         """
         self._nursery, self._machine_types, self._capacity, self._make = (
             nursery,
@@ -73,16 +78,17 @@
                     await machine.worker.run()
 
     def reboot(self, name: str) -> None:
-        """The machine stops and is back at once, holding nothing; its counts begin anew."""
+        """Stop a machine; it is back at once, holding nothing, and its counts begin anew."""
         self.machines[name].incarnation.cancel()
 
     def kill(self, name: str) -> None:
-        """The machine dies with all that is on it."""
+        """Let a machine die with all that is on it."""
         machine = self.machines[name]
         machine.status = "failed"
         machine.scope.cancel()
 
     async def handle(self, request: Request, host: str = "") -> Response:
+        """Answer a request."""
         self.requests += 1
         await trio.sleep(0.05)
         if self.down:
@@ -92,32 +98,39 @@
         if request.path == "/machines" and request.method == "POST":
             return self._rent(decode(request.body))
         if request.path == "/machines/delete":
-            if self.refuse_deletion:
-                return Response(503, {"error": "trouble"})
-            for name in decode(request.body)["hitches"]:
-                machine = self.machines.pop(name, None)
-                if machine is not None and machine.scope is not None:
-                    machine.scope.cancel()
-            return Response(200, {})
+            return self._delete(decode(request.body)["hitches"])
         if request.path == "/machines":
             query = {k: v[0] for k, v in parse_qs(request.query).items()}
-            rows = [m for name, m in sorted(self.machines.items()) if name > query.get("after", "")]
-            now = trio.current_time()
-            listed = [
-                {
-                    "id": m.id,
-                    "address": m.worker.address if m.worker else "",
-                    "rig": m.machine_type,
-                    "yard": m.zone,
-                    "loaners": m.spot,
-                    "status": m.status,
-                    "ageS": now - m.since,
-                }
-                for m in rows[:500]
-            ]
-            return Response(200, {"hitches": listed, "more": len(rows) > 500})
+            return self._list(query.get("after", ""))
         return Response(404, {"error": "no such path"})
 
+    def _delete(self, names: list[str]) -> Response:
+        if self.refuse_deletion:
+            return Response(503, {"error": "trouble"})
+        for name in names:
+            machine = self.machines.pop(name, None)
+            if machine is not None and machine.scope is not None:
+                machine.scope.cancel()
+        return Response(200, {})
+
+    def _list(self, after: str) -> Response:
+        """List machines in the order of their names, a page at a time."""
+        rows = [m for name, m in sorted(self.machines.items()) if name > after]
+        now = trio.current_time()
+        listed = [
+            {
+                "id": m.id,
+                "address": m.worker.address if m.worker else "",
+                "rig": m.machine_type,
+                "yard": m.zone,
+                "loaners": m.spot,
+                "status": m.status,
+                "ageS": now - m.since,
+            }
+            for m in rows[:MOST_PER_PAGE]
+        ]
+        return Response(200, {"hitches": listed, "more": len(rows) > MOST_PER_PAGE})
+
     def _rent(self, body: dict) -> Response:
         name = body["hire"]
         if name in self._hires:
--- a/roadbend/fakes/state.py
+++ b/roadbend/fakes/state.py
@@ -1,4 +1,4 @@
-"""The state service's fake: keys, transactions, leases, the log."""
+"""The state store's fake: keys, transactions, leases, the log."""
 
 import json
 import random
@@ -10,10 +10,13 @@
 
 from roadbend.http.server import MalformedError, Request, Response, decode
 
+# The most records that one answer lists.
+MOST_PER_PAGE = 1000
+
 
 @dataclass(frozen=True)
 class StoredCopy:
-    """What the service held at one instant."""
+    """What the state store held at one instant."""
 
     keys: dict[str, tuple[Any, int, int | None]]
     revision: int
@@ -21,7 +24,10 @@
 
 
 class FakeStateService:
-    """The state service in memory."""
+    """The state store in memory.
+
+    Times are in seconds of `clock`; `value_bytes` and `txn_ops` bound values and transactions.
+    """
 
     def __init__(self, clock=trio.current_time, value_bytes: int = 32 * 1024, txn_ops: int = 16):
         self._now = clock
@@ -47,14 +53,15 @@
         self.requests = 0
 
     def limits(self, value_bytes: int, txn_ops: int) -> None:
-        """Other limits from now on; what is stored stays as it is."""
+        """Set other limits from now on; what is stored stays as it is."""
         self._most = (value_bytes, txn_ops)
 
     def late_writes(self, share: float, rng: random.Random | None) -> None:
+        """From now on, carry this share of transactions out late and never answer them."""
         self._late = (share, rng) if share and rng is not None else None
 
     def lose_answers(self, share: float, rng: random.Random | None) -> None:
-        """From now on, this share of transactions is carried out at once and never answered."""
+        """From now on, carry this share of transactions out at once and never answer them."""
         self._answer_lost = (share, rng) if share and rng is not None else None
 
     def _loses_answer(self, request: Request) -> bool:
@@ -88,11 +95,12 @@
                 self.log.append((key, {"delete": key, "stamp": self.revision}))
 
     def restore(self) -> None:
-        """After an outage every lease has its full time again."""
+        """End an outage; every lease has its full time again."""
         self.down = False
         self.leases = {p: (ttl, self._now() + ttl) for p, (ttl, _) in self.leases.items()}
 
     async def handle(self, request: Request, host: str = "") -> Response:
+        """Answer a request of a host, unless a failure that was asked for keeps it from that."""
         self.requests += 1
         await trio.sleep(0.003 + self.slow)
         self._carry_out_late()
@@ -120,51 +128,66 @@
 
     def _answer(self, request: Request) -> Response:
         query = {k: v[0] for k, v in parse_qs(request.query, keep_blank_values=True).items()}
-        path, method = request.path, request.method
+        path = request.path
         if path == "/keys":
-            rows = sorted(
-                k for k in self.keys if k.startswith(query["starts"]) and k > query.get("after", "")
-            )
-            most = min(1000, int(query.get("most", 1000)))
-            page = [
-                {"path": k, "value": self.keys[k][0], "stamp": self.keys[k][1]} for k in rows[:most]
-            ]
-            return Response(
-                200, {"entries": page, "more": len(rows) > most, "ledger": self.revision}
-            )
+            return self._page(query)
         if path.startswith("/keys/"):
-            key = unquote(path[len("/keys/") :])
-            if key not in self.keys:
-                return Response(404, {"ledger": self.revision})
-            value, mod_revision, lease_id = self.keys[key]
-            return Response(
-                200, {"path": key, "value": value, "stamp": mod_revision, "permit": lease_id}
-            )
+            return self._read(unquote(path.removeprefix("/keys/")))
         if path == "/multi":
             return self.compare_and_swap(decode(request.body))
         if path == "/leases":
-            self._next_lease += 1
-            ttl = decode(request.body)["ttlMs"] / 1000
-            self.leases[self._next_lease] = (ttl, self._now() + ttl)
-            return Response(200, {"permit": self._next_lease})
+            return self._grant(decode(request.body)["ttlMs"] / 1000)
         if path.startswith("/leases/"):
-            lease_id = int(path.split("/")[2])
-            if lease_id not in self.leases:
-                return Response(404, {"error": "no such lease"})
-            if method == "DELETE":
-                self._end(lease_id)
-            else:
-                ttl = self.leases[lease_id][0]
-                self.leases[lease_id] = (ttl, self._now() + ttl)
-            return Response(200, {})
+            return self._renew_or_end(int(path.split("/")[2]), request.method == "DELETE")
         if path == "/follow":
-            after = int(query["after"])
-            rows = [e for k, e in self.log if e["stamp"] > after and k.startswith(query["starts"])]
-            return Response(200, {"ledger": self.revision, "log": rows})
+            return self._changes_after(int(query["after"]), query["starts"])
         return Response(404, {"error": "no such path"})
 
+    def _page(self, query: dict[str, str]) -> Response:
+        """List records in the order of their keys, a page at a time."""
+        rows = sorted(
+            k for k in self.keys if k.startswith(query["starts"]) and k > query.get("after", "")
+        )
+        most = min(MOST_PER_PAGE, int(query.get("most", MOST_PER_PAGE)))
+        page = [
+            {"path": k, "value": self.keys[k][0], "stamp": self.keys[k][1]} for k in rows[:most]
+        ]
+        return Response(200, {"entries": page, "more": len(rows) > most, "ledger": self.revision})
+
+    def _read(self, key: str) -> Response:
+        if key not in self.keys:
+            return Response(404, {"ledger": self.revision})
+        value, mod_revision, lease_id = self.keys[key]
+        return Response(
+            200, {"path": key, "value": value, "stamp": mod_revision, "permit": lease_id}
+        )
+
+    def _grant(self, ttl: float) -> Response:
+        """Grant a lease of `ttl` seconds."""
+        self._next_lease += 1
+        self.leases[self._next_lease] = (ttl, self._now() + ttl)
+        return Response(200, {"permit": self._next_lease})
+
+    def _renew_or_end(self, lease_id: int, end: bool) -> Response:
+        if lease_id not in self.leases:
+            return Response(404, {"error": "no such lease"})
+        if end:
+            self._end(lease_id)
+        else:
+            ttl = self.leases[lease_id][0]
+            self.leases[lease_id] = (ttl, self._now() + ttl)
+        return Response(200, {})
+
+    def _changes_after(self, after: int, prefix: str) -> Response:
+        """Return the changes since a revision of the keys that begin with `prefix`."""
+        rows = [e for k, e in self.log if e["stamp"] > after and k.startswith(prefix)]
+        return Response(200, {"ledger": self.revision, "log": rows})
+
     def compare_and_swap(self, body: dict) -> Response:
-        """Also called by tests that deliver a transaction late."""
+        """Carry out a transaction if its conditions hold.
+
+        Also called by tests that deliver one late. Raises `ValueError` where it is too large.
+        """
         changes = body.get("apply") or []
         if len(changes) > self._most[1] or len(body.get("when") or []) > 4 * self._most[1]:
             raise ValueError("too many changes or conditions")
@@ -198,12 +221,13 @@
         return Response(200, {"ledger": self.revision})
 
     def copy_records(self) -> "StoredCopy":
-        """The records as they are, for `restore_records`."""
+        """Return the records as they are, for `restore_records`."""
         return StoredCopy(dict(self.keys), self.revision, list(self.log))
 
     def restore_records(self, copy: "StoredCopy") -> None:
-        """The service lost everything written since, as after a restore from a copy; what hung on
-        a lease that has ended meanwhile is gone all the same.
+        """Lose everything written since, as after a restore from a copy.
+
+        What hung on a lease that has ended meanwhile is gone all the same.
         """
         self.revision, self.log = copy.revision, list(copy.log)
         self.keys = {
@@ -211,7 +235,9 @@
         }
 
     def value(self, key: str) -> Any:
+        """Return the value of a record, None if there is none."""
         return self.keys[key][0] if key in self.keys else None
 
     def starting(self, prefix: str) -> dict[str, Any]:
+        """Return the values of all records whose keys begin with `prefix`."""
         return {key: row[0] for key, row in self.keys.items() if key.startswith(prefix)}
