--- a/roadbend/bidding/gang_release.py
+++ b/roadbend/bidding/gang_release.py
@@ -29,7 +29,7 @@
             job = self._context.view.jobs[name]
             if not self._is_due(leader, job, now):
                 continue
-            conditions = apart_gangs.may_release(leader, job)
+            conditions = leader.apart_gangs.may_release(job)
             if conditions is None or len(conditions) > max_conditions(self._context.settings):
                 continue
             released = replace(job, allocation={})
@@ -37,8 +37,8 @@
                 log.info(
                     "gang-released", partition=leader.partition, job=name, tasks=job.spec.task_count
                 )
-                leader.queued.pop(name, None)
-                leader.to_release.discard(name)
+                leader.aging.forget(name)
+                leader.gang_attempts.note_released(name)
                 self._requester.submit(name)
 
     def _is_due(self, leader: PartitionLeader, job: Job, now: datetime) -> bool:
@@ -52,5 +52,7 @@
             return False
         if gangs.is_scattered(job):
             return True
-        waits_long = now - leader.queued.get(job.id, now) >= LONG_WAIT
-        return apart_gangs.is_apart(job) and (waits_long or job.id in leader.to_release)
+        waits_long = leader.aging.waited(job.id, now) >= LONG_WAIT
+        return apart_gangs.is_apart(job) and (
+            waits_long or leader.gang_attempts.is_to_release(job.id)
+        )
--- a/roadbend/bidding/responder.py
+++ b/roadbend/bidding/responder.py
@@ -91,8 +91,8 @@
         Jobs whose tasks were started count as the paper's executed jobs.
         """
         leader = self._leader
-        waiting = [now - leader.queued.get(item.job.id, now) for item in leader.queue.lately()]
-        return casa.average_queuing(waiting, list(leader.waits))
+        waiting = [leader.aging.waited(item.job.id, now) for item in leader.queue.lately()]
+        return casa.average_queuing(waiting, list(leader.aging.recent_waits))
 
     def estimate_response_time(self, job: Job) -> timedelta:
         """Return the response time that the partition expects for a job that waits in it.
@@ -166,8 +166,8 @@
 
         The jobs of a team at its quota queue all the same, a few tasks at a time.
         """
-        room = self._leader.context.fair_share.startable_tasks(spec, self._leader.partition)
-        return max(room, MIN_TEAM_TASKS)
+        startable = self._leader.context.fair_share.startable_tasks(spec, self._leader.partition)
+        return max(startable, MIN_TEAM_TASKS)
 
     def _fetch_time(
         self, job: Job, prospect: _Prospect, ready: Sequence[FreeCapacity]
--- a/roadbend/fakes/scheduling.py
+++ b/roadbend/fakes/scheduling.py
@@ -5,9 +5,9 @@
 from typing import Any
 
 from roadbend import clock
-from roadbend.autoscaler import policy
-from roadbend.autoscaler.messages import read_machine_types
-from roadbend.autoscaler.policy import MachineOption
+from roadbend.autoscaler import machine_options
+from roadbend.autoscaler.machine_options import MachineOption
+from roadbend.autoscaler.messages import MachineKind, read_machine_types
 from roadbend.fakes.platform import MACHINE_TYPE
 from roadbend.fakes.submission import job
 from roadbend.intake.messages import read_submission
@@ -67,9 +67,9 @@
     )
 
 
-def choices(refused: Collection[tuple[str, bool]] = ()) -> list[MachineOption]:
+def choices(refused: Collection[MachineKind] = ()) -> list[MachineOption]:
     """Return the machine types that may be created in the east.
 
     `refused`: those that the cloud has none of, each with whether it is a spot machine.
     """
-    return policy.options(MACHINE_TYPES.values(), "east", set(refused))
+    return machine_options.options(MACHINE_TYPES.values(), "east", set(refused))
--- a/roadbend/fleet/direct_commands.py
+++ b/roadbend/fleet/direct_commands.py
@@ -139,7 +139,9 @@
         return (
             leader.machines.get(machine.id) is machine
             and machine.token.confirmed
-            and leader.usable(machine, now, settings.heartbeat_interval * SILENT_INTERVALS)
+            and leader.usable_machines.is_usable(
+                machine, now, settings.heartbeat_interval * SILENT_INTERVALS
+            )
             and election.leadership(leader.partition) == leader.leadership
             and election.may_start(now)
         )
@@ -199,7 +201,7 @@
         """Return the stops that are to go out now, by machine, and note them as sent."""
         due: dict[str, list[WorkerOrder]] = {}
         with leader.lock:
-            leader.stop_dead(now)
+            leader.stops.order_all_cancelled(now)
             for key, stop in leader.stops.items():
                 mark = _SentStop(leader.leadership.term, key, stop.attempt, stop.grace)
                 if now - sent.get(mark, clock.ORIGIN) < STOP_AGAIN_AFTER:
@@ -223,15 +225,15 @@
 
 def _still_wanted(leader: Leader, name: str, starts: Starts) -> Starts:
     """Return the starts whose attempts are still recorded on the machine and are to run."""
-    recorded = leader.by_machine().get(name, {})
+    recorded = leader.records.attempts_by_machine().get(name, {})
     return [
         (key, attempt)
         for key, attempt in starts
         if key in recorded
         and recorded[key][1] == attempt
         and key not in leader.stops
-        and key not in leader.ended
-        and leader.live(key[0])
+        and key not in leader.terminations
+        and leader.records.live_job(key[0])
     ]
 
 
--- a/roadbend/fleet/failure_detector.py
+++ b/roadbend/fleet/failure_detector.py
@@ -74,7 +74,7 @@
     def _look(self, leader: Leader, nursery: trio.Nursery) -> None:
         """Begin to look into a partition's silent machines, the longest silent first."""
         now = clock.now()
-        recorded = leader.by_machine()
+        recorded = leader.records.attempts_by_machine()
         known = leader.machines.keys() | recorded.keys()
         silent = [name for name in known if self._is_silent(leader, name, now)]
         self._reachability.note(leader, recorded.keys(), now)
--- a/roadbend/recovery/adoption.py
+++ b/roadbend/recovery/adoption.py
@@ -8,7 +8,6 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
-from roadbend.placement import quotas
 from roadbend.placement.free_capacity import RESOURCE_TOLERANCE
 from roadbend.placement.transaction import TransactionBuilder
 from roadbend.recovery.judgement import Judgement
@@ -62,13 +61,13 @@
         return False
 
     def _order(self, held: HeldAttempt) -> tuple[bool, int, datetime]:
-        job = self._leader.live(held.job)
+        job = self._leader.records.live_job(held.job)
         service = job is not None and job.spec.service
         return (not service, -(job.spec.priority if job is not None else 0), held.since)
 
     def _adopt_one(self, transaction: TransactionBuilder, held: HeldAttempt) -> bool:
-        """Put one attempt into the transaction; return False where that has no room for it."""
-        job = self._leader.live(held.job)
+        """Put one attempt into the transaction; return False where it does not fit."""
+        job = self._leader.records.live_job(held.job)
         if job is None or keys.job_key(job.id) in transaction.changes:
             return False
         piece = self._with_attempt(transaction, job, held)
@@ -90,9 +89,13 @@
         self, transaction: TransactionBuilder, job: Job, held: HeldAttempt
     ) -> SliceShard:
         """Return the shard that names the attempt, or says that its task is done."""
-        leader, job_slice = self._leader, self._leader.job_slices().get(job.id)
-        own_shard = held.index // leader.width
-        shard = own_shard if job_slice is None else job_slice.shard_of(held.index, leader.width)
+        leader, job_slice = self._leader, self._leader.records.job_slices().get(job.id)
+        own_shard = held.index // leader.records.shard_width
+        shard = (
+            own_shard
+            if job_slice is None
+            else job_slice.shard_of(held.index, leader.records.shard_width)
+        )
         piece = transaction.slice(job.id, job.spec.team, job.spec.resources, shard)
         if held.decision is Decision.RECORD_DONE:
             return replace(piece, done=ranges.union(piece.done, ((held.index, held.index + 1),)))
@@ -102,7 +105,7 @@
     def _reserve_quota(
         self, transaction: TransactionBuilder, job: Job, record_keys: list[str]
     ) -> bool:
-        left = quotas.team_left(self._leader, transaction, job.spec.team)
+        left = self._leader.quotas.team_left(transaction, job.spec.team)
         resources = job.spec.resources
         if (
             left is None
@@ -110,8 +113,7 @@
             or resources.gpus > left.gpus + RESOURCE_TOLERANCE
         ):
             return False
-        return quotas.reserve_quota(
-            self._leader,
+        return self._leader.quotas.reserve_quota(
             transaction,
             team=job.spec.team,
             resources=resources,
@@ -131,7 +133,7 @@
             return
         for other, held in job.allocation.items():
             if ranges.has(held, index):
-                key = keys.slice_key(other, job.id, index // self._leader.width)
+                key = keys.slice_key(other, job.id, index // self._leader.records.shard_width)
                 transaction.conditions[key] = self._leader.context.view.mod_revision(key)
                 job = job.with_partition(other, ranges.minus(held, one))
         transaction.set_job(
--- a/roadbend/recovery/attempt_holder.py
+++ b/roadbend/recovery/attempt_holder.py
@@ -67,8 +67,6 @@
 
     def drop_absent(self, machine: Machine, heartbeat: WorkerHeartbeat) -> None:
         """Release what a machine's current heartbeat no longer shows."""
-        if not len(self._held_attempts):
-            return
         shown = {(task.job, task.task_index, task.attempt) for task in heartbeat.tasks}
         for held in self._held_attempts.all():
             if held.machine == machine.id and (held.job, held.index, held.attempt) not in shown:
@@ -85,7 +83,7 @@
                 continue
             log.info("held-attempt-decided", **self._log_fields(held), decision=held.decision)
             if held.decision in (Decision.ADOPT, Decision.RECORD_DONE):
-                self._leader.wake_up.set()
+                self._leader.steps.request()
 
     def find_lost_write(self) -> HeldAttempt | None:
         """Return an attempt that proves that the state store lost a write, if there is one.
@@ -95,7 +93,10 @@
         """
         term = self._leader.leadership.term
         for held in self._held_attempts.all():
-            if self._leader.live(held.job) is not None and held.attempt >> ATTEMPT_TERM_BITS < term:
+            if (
+                self._leader.records.live_job(held.job) is not None
+                and held.attempt >> ATTEMPT_TERM_BITS < term
+            ):
                 return held
         return None
 
--- a/roadbend/recovery/partition.py
+++ b/roadbend/recovery/partition.py
@@ -128,7 +128,7 @@
         A kill goes with the heartbeat's answer first, and directly only if that brought nothing;
         none goes to a task that its machine shows as ended, or whose end is recorded.
         """
-        if self.leader.recorded_attempt(key) != Attempt(stop.attempt, stop.machine):
+        if self.leader.records.recorded_attempt(key) != Attempt(stop.attempt, stop.machine):
             return True
         if stop.sent_at is not None and now - stop.sent_at < KILL_AGAIN:
             return True
@@ -146,7 +146,9 @@
             self.leader.context.observer.recovery_machine(
                 leadership.partition, leadership.term, machine.id, leadership.acquired_at
             )
-        self._holder.drop_absent(machine, heartbeat)
+        # Most of the time nothing is held, and heartbeats are many.
+        if len(self.held_attempts):
+            self._holder.drop_absent(machine, heartbeat)
 
     def note_term_in_use(self, machine: str, term: int) -> None:
         """Take in that a machine that we have not answered has seen our term or a higher one."""
--- a/roadbend/test_scalability.py
+++ b/roadbend/test_scalability.py
@@ -11,20 +11,20 @@
 from roadbend import clock
 from roadbend.autoscaler.cloud import MAX_CREATIONS, Cloud
 from roadbend.autoscaler.messages import CreationRequest, MachineKind
-from roadbend.autoscaler.policy import Timing, wanted
+from roadbend.autoscaler.scale_out_policy import TimedTasks, machines_to_create
 from roadbend.bidding import bid_service
 from roadbend.fakes.scheduling import capacity, choices, pending
 from roadbend.fakes.submission import job
 from roadbend.fakes.world import world
 from roadbend.http.client import NoAnswerError
 from roadbend.placement import (
+    aging,
     bin_packing,
-    ends,
+    failure_backoff,
     forecast,
     gang_reservations,
     preemption,
     quotas,
-    restrictions,
     starts,
 )
 from roadbend.placement.forecast import MachineTimeline
@@ -142,8 +142,8 @@
     queue = [pending(n, 50, legs=50) for n in range(100)]
     # What found no room is not looked for again by others alike.
     assert calls(lambda: bin_packing.place(queue, full)) < 200 * 10 + 100 * 20
-    late = [Timing(item, 20.0, 0.0) for item in queue]
-    assert calls(lambda: wanted(late[:2], [], choices(), "east", 1.0)) < 100 * 150
+    late = [TimedTasks(item, 20.0, 0.0) for item in queue]
+    assert calls(lambda: machines_to_create(late[:2], [], choices(), "east", 1.0)) < 100 * 150
 
 
 async def test_a_calm_report_costs_the_same_beside_few_machines_and_beside_many(calls):
@@ -526,7 +526,7 @@
         del begun[:]
         began = trio.current_time()
         for _ in range(200):
-            leader.wake_up.set()
+            leader.steps.request()
             await trio.sleep(0.05)
         # A third of the time at the most; and it goes on.
         assert 5 <= len(begun) <= (trio.current_time() - began) / 0.9 + 1
@@ -537,10 +537,10 @@
     other is a rest after failures, its team's limit kept for work whose machine boots, and all
     that it is passed over for: room left to a job of another partition, being made, or kept for a
     gang."""
-    assert ends.BACKOFF_MOST + quotas.HOLD + restrictions.PASSED_OVER < timedelta(seconds=90)
-    assert quotas.YIELD < restrictions.PASSED_OVER
-    assert preemption.RESERVATION_LIFETIME < restrictions.PASSED_OVER
-    assert gang_reservations.KEEP < restrictions.PASSED_OVER
+    assert failure_backoff.MAX_REST + quotas.HOLD + aging.MAX_PASSED_OVER < timedelta(seconds=90)
+    assert quotas.YIELD < aging.MAX_PASSED_OVER
+    assert preemption.RESERVATION_LIFETIME < aging.MAX_PASSED_OVER
+    assert gang_reservations.KEEP < aging.MAX_PASSED_OVER
     # A job that no partition can start is offered everywhere well before that, its turn among
     # others counted.
     assert (
