--- a/roadbend/fakes/worker.py
+++ b/roadbend/fakes/worker.py
@@ -81,6 +81,11 @@
         """Return the id of the worker's machine."""
         return self.place.machine
 
+    @property
+    def zone(self) -> str:
+        """Return the zone that the worker's machine is in."""
+        return self.place.zone
+
     @property
     def epoch(self) -> int:
         """Return how many leases the worker has had, the present one included."""
