--- a/roadbend/recovery/test_recovery.py
+++ b/roadbend/recovery/test_recovery.py
@@ -203,7 +203,7 @@
         start_all(w)
         # A zone without machines has nobody who saw its lost term. Without the guard a peer takes
         # the partition over after some ten seconds, when leases have ended.
-        zones = {x.zone for x in w.workers()}
+        zones = {x.place.zone for x in w.workers()}
         assert await w.until(lambda: all(w._term(z) > highest[z] for z in zones), 4)
         await trio.sleep(25)
         assert len(w.board.starts) == starts
@@ -265,7 +265,7 @@
         assert len(recorded_attempts(w.state)) == 2
 
 
-async def test_the_bound_on_gathering_does_not_makemachines_known():
+async def test_the_bound_on_gathering_does_not_make_machines_known():
     """After it an attempt was adopted though a machine that was not heard might have it too."""
     async with running(job(1, legs=2, yard="east", **SERVICE)) as w:
         stop_all(w)
--- a/roadbend/test_scalability.py
+++ b/roadbend/test_scalability.py
@@ -9,10 +9,10 @@
 import trio
 
 from roadbend import clock
-from roadbend.autoscaler.cloud import MAX_CREATIONS, Cloud
-from roadbend.autoscaler.messages import CreationRequest, MachineKind
 from roadbend.autoscaler.scale_out_policy import TimedTasks, machines_to_create
 from roadbend.bidding import bid_service
+from roadbend.cloud.client import MAX_CREATIONS, Cloud
+from roadbend.cloud.messages import CreationRequest, MachineKind
 from roadbend.fakes.scheduling import capacity, choices, pending
 from roadbend.fakes.submission import job
 from roadbend.fakes.world import world
@@ -25,7 +25,6 @@
     gang_reservations,
     preemption,
     quotas,
-    starts,
 )
 from roadbend.placement.forecast import MachineTimeline
 from roadbend.placement.quota_allowance import QuotaAllowance, QuotaAmount
@@ -514,14 +513,12 @@
     async with world(count=1) as w:
         leader, begun = w.controllers["node-0"].leaders["east"], []
 
-        def slow(part_runtime, *_) -> bool:
-            if part_runtime is not leader:
-                return False
+        def slow(_transaction, _now) -> bool:
             begun.append(trio.current_time())
             trio.lowlevel.current_clock().jump(0.3)
             return True
 
-        monkeypatch.setattr(starts, "start", slow)
+        monkeypatch.setattr(leader._scheduler, "start", slow)
         await trio.sleep(2)
         del begun[:]
         began = trio.current_time()
