--- a/roadbend/rehearsal/real_processes.py
+++ b/roadbend/rehearsal/real_processes.py
@@ -28,8 +28,9 @@
 )
 from roadbend.rehearsal import messages, scenario
 from roadbend.rehearsal.actions.jobs import TASKS_PER_MACHINE
+from roadbend.rehearsal.events import Event
 from roadbend.rehearsal.measurement import Restart
-from roadbend.rehearsal.report import Event, Report
+from roadbend.rehearsal.report import Report
 from roadbend.rehearsal.verdict import judge
 
 ROOT = Path(__file__).resolve().parent.parent.parent
--- a/roadbend/rehearsal/report.py
+++ b/roadbend/rehearsal/report.py
@@ -2,19 +2,12 @@
 
 import json
 from dataclasses import asdict, dataclass
-from typing import NamedTuple
 
+from roadbend.rehearsal.events import Event
 from roadbend.rehearsal.measurement import Measured
 from roadbend.rehearsal.verdict import Verdict
 
 
-class Event(NamedTuple):
-    """Something that happened in a rehearsal, in seconds since its begin."""
-
-    at: float
-    text: str
-
-
 @dataclass(frozen=True)
 class Report:
     """The outcome of one rehearsal."""
--- a/roadbend/rehearsal/runner.py
+++ b/roadbend/rehearsal/runner.py
@@ -10,9 +10,10 @@
 from roadbend.checkers.search_runs import use_simulated_time_of_day
 from roadbend.controller import Controller
 from roadbend.fakes.world import World, world
+from roadbend.rehearsal.events import Event
 from roadbend.rehearsal.measurement import Measured
 from roadbend.rehearsal.messages import task_count
-from roadbend.rehearsal.report import Event, Report
+from roadbend.rehearsal.report import Report
 from roadbend.rehearsal.scenario import Scenario
 from roadbend.rehearsal.stage import Stage
 from roadbend.rehearsal.verdict import judge
--- a/roadbend/rehearsal/stage.py
+++ b/roadbend/rehearsal/stage.py
@@ -11,9 +11,9 @@
 
 from roadbend.fakes.state import StoredCopy
 from roadbend.fakes.world import World
+from roadbend.rehearsal.events import Event
 from roadbend.rehearsal.measurement import Restart
 from roadbend.rehearsal.messages import Body
-from roadbend.rehearsal.report import Event
 
 # How long users wait before they repeat a submission that was not accepted.
 RETRY_EVERY = timedelta(seconds=2)
