--- /dev/null
+++ b/tests/scenarios/__init__.py
@@ -0,0 +1,1 @@
+"""Scenario tests: whole deployments, played in memory on a mock clock."""
