--- a/conftest.py
+++ b/conftest.py
@@ -13,9 +13,9 @@
 
 
 def pytest_configure(config):
-    """Register the marker by which a test keeps the order that it had under a former file name."""
+    """Register the marker by which a test keeps the order that it had under a former name."""
     config.addinivalue_line(
-        "markers", "task_order_of(file): draw the order of tasks as if the test were in this file"
+        "markers", "task_order_of(test): draw the order of tasks as if the test had this name"
     )
 
 
@@ -31,8 +31,8 @@
             await pyfuncitem.obj(**arguments)
 
     pinned = pyfuncitem.get_closest_marker("task_order_of")
-    file_name = pinned.args[0] if pinned else pyfuncitem.path.name
-    _seed_scheduler(f"{file_name}::{pyfuncitem.name}")
+    own_name = f"{pyfuncitem.path.name}::{pyfuncitem.name}"
+    _seed_scheduler(pinned.args[0] if pinned else own_name)
     trio.run(run, clock=trio.testing.MockClock(autojump_threshold=0))
     return True
 
--- a/tests/scenarios/test_gangs_with_anti_affinity.py
+++ b/tests/scenarios/test_gangs_with_anti_affinity.py
@@ -78,12 +78,16 @@
         await w.over()
 
 
-# Seed 7 keeps its former order of tasks: drawn from the file's present name, that order meets the
-# case of question 17 in docs/questions.md, a held order to start on a machine that hangs.
-FORMER_ORDER = pytest.mark.task_order_of("roadbend/test_apart_gangs.py")
+# The order of tasks that seed 7 had up to 0.8.0. Drawn from the test's present name, seed 7 meets
+# the fault of question 17 in docs/questions.md (KNOWN-RED.txt); this case holds what held before.
+ORDER_OF_0_8_0 = pytest.mark.task_order_of(
+    "roadbend/test_apart_gangs.py::test_pairs_of_troubles_break_no_rule[7]"
+)
 
 
-@pytest.mark.parametrize("seed", [*range(7), pytest.param(7, marks=FORMER_ORDER)])
+@pytest.mark.parametrize(
+    "seed", [*range(8), pytest.param(7, marks=ORDER_OF_0_8_0, id="7-order_of_0_8_0")]
+)
 async def test_pairs_of_troubles_break_no_rule(seed):
     """Several gangs at a time of which each needs most of the room; owners change halfway."""
     rng = random.Random(seed)
