--- a/conftest.py
+++ b/conftest.py
@@ -21,6 +21,7 @@
 
 @pytest.hookimpl(tryfirst=True)
 def pytest_pyfunc_call(pyfuncitem):
+    """Run a coroutine test on a mock clock, with its order of tasks drawn from its name."""
     if not inspect.iscoroutinefunction(pyfuncitem.obj):
         return None
     names = inspect.signature(pyfuncitem.obj).parameters
@@ -41,14 +42,15 @@
     """Draw the order in which trio lets tasks go on from the name of a test.
 
     A test goes the same way every time, also in another folder: `test` names its file without the
-    folder. The environment variable `ROADBEND_DRAW` gives other orders."""
+    folder. The environment variable `ROADBEND_DRAW` gives other orders.
+    """
     trio._core._run._ALLOW_DETERMINISTIC_SCHEDULING = True
     trio._core._run._r.seed(f"{os.environ.get('ROADBEND_DRAW', '')} {test}")
 
 
 @pytest.fixture(autouse=True)
 def time_of_day(monkeypatch):
-    """The time of day goes with the steady clock."""
+    """Let the time of day go with the steady clock."""
     base = datetime(2026, 1, 1, tzinfo=UTC)
 
     def wall():
@@ -78,4 +80,5 @@
 
 @pytest.fixture
 def calls():
+    """Give tests a count of the calls of Python functions that something makes."""
     return count_calls
--- a/roadbend/placement/test_placement.py
+++ b/roadbend/placement/test_placement.py
@@ -163,7 +163,7 @@
 
 
 def lay_looking_everywhere(queue, timelines, run):
-    """The forecast as it is meant: every task looks at every machine."""
+    """Forecast as it is meant: every task looks at every machine."""
     starts = {}
     for item in queue:
         spec = item.job.spec
@@ -190,8 +190,10 @@
 
 
 def test_the_forecast_finds_the_same_places_as_one_that_looks_at_every_machine():
-    """Lines are looked at only as far as a sooner place may be; half of the processor time went
-    there."""
+    """Timelines are looked at only as far as a sooner place may be.
+
+    Half of the processor time went there.
+    """
     rng = random.Random(11)
     for _ in range(60):
         timelines = []
