--- a/roadbend/autoscaler/booting_machines.py
+++ b/roadbend/autoscaler/booting_machines.py
@@ -27,8 +27,8 @@
     id: str
     kind: MachineKind
     since: datetime
-    # First seen in the list, as running: it may as well be gone, or report elsewhere. It counts as
-    # no capacity yet.
+    # First seen in the list, as running: it may as well be gone, or send its heartbeats elsewhere.
+    # It counts as no capacity yet.
     orphaned: bool = False
 
 
@@ -89,8 +89,8 @@
     def never_registered(self, leader: PartitionLeader, now: datetime) -> list[str]:
         """Return the machines of a partition that have not registered for too long.
 
-        What was created in an earlier term may long be up, and report here only now: the time
-        counts from when the partition was acquired.
+        What was created in an earlier term may long be up, and send heartbeats here only now: the
+        time counts from when the partition was acquired.
         """
         late, recorded = [], leader.records.attempts_by_machine()
         for boot in self._of(leader.partition).values():
--- a/roadbend/fleet/__init__.py
+++ b/roadbend/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Machines: what workers report, what they are told, who is silent or sick."""
+"""Machines: what workers report, what they are told, who is silent or quarantined."""
--- a/roadbend/placement/apart_gangs.py
+++ b/roadbend/placement/apart_gangs.py
@@ -6,7 +6,7 @@
 The partitions begin in the order of their names: the first one when nothing of an earlier attempt
 is recorded anywhere, each other one when all before it have recorded their whole shares. So of two
 gangs none holds room that the other waits for while waiting for the other's room. Every start is
-conditional on the records of the other shares being as they were read, whoever owns the partitions
+conditional on the records of the other shares being as they were read, whoever leads the partitions
 by then. On machines the tasks wait for each other, as those of any gang do.
 """
 
--- a/roadbend/placement/gangs.py
+++ b/roadbend/placement/gangs.py
@@ -1,6 +1,6 @@
 """Gangs: all tasks of a job run at the same time or none does.
 
-One partition owns a gang whole and starts its tasks under one attempt number, recorded in one
+One partition holds a gang whole and starts its tasks under one attempt number, recorded in one
 transaction; what is stopped is stopped whole, and the next attempt begins when every task of the
 last one is proven gone. While its tasks still wait for each other, one that was lost is replaced.
 """
@@ -121,9 +121,9 @@
         )
         return [row for row in rows if row[1] // self._records.shard_width in first]
 
-    def note_filling(self, piece: SliceShard) -> None:
+    def note_filling(self, shard: SliceShard) -> None:
         """Note that a first share was recorded: the rest comes before all other work."""
-        self._gang_attempts.note_filling(piece.job, next(iter(piece.attempts.values())).number)
+        self._gang_attempts.note_filling(shard.job, next(iter(shard.attempts.values())).number)
 
     def filled(self, job: str, attempt: int) -> bool:
         """Whether nothing is left to be recorded of an attempt."""
--- a/roadbend/placement/heartbeats.py
+++ b/roadbend/placement/heartbeats.py
@@ -1,4 +1,4 @@
-"""What reports of a partition's machines bring, and what they are answered."""
+"""What heartbeats of a partition's machines bring, and what they are answered."""
 
 from datetime import datetime, timedelta
 from functools import partial
@@ -21,7 +21,7 @@
 from roadbend.store.record_view import MachineAttempts
 
 log = Log("placement")
-# How long a report that brought news may wait for what it calls for; workers wait 4 s.
+# How long a heartbeat that brought news may wait for what it calls for; workers wait 4 s.
 ANSWER_WAIT = timedelta(milliseconds=400)
 
 
@@ -85,8 +85,8 @@
         """
         now = clock.now()
         if heartbeat.machine in self._context.deleted_machines.ids:
-            # A report that was held back on its way: the machine is gone, and must not come to life
-            # here.
+            # A heartbeat that was held back on its way: the machine is gone, and must not come to
+            # life here.
             return None
         with self._lock:
             if self._follows_other_leader(heartbeat):
@@ -173,7 +173,7 @@
             not orders
             and machine.token.confirmed
             and machine.lifecycle.reclaim_at is None
-            # What no record names is judged anew with every report.
+            # What no record names is judged anew with every heartbeat.
             and machine.unrecorded_tasks == 0
             and machine.tasks.keys() == recorded.keys()
         )
--- a/roadbend/placement/quotas.py
+++ b/roadbend/placement/quotas.py
@@ -1,4 +1,4 @@
-"""What a team's limit leaves a partition, and what is set aside of it in the team's record."""
+"""What a team's limit leaves a partition, and what is reserved of it in the team's record."""
 
 from collections.abc import Iterable
 from datetime import datetime, timedelta
@@ -14,7 +14,7 @@
 from roadbend.store.records import Resources
 
 log = Log("placement")
-# How long what waits for a machine keeps its team's limit from lesser work, and what is set aside
+# How long what waits for a machine keeps its team's limit from lesser work, and what is reserved
 # from other partitions.
 HOLD = timedelta(seconds=20)
 # For how long a job leaves its team's room to one of another partition that has begun nothing.
--- a/roadbend/placement/recovery_hooks.py
+++ b/roadbend/placement/recovery_hooks.py
@@ -1,4 +1,4 @@
-"""What owners and controllers ask before they act on records that may not match the machines yet.
+"""What leaders and controllers ask before they act on records that may not match the machines yet.
 
 The classes here hold nothing back: they stand in where recovery (`roadbend.recovery`) is switched
 off, so that the core has no condition on it and imports none of it.
@@ -26,13 +26,13 @@
         return tasks
 
     def knows_machines(self) -> bool:
-        """Whether the partition's machines are known well enough to rent more in advance."""
+        """Whether the partition's machines are known well enough to create more in advance."""
         return True
 
     def spaces_out(self, key: TaskKey, stop: StopOrder, now: datetime) -> bool:
         """Whether a direct kill may wait.
 
-        The answer to a report has just carried it, or the task has ended.
+        The answer to a heartbeat has just carried it, or the task has ended.
         """
         return False
 
--- a/roadbend/placement/restrictions.py
+++ b/roadbend/placement/restrictions.py
@@ -1,7 +1,7 @@
 """Machines and types that what waits is kept from for now.
 
-Where its job just failed, where room is kept for other work, where it is dear, and where its image
-is not.
+Where its job just failed, where room is kept for other work, where it is expensive, and where its
+image is not.
 """
 
 from collections.abc import Callable
@@ -72,11 +72,11 @@
                 and job.id not in withheld
                 and wall - job.submitted_at < self._context.objectives.patience(job.spec, boot)
             ):
-                dear = machine_options.expensive_machine_types(
+                expensive = machine_options.expensive_machine_types(
                     job, machine_types, self._context.operator.dear, self._partition
                 )
-                if dear:
-                    withheld[job.id] = frozenset(dear)
+                if expensive:
+                    withheld[job.id] = frozenset(expensive)
         self._exclusions.withhold_types(withheld)
 
     def image_first(self, queue: list[PendingTasks], capacities: list[FreeCapacity]) -> None:
--- a/roadbend/placement/transaction.py
+++ b/roadbend/placement/transaction.py
@@ -1,4 +1,4 @@
-"""One transaction of an owner in the making."""
+"""One transaction of a leader in the making."""
 
 from collections.abc import Callable
 from typing import Any
--- a/roadbend/recovery/differences.py
+++ b/roadbend/recovery/differences.py
@@ -1,6 +1,6 @@
 """What differs between the stored records and the machines, as a pure comparison.
 
-Desired state is what the records say, observed state what machines report and the cloud lists.
+Desired state is what the records say, observed state what machines show and the cloud lists.
 Every difference has one kind, and `settlement` has one settlement for each kind.
 """
 
@@ -27,7 +27,7 @@
     ENDED = "ended"
     # Its job was cancelled or is over, and the machine still has it.
     CANCELLED = "cancelled"
-    # Two machines report the same task, neither as the recorded attempt.
+    # Two machines show the same task, neither as the recorded attempt.
     ON_TWO_MACHINES = "on-two-machines"
     # Recorded on a machine that has not reported to this leader.
     MACHINE_SILENT = "machine-silent"
@@ -86,7 +86,7 @@
 
 @dataclass(frozen=True)
 class ObservedState:
-    """What machines report and the cloud lists of one partition."""
+    """What machines show and the cloud lists of one partition."""
 
     attempts: frozenset[Reported]
     machines: dict[str, Presence]
--- a/roadbend/settings/operator_settings.py
+++ b/roadbend/settings/operator_settings.py
@@ -23,34 +23,37 @@
     bid_wait: timedelta = seconds(0.25, 0.01, 5, "how long a requester waits for bids")
     promise_life: timedelta = seconds(2.0, 0.1, 60, "when a promise that nobody revoked expires")
     rebid_every: timedelta = seconds(
-        1.0, 0.1, 60, "how often jobs that no part holds are offered again"
+        1.0, 0.1, 60, "how often jobs that no partition holds are offered again"
     )
     reoffer_every: timedelta = seconds(3.0, 0.5, 600, "period of offering long waiters again")
     cool_down: timedelta = seconds(
         5.0, 0, 600, "a job is not offered again before it has waited here for this long"
     )
     own_lease: timedelta = seconds(
-        8.0, 1, 60, "lease on owning parts; a dead controller's parts wait this long"
+        8.0, 1, 60, "lease on leading partitions; a dead controller's partitions wait this long"
     )
     takeover_grace: timedelta = seconds(
-        1.5, 0, 60, "wait before taking a part whose own controller seems alive"
+        1.5, 0, 60, "wait before acquiring a partition whose own controller seems alive"
     )
     hand_back_after: timedelta = seconds(
-        5.0, 0, 600, "a returned controller gets its part back after this time"
+        5.0, 0, 600, "a returned controller gets its partition back after this time"
     )
     sync_every: timedelta = seconds(0.3, 0.02, 5, "how often the records are read when nobody asks")
     sync_gap: timedelta = seconds(0.12, 0.0, 5, "least time between two reads of the records")
     silent_reports: float = number(
-        1.7, 1.3, 50, "times the report interval after which a silent machine is looked into"
+        1.7, 1.3, 50, "times the heartbeat interval after which a silent machine is looked into"
     )
     find_owner: timedelta = seconds(
-        14.0, 2, 120, "time a new owner gives machines to report before doubting them"
+        14.0, 2, 120, "time a new leader gives machines to send heartbeats before suspecting them"
     )
     fence_share: float = number(
-        0.5, 0.05, 1.0, "part of the machines silent at once that makes us doubt our own net"
+        0.5, 0.05, 1.0, "share of the machines silent at once that makes us doubt our own net"
     )
     dear: float = number(
-        1.3, 1.0, 100, "times the cheapest price a task above which a part does not bid to hire"
+        1.3,
+        1.0,
+        100,
+        "times the cheapest price a task above which a partition does not bid to scale out",
     )
     dear_wait: timedelta = seconds(
         3.0, 0, 600, "a job that has waited for this long is bid for at any price"
@@ -62,7 +65,7 @@
         1.1, 0.5, 10, "times the nominal boot time that a new machine is expected to take"
     )
     common_share: float = number(
-        0.25, 0.05, 1.0, "part of the machines silent at once that points to the network"
+        0.25, 0.05, 1.0, "share of the machines silent at once that points to the network"
     )
     idle_return: timedelta = seconds(8.0, 0, 3600, "an empty machine is returned after this time")
     boot_patience: float = number(
@@ -75,10 +78,10 @@
         30.0, 0.5, 3600, "the longest such pause, reached by doubling"
     )
     spare_window: timedelta = seconds(
-        300, 10, 86400, "span over which arrivals are counted for the warm room"
+        300, 10, 86400, "span over which arrivals are counted for the warm pool"
     )
     spare_most: int = number(
-        512, 0, 10000, "most places that an owner keeps warm for services that must start at once"
+        512, 0, 10000, "most places that a leader keeps warm for services that must start at once"
     )
     begin_within: timedelta = seconds(
         90, 5, 86400, "a job that has begun nothing for this long goes before its peers"
