--- a/roadbend/rehearsal/__main__.py
+++ b/roadbend/rehearsal/__main__.py
@@ -125,7 +125,7 @@
 
 def _play_seed(arguments: argparse.Namespace, seed: int) -> Outcome:
     # Only a search needs the library for sketches.
-    from roadbend.rehearsal.search import outcome_of
+    from roadbend.rehearsal.search import outcome_of  # noqa: PLC0415 -- an optional dependency
 
     make = SCENARIOS[arguments.scenario]
     recovery = not arguments.without_recovery
@@ -134,7 +134,7 @@
 
 def _search(arguments: argparse.Namespace) -> int:
     # Only a search needs the library for sketches.
-    from roadbend.rehearsal.search import Totals, play_all
+    from roadbend.rehearsal.search import Totals, play_all  # noqa: PLC0415 -- an optional dependency
 
     totals = Totals()
     play_one = partial(_play_seed, arguments)
