--- a/roadbend/controller/test_cancellations.py
+++ b/roadbend/controller/test_cancellations.py
@@ -11,7 +11,7 @@
 S = timedelta(seconds=1)
 
 
-async def test_a_heartbeat_names_what_was_confirmed_within_its_span(autojump_clock):
+async def test_a_heartbeat_names_what_was_confirmed_within_its_span():
     confirmed = ConfirmedCancellations(10 * S)
     confirmed.add("run-1")
     await trio.sleep(20)
@@ -22,7 +22,7 @@
     assert confirmed.recent(clock.now()) == RecentCancellations(30 * S, ("run-2",))
 
 
-async def test_a_list_that_is_too_long_reaches_back_less_far(autojump_clock, monkeypatch):
+async def test_a_list_that_is_too_long_reaches_back_less_far(monkeypatch):
     monkeypatch.setattr(cancellations, "MAX_CANCELLATIONS", 2)
     confirmed = ConfirmedCancellations(10 * S)
     for number in range(1, 4):
@@ -32,7 +32,7 @@
 
 
 async def test_no_more_cancellations_are_remembered_than_four_heartbeats_name(
-    autojump_clock, monkeypatch
+    monkeypatch,
 ):
     monkeypatch.setattr(cancellations, "MAX_CANCELLATIONS", 2)
     confirmed = ConfirmedCancellations(10 * S)
