--- a/tests/test_architecture_page.py
+++ b/tests/test_architecture_page.py
@@ -50,3 +50,15 @@
 def test_every_package_is_in_the_table():
     packages = {path.parent.name for path in PACKAGE.glob("*/__init__.py")}
     assert sorted(name for name in packages if f"`{name}`" not in PAGE) == []
+
+
+def test_every_event_of_the_operations_page_is_in_the_table_beside_its_module():
+    operations = (ROOT / "docs" / "operations.md").read_text()
+    rows = dict(re.findall(r"^\| `([a-z]+ [a-z-]+)` \| (.+) \|$", PAGE, re.MULTILINE))
+    components = {event.split()[0] for event in rows}
+    quoted = [text.split() for text in re.findall(r"`([^`\n]+)`", operations)]
+    named = {" ".join(words[:2]) for words in quoted if len(words) > 1 and words[0] in components}
+    assert sorted(named - rows.keys()) == []
+    for event, modules in rows.items():
+        for module in re.findall(r"`([a-z_/]+\.py)`", modules):
+            assert f'"{event.split()[1]}"' in (PACKAGE / module).read_text(), (event, module)
