--- a/roadbend/autoscaler/scale_in.py
+++ b/roadbend/autoscaler/scale_in.py
@@ -69,7 +69,7 @@
             machines=",".join(names),
         )
         for name in names:
-            leader.terminate_attempts(name, TerminationEvidence.DELETED)
+            leader.mark_attempts_terminated(name, TerminationEvidence.DELETED)
 
     def _is_worth_a_request(self, leader: PartitionLeader, names: list[str], now: datetime) -> bool:
         """Return whether to delete now: a few at a time would take a request each."""
--- a/roadbend/autoscaler/scale_out_planner.py
+++ b/roadbend/autoscaler/scale_out_planner.py
@@ -142,7 +142,7 @@
             run=run,
             slack=forecast.slack(item, waited, kept, first),
             image_gb=spec.image_gb,
-            excluded_types=leader.exclusions.withheld_types(item.job.id),
+            excluded_types=leader.exclusions.excluded_types(item.job.id),
             later_slacks=tuple(later_slacks),
             least_cost=(
                 machine_options.least_cost(item, machine_types, item.count)
--- a/roadbend/autoscaler/scale_out_policy.py
+++ b/roadbend/autoscaler/scale_out_policy.py
@@ -138,7 +138,7 @@
         name = f"new-{len(self._schedule.timelines)}"
         capacity = new_machine(name, option, self._partition)
         capacity.ready_in *= self._boot_factor
-        fetch = capacity.fetch(timed.item.job.spec.image, timed.image_gb)
+        fetch = capacity.image_fetch_seconds(timed.item.job.spec.image, timed.image_gb)
         if capacity.ready_in + fetch >= run_at - MIN_GAIN_SECONDS:
             return False
         candidates.add(MachineTimeline(capacity))
--- a/roadbend/autoscaler/service.py
+++ b/roadbend/autoscaler/service.py
@@ -111,4 +111,4 @@
         await self._cloud.delete_machines(late, precondition=while_leading(self._context, leader))
         self._booting.forget(partition, late)
         for machine in late:
-            leader.terminate_attempts(machine, TerminationEvidence.DELETED)
+            leader.mark_attempts_terminated(machine, TerminationEvidence.DELETED)
--- a/roadbend/autoscaler/warm_pool.py
+++ b/roadbend/autoscaler/warm_pool.py
@@ -86,7 +86,7 @@
             for key, (job_slice, _) in attempts.get(capacity.id, {}).items():
                 job = self._context.view.jobs.get(key[0])
                 if job is None or job.spec.priority < service.spec.priority:
-                    capacity.give(job_slice.resources)
+                    capacity.release(job_slice.resources)
             count += capacity.count(service.spec.resources)
         waiting = (item for item in leader.queue.pending() if item.job.spec.service)
         return count - sum(item.count for item in waiting)
--- a/roadbend/bidding/gang_release.py
+++ b/roadbend/bidding/gang_release.py
@@ -29,7 +29,7 @@
             job = self._context.view.jobs[name]
             if not self._is_due(leader, job, now):
                 continue
-            conditions = leader.apart_gangs.may_release(job)
+            conditions = leader.apart_gangs.release_conditions(job)
             if conditions is None or len(conditions) > max_conditions(self._context.settings):
                 continue
             released = replace(job, allocation={})
@@ -38,7 +38,7 @@
                     "gang-released", partition=leader.partition, job=name, tasks=job.spec.task_count
                 )
                 leader.aging.forget(name)
-                leader.gang_attempts.note_released(name)
+                leader.gang_attempts.mark_released(name)
                 self._requester.submit(name)
 
     def _is_due(self, leader: PartitionLeader, job: Job, now: datetime) -> bool:
@@ -54,5 +54,5 @@
             return True
         waits_long = leader.aging.waited(job.id, now) >= LONG_WAIT
         return apart_gangs.is_apart(job) and (
-            waits_long or leader.gang_attempts.is_to_release(job.id)
+            waits_long or leader.gang_attempts.needs_release(job.id)
         )
--- a/roadbend/bidding/responder.py
+++ b/roadbend/bidding/responder.py
@@ -179,7 +179,7 @@
         leader, spec = self._leader, job.spec
         if prospect.timeline is not None:
             capacity = prospect.timeline.capacity
-            return timedelta(seconds=capacity.fetch(spec.image, spec.image_gb))
+            return timedelta(seconds=capacity.image_fetch_seconds(spec.image, spec.image_gb))
         if prospect.scale_out is not None and not prospect.startable_now:
             return machine_fit.fetch_time(spec, prospect.scale_out.machine_type)
         if machine_fit.has_image(leader, job, ready):
--- a/roadbend/controller/leaders.py
+++ b/roadbend/controller/leaders.py
@@ -88,7 +88,7 @@
         """Tell the partition's leader of an attempt that the records name newly."""
         leader = self.leaders.get(partition)
         if leader is not None:
-            leader.unheld.note_recorded(TaskKey(job, task_index), attempt)
+            leader.unheld.mark_recorded(TaskKey(job, task_index), attempt)
 
     def on_record(self, key: str) -> None:
         """Tell those of a changed record whom it concerns."""
--- a/roadbend/fleet/fencing.py
+++ b/roadbend/fleet/fencing.py
@@ -42,7 +42,7 @@
                 machine.lifecycle.draining, machine.lifecycle.fencing = "fence", False
             return False
         log.info("machine-fenced", partition=leader.partition, machine=name)
-        leader.terminate_attempts(name, TerminationEvidence.DELETED)
+        leader.mark_attempts_terminated(name, TerminationEvidence.DELETED)
         return True
 
     def expire(self, leader: Leader, name: str) -> None:
@@ -52,7 +52,7 @@
         expired = is_lease_expired(leader.machines.get(name), terms, clock.now())
         if expired and leader.records.attempts_by_machine().get(name):
             log.info("worker-lease-expired", partition=leader.partition, machine=name)
-            leader.terminate_attempts(name, TerminationEvidence.LEASE)
+            leader.mark_attempts_terminated(name, TerminationEvidence.LEASE)
 
 
 def _failure(leader: Leader, name: str, error: Exception) -> dict[str, str]:
--- a/roadbend/fleet/leader.py
+++ b/roadbend/fleet/leader.py
@@ -83,7 +83,7 @@
 class LeaderStartsInDoubt(Protocol):
     """The starts that a leader has sent and that may still be carried out."""
 
-    def note_direct(self, machine: Machine, key: TaskKey, start: DirectStart) -> None:
+    def record_direct_start(self, machine: Machine, key: TaskKey, start: DirectStart) -> None:
         """Note a direct start before it is sent."""
 
 
@@ -145,5 +145,5 @@
     def recovery(self) -> StopSpacing:
         """What recovery holds back."""
 
-    def terminate_attempts(self, machine: str, evidence: TerminationEvidence) -> None:
+    def mark_attempts_terminated(self, machine: str, evidence: TerminationEvidence) -> None:
         """Note evidence from outside a heartbeat that all attempts of a machine are terminated."""
--- a/roadbend/placement/apart_gangs.py
+++ b/roadbend/placement/apart_gangs.py
@@ -146,7 +146,7 @@
         self._backoff.rest_until(job.id, now + REST)
         self._gang_attempts.note_over(job.id)
 
-    def may_release(self, job: Job) -> dict[str, int] | None:
+    def release_conditions(self, job: Job) -> dict[str, int] | None:
         """Return the conditions under which all shares are given back to be bid for again.
 
         None where it is not this partition's turn to do so, or something of the gang is still
--- a/roadbend/placement/bin_packing.py
+++ b/roadbend/placement/bin_packing.py
@@ -192,7 +192,7 @@
     for capacity in capacities:
         fitting = min(left, capacity.count(resources))
         for _ in range(fitting):
-            capacity.take(resources)
+            capacity.allocate(resources)
             placed.append(Placement(item, next(tasks), capacity))
         if quota is not None:
             quota.take(item.job.spec, fitting)
--- a/roadbend/placement/heard_machines.py
+++ b/roadbend/placement/confirmed_machines.py
@@ -9,7 +9,7 @@
 MAX_WAIT_INTERVALS = 1.5
 
 
-class HeardMachines:
+class ConfirmedMachines:
     """The machines of one leadership, from its beginning until they have been heard.
 
     What is lost by stopping work can only be compared on machines that were heard. Before that the
--- a/roadbend/placement/exclusions.py
+++ b/roadbend/placement/exclusions.py
@@ -34,18 +34,18 @@
             if not machines:
                 del self._failed_on[job]
 
-    def withhold_types(self, machine_types: Mapping[str, frozenset[str]]) -> None:
+    def exclude_types(self, machine_types: Mapping[str, frozenset[str]]) -> None:
         """Replace the machine types that each waiting service is kept from."""
         self._withheld_types = machine_types
 
-    def withheld_types(self, job: str) -> frozenset[str]:
+    def excluded_types(self, job: str) -> frozenset[str]:
         """Return the machine types that a job is kept from."""
         return self._withheld_types.get(job, frozenset())
 
-    def exclude_without_image(self, machines: Mapping[str, frozenset[str]]) -> None:
+    def exclude_machines_without_image(self, machines: Mapping[str, frozenset[str]]) -> None:
         """Replace the machines that each service keeps off for lack of its image."""
         self._without_image = machines
 
-    def without_image(self, job: str) -> frozenset[str]:
+    def machines_without_image(self, job: str) -> frozenset[str]:
         """Return the machines that a job keeps off for lack of its image."""
         return self._without_image.get(job, frozenset())
--- a/roadbend/placement/forecast.py
+++ b/roadbend/placement/forecast.py
@@ -81,11 +81,11 @@
         capacity, spec = self.capacity, job.spec
         while self.releases and self.releases[0].at <= start and not capacity.fits(spec.resources):
             release = self.releases.pop(0)
-            capacity.give(release.resources)
+            capacity.release(release.resources)
             self.free_from = max(self.free_from, release.at)
-        capacity.take(spec.resources)
+        capacity.allocate(spec.resources)
         if run < NEVER:
-            end = start + capacity.fetch(spec.image, spec.image_gb) + run
+            end = start + capacity.image_fetch_seconds(spec.image, spec.image_gb) + run
             insort(self.releases, Release(end, spec.resources), key=release_time)
         if spec.image not in capacity.images:
             capacity.images = {*capacity.images, spec.image}
@@ -205,7 +205,9 @@
         spec, capacity = self._spec, timeline.capacity
         start = timeline.earliest(spec.resources)
         if start < NEVER:
-            runs_at = round(start + capacity.fetch(spec.image, spec.image_gb), START_DIGITS)
+            runs_at = round(
+                start + capacity.image_fetch_seconds(spec.image, spec.image_gb), START_DIGITS
+            )
             wastes_ordinary = spec.spot and not capacity.spot
             heapq.heappush(self._heap, (runs_at, wastes_ordinary, index, start, timeline))
 
@@ -232,7 +234,9 @@
             and start < NEVER
             and allowed(job, capacity.machine_type, capacity.zone, capacity.spot)
         ):
-            runs_at = round(start + capacity.fetch(spec.image, spec.image_gb), START_DIGITS)
+            runs_at = round(
+                start + capacity.image_fetch_seconds(spec.image, spec.image_gb), START_DIGITS
+            )
             rank = (runs_at, spec.spot and not capacity.spot)
             if rank < best:
                 best, found = rank, EarliestStart(start, timeline)
--- a/roadbend/placement/free_capacity.py
+++ b/roadbend/placement/free_capacity.py
@@ -18,7 +18,7 @@
 
 @dataclass(slots=True)
 class FreeCapacity:
-    """A machine with what is free on it; `take` and `give` change it in place.
+    """A machine with what is free on it; `allocate` and `release` change it in place.
 
     `cpus`, `gpus` and `memory` (GB) are what is free, `total` all that the machine has. `ready_in`
     is in seconds, and above zero while the machine boots. `price` is per hour.
@@ -38,7 +38,7 @@
     # How fast the machine fetches images, in GB per second; 0: not known.
     fetch_gb_per_s: float = 0.0
 
-    def fetch(self, image: str, gb: float) -> float:
+    def image_fetch_seconds(self, image: str, gb: float) -> float:
         """Return the seconds until an image of so many GB is on the machine."""
         return 0.0 if image in self.images or self.fetch_gb_per_s <= 0 else gb / self.fetch_gb_per_s
 
@@ -50,13 +50,13 @@
             and resources.memory <= self.memory + RESOURCE_TOLERANCE
         )
 
-    def take(self, resources: Resources) -> None:
+    def allocate(self, resources: Resources) -> None:
         """Subtract a task's resources from what is free."""
         self.cpus -= resources.cpus
         self.gpus -= resources.gpus
         self.memory -= resources.memory
 
-    def give(self, resources: Resources) -> None:
+    def release(self, resources: Resources) -> None:
         """Add a task's resources to what is free."""
         self.cpus += resources.cpus
         self.gpus += resources.gpus
--- a/roadbend/placement/gang_attempts.py
+++ b/roadbend/placement/gang_attempts.py
@@ -45,22 +45,22 @@
         """Remember that all shares of a gang are to be bid for anew."""
         self._to_release.add(job)
 
-    def is_to_release(self, job: str) -> bool:
+    def needs_release(self, job: str) -> bool:
         """Whether all shares of a gang are to be bid for anew."""
         return job in self._to_release
 
-    def note_released(self, job: str) -> None:
+    def mark_released(self, job: str) -> None:
         """All shares of a gang were given back."""
         self._to_release.discard(job)
 
-    def note_lost(self, job: str, attempt: int, machine: str) -> None:
+    def record_lost_machine(self, job: str, attempt: int, machine: str) -> None:
         """Remember a machine on which an attempt has lost a task."""
         lost = self._lost_on.get(job)
         if lost is None or lost.attempt != attempt:
             lost = self._lost_on[job] = _LostMachines(attempt)
         lost.machines.add(machine)
 
-    def lost_on(self, job: str) -> set[str]:
+    def lost_machines(self, job: str) -> set[str]:
         """Return the machines on which a gang's attempt has lost tasks.
 
         A machine ignores an order for an attempt that it still holds, ended ones too.
@@ -68,7 +68,7 @@
         lost = self._lost_on.get(job)
         return lost.machines if lost is not None else set()
 
-    def any_lost(self) -> bool:
+    def has_lost_machines(self) -> bool:
         """Whether any attempt has lost a task and goes on."""
         return bool(self._lost_on)
 
--- a/roadbend/placement/gang_end.py
+++ b/roadbend/placement/gang_end.py
@@ -18,20 +18,20 @@
     transaction leaves the rest for the next. None: not even the job's end has room now.
     """
     end_keys = (keys.job_key(job.id), keys.job_end_key(job.id), keys.gang_key(job.id))
-    all_fits = transaction.room_for(*end_keys, *(shard.key for shard in touched.values()))
-    if not all_fits and (transaction.changes or not transaction.room_for(*end_keys)):
+    all_fits = transaction.has_space_for(*end_keys, *(shard.key for shard in touched.values()))
+    if not all_fits and (transaction.changes or not transaction.has_space_for(*end_keys)):
         return None
     transaction.end_job(job, "done", job.spec.task_count)
     written: set[int] = set()
     for n, shard in touched.items():
-        if not transaction.room_for(shard.key):
+        if not transaction.has_space_for(shard.key):
             break
         written.add(n)
         if shard.attempts:
-            transaction.set_slice(shard)
+            transaction.set_shard(shard)
         else:
-            transaction.drop_slice(shard)
+            transaction.delete_shard(shard)
     for shard in others:
-        if not shard.attempts and transaction.room_for(shard.key):
-            transaction.drop_slice(shard)
+        if not shard.attempts and transaction.has_space_for(shard.key):
+            transaction.delete_shard(shard)
     return written
--- a/roadbend/placement/gang_reservations.py
+++ b/roadbend/placement/gang_reservations.py
@@ -59,7 +59,7 @@
             self._reservations.pause_gangs(until + PAUSE)
             return
 
-    def kept_from(self, item: PendingTasks) -> set[str]:
+    def excluded_machines(self, item: PendingTasks) -> set[str]:
         """Return the machines that an item keeps off for the sake of a gang.
 
         Work of higher priority does not wait for one.
@@ -111,5 +111,5 @@
         for key, (job_slice, _) in self._records.attempts_by_machine().get(capacity.id, {}).items():
             other = self._records.live_job(key[0])
             if other is None or not other.spec.service:
-                trial.give(job_slice.resources)
+                trial.release(job_slice.resources)
         return trial.count(job.spec.resources)
--- a/roadbend/placement/gangs.py
+++ b/roadbend/placement/gangs.py
@@ -75,7 +75,7 @@
                 return False
         return True
 
-    def waiting(self, job: Job, unplaced: Ranges) -> PendingTasks | None:
+    def placeable_tasks(self, job: Job, unplaced: Ranges) -> PendingTasks | None:
         """Return what of a gang may be placed.
 
         All of it, once nothing of an earlier attempt is recorded any more; or what is missing of
@@ -117,7 +117,10 @@
             return rows
         first = set(
             sorted(shards)[
-                : min(transaction.free - 1, transaction.most_slices(self._records.shard_width))
+                : min(
+                    transaction.remaining_changes - 1,
+                    transaction.most_slices(self._records.shard_width),
+                )
             ]
         )
         return [row for row in rows if row[1] // self._records.shard_width in first]
@@ -170,7 +173,7 @@
             return True
         return self._apart_gangs.may_start(job)
 
-    def stop_whole(self, job: Job, why: str, now: datetime, grace: timedelta | None = None) -> None:
+    def stop_gang(self, job: Job, why: str, now: datetime, grace: timedelta | None = None) -> None:
         """Stop all tasks of a gang at once, so that each is told within `gang_peer` of the first.
 
         One that has saved waits for the others; what it is given counts that.
@@ -222,7 +225,7 @@
         if not rest:
             # There is nobody left to tell.
             return True
-        replaceable = all(end.cause in REPLACED for end in ended.values())
+        replaceable = all(end.cause in REPLACEABLE_CAUSES for end in ended.values())
         return replaceable and self.still_gathers(job, job_slice, rest)
 
     def _abandon(self, job: Job, remaining_tasks: int, now: datetime) -> None:
@@ -233,7 +236,7 @@
             job=job.id,
             remaining_tasks=remaining_tasks,
         )
-        self.stop_whole(job, "peers", now, clock.ZERO)
+        self.stop_gang(job, "peers", now, clock.ZERO)
 
     def still_gathers(self, job: Job, job_slice: JobSlice, rest: Set[int]) -> bool:
         """Whether what is left may still be joined, as `gathers`.
@@ -266,4 +269,4 @@
 
 
 # Ends after which a gang that gathers goes on with another machine in place of the lost one.
-REPLACED = ("deleted", "lease", "no_room", "busy", "unknown")
+REPLACEABLE_CAUSES = ("deleted", "lease", "no_room", "busy", "unknown")
--- a/roadbend/placement/heartbeats.py
+++ b/roadbend/placement/heartbeats.py
@@ -126,7 +126,7 @@
     ) -> tuple[int, list[WorkerOrder]]:
         """Return token and orders for the answer, and note what goes out with it."""
         self._note_unchanged(machine, heartbeat, orders)
-        self._starts_in_doubt.note_answer(machine, heartbeat.position, received_at, orders)
+        self._starts_in_doubt.record_answer(machine, heartbeat.position, received_at, orders)
         return self.token(machine), orders
 
     def _follows_other_leader(self, heartbeat: WorkerHeartbeat) -> bool:
@@ -160,7 +160,7 @@
                 token=heartbeat.token,
             )
             machine.contact.acknowledged_at = now
-            self._starts_in_doubt.note_confirmed(machine.id)
+            self._starts_in_doubt.mark_confirmed(machine.id)
         if machine.lifecycle.reclaim_at is not None and not had_notice:
             log.info(
                 "machine-reclaim-announced",
@@ -237,7 +237,7 @@
         )
         orders = heartbeat_evaluation.read(machine, heartbeat, self.token(machine), expected, now)
         if shows_our_token:
-            self._unheld.note_shown(machine.id, machine.tasks)
+            self._unheld.mark_shown(machine.id, machine.tasks)
         self.recovery.note_heartbeat(machine, heartbeat, now)
         self._learn(machine, recorded, now)
         return orders
@@ -259,10 +259,10 @@
                 incarnation=machine.token.incarnation + 1,
             )
             machine.restart(position)
-            self._starts_in_doubt.note_restarted(machine.id)
+            self._starts_in_doubt.mark_restarted(machine.id)
             recorded = self._records.attempts_by_machine().get(machine.id, {})
             lost = [(TaskKey(*key), attempt.number) for key, (_, attempt) in recorded.items()]
-            self._unheld.note_lost(machine.id, lost, clock.now())
+            self._unheld.mark_lost(machine.id, lost, clock.now())
         self._steps.request()
 
     def _evacuate(self, machine: Machine, recorded: MachineAttempts, now: datetime) -> None:
@@ -279,7 +279,7 @@
                 )
                 if job.spec.gang:
                     # All of it saves together, or nothing is saved.
-                    self._gangs.stop_whole(job, "notice", now)
+                    self._gangs.stop_gang(job, "notice", now)
                 else:
                     self._stops.order(TaskKey(*key), attempt, grace, "notice", now)
 
--- a/roadbend/placement/leader.py
+++ b/roadbend/placement/leader.py
@@ -246,7 +246,7 @@
         self.reservations.drop_stale({item.job.id for item in self.queue.not_placed}, now)
         self.state.backoff.drop_expired(now)
 
-    def terminate_attempts(self, machine: str, evidence: TerminationEvidence) -> None:
+    def mark_attempts_terminated(self, machine: str, evidence: TerminationEvidence) -> None:
         """Note as terminated all that is recorded on a machine.
 
         The evidence is from outside a heartbeat: the cloud's answer to a deletion, or a worker
--- a/roadbend/placement/pending_queue.py
+++ b/roadbend/placement/pending_queue.py
@@ -83,7 +83,7 @@
         """Return what of a job waits; the first task of a starved one stands apart."""
         tasks = self.unplaced(job)
         if job.spec.gang:
-            item = self._gangs.waiting(job, tasks) if tasks else None
+            item = self._gangs.placeable_tasks(job, tasks) if tasks else None
             return [] if item is None else [replace(item, guaranteed=guaranteed, starved=starved)]
         items = []
         tasks = ranges.first(tasks, MAX_PENDING)
--- a/roadbend/placement/preemption.py
+++ b/roadbend/placement/preemption.py
@@ -9,12 +9,12 @@
 from roadbend.fleet.terminations import TaskKey
 from roadbend.log import Log
 from roadbend.placement import free_capacity
-from roadbend.placement.clearings import Clearings
+from roadbend.placement.confirmed_machines import ConfirmedMachines
 from roadbend.placement.free_capacity import RESOURCE_TOLERANCE, FreeCapacity
 from roadbend.placement.gangs import Gangs
-from roadbend.placement.heard_machines import HeardMachines
 from roadbend.placement.partition_state import PartitionState
-from roadbend.placement.preemption_policy import Clearing, RunningTask, Victim
+from roadbend.placement.preemption_options import PreemptionOptions
+from roadbend.placement.preemption_policy import PreemptionOption, RunningTask, Victim
 from roadbend.placement.queue_order import PendingTasks
 from roadbend.placement.reservations import ReservationReason
 from roadbend.placement.transaction import TransactionBuilder
@@ -43,7 +43,7 @@
         self._partition = state.records.partition
         self._usable_machines = usable_machines
         self._gangs = gangs
-        self._heard_machines = HeardMachines(state)
+        self._heard_machines = ConfirmedMachines(state)
 
     def preempt(
         self,
@@ -63,7 +63,7 @@
         if not all_of_them:
             capacities = self._with_the_rest(capacities, transaction)
         running = self.stoppable(waiting, now)
-        schedule = Clearings(
+        schedule = PreemptionOptions(
             self._exclusions,
             [capacity for capacity in capacities if capacity.id in running],
             running,
@@ -152,7 +152,7 @@
                 by_job=item.job.id,
             )
             if job.spec.gang:
-                self._gangs.stop_whole(job, "preempted", now)
+                self._gangs.stop_gang(job, "preempted", now)
                 continue
             saves = job.spec.checkpoint > clock.ZERO
             grace = job.spec.save + timedelta(seconds=1) if saves else clock.ZERO
@@ -162,7 +162,7 @@
         self,
         item: PendingTasks,
         capacities: list[FreeCapacity],
-        schedule: Clearings,
+        schedule: PreemptionOptions,
         now: datetime,
     ) -> set[str]:
         """Make room for all of a gang, or stop nothing for it; return the machines it gets.
@@ -202,22 +202,22 @@
         item: PendingTasks,
         places: int,
         free: dict[str, int],
-        schedule: Clearings,
-    ) -> list[Clearing] | None:
+        schedule: PreemptionOptions,
+    ) -> list[PreemptionOption] | None:
         """Return what to stop so that a gang finds enough places; None if that is too few.
 
         `places`: how many it finds without. `free`: how many each machine has.
         """
         resources = item.job.spec.resources
-        plan: list[Clearing] = []
+        plan: list[PreemptionOption] = []
         for capacity, chosen in islice(schedule.of(item), MAX_PREEMPTED):
             if places >= item.count:
                 break
             trial = replace(capacity)
             for victim in chosen:
-                trial.give(victim.resources)
+                trial.release(victim.resources)
             places += max(1, trial.count(resources)) - free.get(capacity.id, 0)
-            plan.append(Clearing(capacity, chosen))
+            plan.append(PreemptionOption(capacity, chosen))
         return plan if places >= item.count else None
 
     def reserve(self, machines: Iterable[str], job: Job, now: datetime) -> None:
--- a/roadbend/placement/clearings.py
+++ b/roadbend/placement/preemption_options.py
@@ -7,7 +7,7 @@
 from roadbend.placement.bin_packing import TaskShape
 from roadbend.placement.exclusions import PlacementExclusions
 from roadbend.placement.free_capacity import FreeCapacity
-from roadbend.placement.preemption_policy import Clearing, Victim
+from roadbend.placement.preemption_policy import PreemptionOption, Victim
 from roadbend.placement.queue_order import PendingTasks
 
 
@@ -19,11 +19,11 @@
     priority: int
     team: str
     guaranteed: bool
-    withheld_types: frozenset[str]
-    without_image: frozenset[str]
+    excluded_types: frozenset[str]
+    machines_without_image: frozenset[str]
 
 
-class Clearings:
+class PreemptionOptions:
     """Where room can be made in one step; work that is alike looks at the machines once."""
 
     def __init__(
@@ -33,29 +33,29 @@
         running: dict[str, list[Victim]],
     ) -> None:
         self._exclusions, self._capacities, self._running = exclusions, capacities, running
-        self._known: dict[_Kind, list[Clearing]] = {}
+        self._known: dict[_Kind, list[PreemptionOption]] = {}
         # The lowest priority on each machine, and the teams that are beyond their guarantees there.
         self._lowest = {name: min(row.priority for row in rows) for name, rows in running.items()}
         self._beyond = {
-            name: {victim.team for victim in victims if victim.beyond_guarantee}
+            name: {victim.team for victim in victims if victim.over_guarantee}
             for name, victims in running.items()
         }
         # Machines that are taken already.
         self.taken: set[str] = set()
 
-    def of(self, item: PendingTasks) -> Iterator[Clearing]:
+    def of(self, item: PendingTasks) -> Iterator[PreemptionOption]:
         """Return the machines on which room for the item can still be made, the best first."""
         spec = item.job.spec
-        kept_from = self._exclusions.withheld_types(item.job.id)
-        without_image = self._exclusions.without_image(item.job.id)
+        kept_from = self._exclusions.excluded_types(item.job.id)
+        machines_without_image = self._exclusions.machines_without_image(item.job.id)
         kind = _Kind(
             shape=TaskShape(spec.resources, spec.machine_types, spec.zone, spec.spot),
             image=spec.image,
             priority=spec.priority,
             team=spec.team,
             guaranteed=item.guaranteed,
-            withheld_types=kept_from,
-            without_image=without_image,
+            excluded_types=kept_from,
+            machines_without_image=machines_without_image,
         )
         found = self._known.get(kind)
         if found is None:
@@ -64,9 +64,11 @@
                 for capacity in self._capacities
                 if self._may_clear(item, capacity.id)
                 and capacity.machine_type not in kept_from
-                and capacity.id not in without_image
+                and capacity.id not in machines_without_image
             ]
-            found = self._known[kind] = preemption_policy.clearings(item, open_to, self._running)
+            found = self._known[kind] = preemption_policy.preemption_options(
+                item, open_to, self._running
+            )
         return (row for row in found if row[0].id not in self.taken)
 
     def _may_clear(self, item: PendingTasks, machine: str) -> bool:
--- a/roadbend/placement/preemption_policy.py
+++ b/roadbend/placement/preemption_policy.py
@@ -28,14 +28,14 @@
     resources: Resources
     priority: int
     # Its team uses more than its guarantee, and its job is not within that guarantee.
-    beyond_guarantee: bool
+    over_guarantee: bool
     team: str
     # Seconds of work that stopping it would waste.
     loss: float
     task: RunningTask
 
 
-class Clearing(NamedTuple):
+class PreemptionOption(NamedTuple):
     """A machine on which room can be made, and what is stopped there."""
 
     capacity: FreeCapacity
@@ -50,15 +50,15 @@
     """
     spec = item.job.spec
     return victim.priority < spec.priority or (
-        item.guaranteed and victim.beyond_guarantee and victim.team != spec.team
+        item.guaranteed and victim.over_guarantee and victim.team != spec.team
     )
 
 
-def clearings(
+def preemption_options(
     item: PendingTasks,
     capacities: Iterable[FreeCapacity],
     running: Mapping[str, list[Victim]],
-) -> list[Clearing]:
+) -> list[PreemptionOption]:
     """Return the machines on which room for one task of the item can be made, best first.
 
     The best has the image, then loses the least work, then the fewest tasks. `running` gives what
@@ -67,7 +67,7 @@
     """
     image = item.job.spec.image
 
-    def preference(clearing: Clearing) -> tuple[bool, float, int, str]:
+    def preference(clearing: PreemptionOption) -> tuple[bool, float, int, str]:
         capacity, victims = clearing
         loss = sum(victim.loss for victim in victims)
         return image not in capacity.images, loss, len(victims), capacity.id
@@ -83,7 +83,7 @@
             continue
         victims = _cheapest_victims(item, capacity, candidates)
         if victims:
-            found.append(Clearing(capacity, victims))
+            found.append(PreemptionOption(capacity, victims))
     found.sort(key=preference)
     return found
 
--- a/roadbend/placement/queue_projection.py
+++ b/roadbend/placement/queue_projection.py
@@ -171,7 +171,7 @@
                     left = max(run - spent, 0.25 * spent, 1.0)
                 else:
                     spec = self._context.view.jobs[job_slice.job].spec
-                    left = run + capacity.fetch(spec.image, spec.image_gb)
+                    left = run + capacity.image_fetch_seconds(spec.image, spec.image_gb)
                 releases.append(Release(left, job_slice.resources))
             releases.sort(key=release_time)
             out.append(MachineTimeline(capacity, releases))
--- a/roadbend/placement/quotas.py
+++ b/roadbend/placement/quotas.py
@@ -82,13 +82,13 @@
         assert limits is not None, "no tasks of a team without a quota are placed"
         used = transaction.used(team)
         used = (used[0] + tasks * resources.cpus, used[1] + tasks * resources.gpus)
-        use = transaction.team(team)
+        use = transaction.quota(team)
         have = use.partitions.get(self._partition, (0.0, 0.0))
         bound = [most < float("inf") for most in limits]
         short = any(
             b and u > h + RESOURCE_TOLERANCE for b, u, h in zip(bound, used, have, strict=True)
         )
-        if not transaction.room_for(*record_keys, *([team_key] if short else [])):
+        if not transaction.has_space_for(*record_keys, *([team_key] if short else [])):
             return False
         if short:
             others = (use.cpus - have[0], use.gpus - have[1])
@@ -97,7 +97,7 @@
                 max(u, u + (most - other - u) / share) if b else 0.0
                 for b, u, most, other in zip(bound, used, limits, others, strict=True)
             ]
-            transaction.set_team(use.with_partition(self._partition, *fresh))
+            transaction.set_quota(use.with_partition(self._partition, *fresh))
         return True
 
     def reserve(
@@ -123,11 +123,11 @@
             kept = [min(h, u + w) for h, u, w in zip(reserved, used, wanted, strict=True)]
             if all(
                 h - k <= RESOURCE_TOLERANCE for h, k in zip(reserved, kept, strict=True)
-            ) or not transaction.room_for(keys.team_key(team)):
+            ) or not transaction.has_space_for(keys.team_key(team)):
                 continue
             self._reserved_at[team] = now
             cpus, gpus = (max(k, u) for k, u in zip(kept, used, strict=True))
-            transaction.set_team(record.with_partition(self._partition, cpus, gpus))
+            transaction.set_quota(record.with_partition(self._partition, cpus, gpus))
 
     def _waiting(
         self, pending: Iterable[PendingTasks], now: datetime
--- a/roadbend/placement/restrictions.py
+++ b/roadbend/placement/restrictions.py
@@ -77,7 +77,7 @@
                 )
                 if expensive:
                     withheld[job.id] = frozenset(expensive)
-        self._exclusions.withhold_types(withheld)
+        self._exclusions.exclude_types(withheld)
 
     def image_first(self, queue: list[PendingTasks], capacities: list[FreeCapacity]) -> None:
         """Keep services that would be late by their fetch off machines without their image.
@@ -107,7 +107,7 @@
                 without_image[item.job.id] = frozenset(
                     capacity.id for capacity in capacities if spec.image not in capacity.images
                 )
-        self._exclusions.exclude_without_image(without_image)
+        self._exclusions.exclude_machines_without_image(without_image)
 
     def clearable(self, capacity: FreeCapacity, spec: JobSpec) -> bool:
         """Whether a machine has room for a task, or would, less what may be stopped for it."""
@@ -130,7 +130,9 @@
 
     def exclusions_of(self) -> Callable[[PendingTasks], Exclusions] | None:
         """Return what tells an item's exclusions; None if nothing is kept from anything."""
-        any_excluded = self._exclusions or self._reservations or self._gang_attempts.any_lost()
+        any_excluded = (
+            self._exclusions or self._reservations or self._gang_attempts.has_lost_machines()
+        )
         return self.bars if any_excluded else None
 
     def bars(self, item: PendingTasks) -> Exclusions:
@@ -147,11 +149,11 @@
                 for machine, row in self._reservations.for_preemption.items()
                 if row.job != name
             }
-            reserved |= self._gang_reservations.kept_from(item)
+            reserved |= self._gang_reservations.excluded_machines(item)
         exclusions = self._exclusions
         barred = reserved.union(
-            self._gang_attempts.lost_on(name),
+            self._gang_attempts.lost_machines(name),
             exclusions.failed_on(name),
-            exclusions.without_image(name),
+            exclusions.machines_without_image(name),
         )
-        return Exclusions(barred, exclusions.withheld_types(name))
+        return Exclusions(barred, exclusions.excluded_types(name))
--- a/roadbend/placement/shard_split.py
+++ b/roadbend/placement/shard_split.py
@@ -27,7 +27,7 @@
             break
         if n == shard.shard:
             continue
-        other = transaction.slice(job_slice.job, job_slice.team, job_slice.resources, n)
+        other = transaction.shard(job_slice.job, job_slice.team, job_slice.resources, n)
         other = replace(other, attempts={**other.attempts, **attempts})
         if transaction.fits(other):
             pieces.append(other)
@@ -40,6 +40,6 @@
     pieces.insert(0, giving)
     return (
         pieces
-        if transaction.fits(giving) and transaction.room_for(*(row.key for row in pieces))
+        if transaction.fits(giving) and transaction.has_space_for(*(row.key for row in pieces))
         else []
     )
--- a/roadbend/placement/start_recorder.py
+++ b/roadbend/placement/start_recorder.py
@@ -90,19 +90,19 @@
         transaction.charge(job.spec.team, job.spec.resources, len(share))
         self._aging.note_start(job.id, now)
         if len(share) < len(group):
-            transaction.after.append(partial(self._gangs.note_filling, shards[0]))
+            transaction.on_commit.append(partial(self._gangs.note_filling, shards[0]))
         self._tell_once_recorded(transaction, job, shards, share)
         return len(share) == len(group)
 
     def _write(self, transaction: TransactionBuilder, job: Job, shards: list[SliceShard]) -> None:
         """Put the shards into the transaction, with the conditions of a start."""
         for shard in shards:
-            transaction.set_slice(shard)
+            transaction.set_shard(shard)
         transaction.require_job(job)
         if apart_gangs.is_apart(job):
             self._apart_gangs.add_conditions(transaction, job)
             number = next(iter(shards[0].attempts.values())).number
-            transaction.after.append(partial(self._gang_attempts.note_joined, job.id, number))
+            transaction.on_commit.append(partial(self._gang_attempts.note_joined, job.id, number))
 
     def _tell_once_recorded(
         self,
@@ -114,9 +114,9 @@
         """Tell the machines, where they must not wait for their heartbeats, and the observer."""
         if job.spec.gang or self._context.objectives.start_within(job.spec) is not None:
             indexes = {placement.task_index for placement in share}
-            transaction.after.append(partial(self._start_directly, shards, indexes))
+            transaction.on_commit.append(partial(self._start_directly, shards, indexes))
         in_order = [placement.task_index for placement in share]
-        transaction.after.append(partial(self._tell_observer, job, shards, in_order))
+        transaction.on_commit.append(partial(self._tell_observer, job, shards, in_order))
         for _, task_index, capacity in share:
             log.debug(
                 "attempt-started",
@@ -136,7 +136,7 @@
         common = self._gangs.attempt_number(job) if job.spec.gang else None
         for _, task_index, capacity in share:
             n = self._shard_of(task_index, job_slice)
-            shard = shards.get(n) or transaction.slice(job.id, job.spec.team, job.spec.resources, n)
+            shard = shards.get(n) or transaction.shard(job.id, job.spec.team, job.spec.resources, n)
             number = self._attempt_numbers.next() if common is None else common
             attempt = Attempt(number, capacity.id)
             shards[n] = replace(shard, attempts={**shard.attempts, task_index: attempt})
--- a/roadbend/placement/starts.py
+++ b/roadbend/placement/starts.py
@@ -126,7 +126,7 @@
         result = bin_packing.place(
             self._gangs.filling_first(candidates),
             capacities,
-            transaction.free,
+            transaction.remaining_changes,
             self._restrictions.exclusions_of(),
             quota,
         )
--- a/roadbend/placement/starts_in_doubt.py
+++ b/roadbend/placement/starts_in_doubt.py
@@ -79,11 +79,11 @@
             if job not in unsettled_jobs and job_slice.newest_mod_revision <= revision
         }
 
-    def note_direct(self, machine: Machine, key: TaskKey, start: DirectStart) -> None:
+    def record_direct_start(self, machine: Machine, key: TaskKey, start: DirectStart) -> None:
         """Note a direct start before it is sent."""
         self._note(machine, key, start.attempt, start)
 
-    def note_answer(
+    def record_answer(
         self,
         machine: Machine,
         position: HeartbeatPosition,
@@ -105,12 +105,12 @@
         sent = _SentStart(key, Attempt(number, machine.id), machine, start)
         self._by_job.setdefault(key.job, []).append(sent)
 
-    def note_confirmed(self, machine: str) -> None:
+    def mark_confirmed(self, machine: str) -> None:
         """Note that a machine has shown our token: it refuses what former leaders sent."""
         self._unconfirmed.discard(machine)
         self._restarted.discard(machine)
 
-    def note_restarted(self, machine: str) -> None:
+    def mark_restarted(self, machine: str) -> None:
         """Note that a machine has restarted: it knows no token until it shows ours again."""
         self._unconfirmed.add(machine)
         self._restarted.add(machine)
--- a/roadbend/placement/termination_effects.py
+++ b/roadbend/placement/termination_effects.py
@@ -33,10 +33,10 @@
             machine=end.machine,
             cause=end.cause,
         )
-        if end.cause in gangs.REPLACED:
+        if end.cause in gangs.REPLACEABLE_CAUSES:
             job = self._records.live_job(key.job)
             if job is not None and job.spec.gang:
-                self._gang_attempts.note_lost(key.job, end.attempt, end.machine)
+                self._gang_attempts.record_lost_machine(key.job, end.attempt, end.machine)
         if end.cause == "done":
             self._note_done(key, end.machine)
         elif end.cause == "error":
--- a/roadbend/placement/termination_recorder.py
+++ b/roadbend/placement/termination_recorder.py
@@ -72,7 +72,7 @@
             if job is not None and (name in done_gangs or self.shows_gang_done(job, terminations)):
                 left = self.record_gang(transaction, job, terminations)
                 if left is not None and name in done_gangs:
-                    transaction.after.append(partial(self.log_ended_by_records, name))
+                    transaction.on_commit.append(partial(self.log_ended_by_records, name))
             else:
                 left = self.record_job(transaction, terminations)
             if left is None:
@@ -161,7 +161,7 @@
             if attempt != Attempt(end.attempt, end.machine):
                 continue
             n = job_slice.shard_of(task_index, self._records.shard_width)
-            shard = terminations.touched.get(n) or transaction.slice(
+            shard = terminations.touched.get(n) or transaction.shard(
                 name, job_slice.team, job_slice.resources, n
             )
             attempts = {
@@ -218,12 +218,14 @@
             record_keys += [keys.job_key(terminations.name), keys.job_end_key(terminations.name)]
         if not record_keys:
             return False
-        partly = not transaction.room_for(*record_keys)
+        partly = not transaction.has_space_for(*record_keys)
         if partly:
             if transaction.changes:
                 return None
             # Wider than one transaction: some of it now, the rest in the next.
-            some = sorted(over.keys() | terminations.touched.keys())[: max(1, transaction.free - 2)]
+            some = sorted(over.keys() | terminations.touched.keys())[
+                : max(1, transaction.remaining_changes - 2)
+            ]
             over = {n: shard for n, shard in over.items() if n in some}
             terminations.keep_only(
                 [n for n in some if n not in terminations.plans], self._records.shard_width
@@ -262,7 +264,7 @@
         for n, shard in terminations.touched.items():
             if n in terminations.plans:
                 for part in terminations.plans[n]:
-                    transaction.set_slice(part)
+                    transaction.set_shard(part)
                 log.info(
                     "shard-split",
                     partition=self._partition,
@@ -272,9 +274,9 @@
                 )
             elif n not in over:
                 # Fewer attempts never make the record larger than a range each.
-                transaction.set_slice(shard)
+                transaction.set_shard(shard)
         for shard in over.values():
-            transaction.drop_slice(shard)
+            transaction.delete_shard(shard)
 
     def write_job(
         self,
@@ -305,7 +307,7 @@
             key = TaskKey(terminations.name, task_index)
             transaction.ended_attempts.add(key)
             transaction.charge(terminations.job_slice.team, terminations.job_slice.resources, -1)
-            transaction.after.append(partial(self._effects.note_recorded, key, end, now))
+            transaction.on_commit.append(partial(self._effects.note_recorded, key, end, now))
 
     def within(self, held: Ranges, n: int) -> Ranges:
         """Return the held tasks whose attempts are written into this shard."""
--- a/roadbend/placement/test_gang_end.py
+++ b/roadbend/placement/test_gang_end.py
@@ -183,14 +183,14 @@
     desk = make()
     gangs = Gangs(desk.state, ApartGangs(desk.state))
     share = desk.job.allocation.get("east", ())
-    assert gangs.waiting(desk.view.jobs[GANG], share) is None
+    assert gangs.placeable_tasks(desk.view.jobs[GANG], share) is None
 
 
 def test_a_gang_of_which_nothing_is_done_is_neither_ended_nor_kept_from_starting():
     """Guards against an end without a task that is done."""
     desk = Desk({"east": ALL})
     assert not desk.step().changes
-    waiting = Gangs(desk.state, ApartGangs(desk.state)).waiting(desk.view.jobs[GANG], ALL)
+    waiting = Gangs(desk.state, ApartGangs(desk.state)).placeable_tasks(desk.view.jobs[GANG], ALL)
     assert waiting is not None and waiting.tasks == ALL
 
 
--- a/roadbend/placement/test_placement.py
+++ b/roadbend/placement/test_placement.py
@@ -58,7 +58,7 @@
     return Victim(
         resources=Resources(8, 1, 40),
         priority=priority,
-        beyond_guarantee=beyond,
+        over_guarantee=beyond,
         team="blue",
         loss=loss,
         task=task,
@@ -66,7 +66,7 @@
 
 
 def stopped(item, capacities, running):
-    found = preemption_policy.clearings(item, capacities, running)
+    found = preemption_policy.preemption_options(item, capacities, running)
     if not found:
         return None
     return found[0].capacity.id, [victim.task.key.job for victim in found[0].victims]
@@ -177,7 +177,9 @@
                     timeline.capacity.zone,
                     timeline.capacity.spot,
                 ):
-                    runs = round(start + timeline.capacity.fetch(spec.image, spec.image_gb), 6)
+                    runs = round(
+                        start + timeline.capacity.image_fetch_seconds(spec.image, spec.image_gb), 6
+                    )
                     rows.append(
                         (runs, spec.spot and not timeline.capacity.spot, n, start, timeline)
                     )
--- a/roadbend/placement/test_starts_in_doubt.py
+++ b/roadbend/placement/test_starts_in_doubt.py
@@ -61,13 +61,13 @@
     def send_directly(self) -> DirectStart:
         start = DirectStart(70, 1)
         self.machine.token.direct_starts[KEY] = start
-        self.starts.note_direct(self.machine, KEY, start)
+        self.starts.record_direct_start(self.machine, KEY, start)
         return start
 
     def answer(self) -> None:
         position = self.machine.contact.position
         orders = [StopTask(OTHER, 3, 9), StartTask(JOB, 0, 70)]
-        self.starts.note_answer(self.machine, position, self.now, orders)
+        self.starts.record_answer(self.machine, position, self.now, orders)
 
     def in_doubt(self, job: str = JOB) -> bool:
         return self.starts.has_any(job, self.now)
@@ -137,11 +137,11 @@
     desk = Desk()
     desk.send_directly()
     desk.machine.restart(HeartbeatPosition(1, 1))
-    desk.starts.note_restarted("m-1")
+    desk.starts.mark_restarted("m-1")
     desk.machine.contact.take_in(HeartbeatPosition(2, 1), NOW)
     assert desk.in_doubt()
     desk.machine.token.confirmed = True
-    desk.starts.note_confirmed("m-1")
+    desk.starts.mark_confirmed("m-1")
     assert not desk.in_doubt()
 
 
@@ -169,7 +169,7 @@
         desk.machines.clear()
     assert desk.in_doubt() and not desk.in_doubt(OTHER)
     desk.machines["m-1"] = desk.machine
-    desk.starts.note_confirmed("m-1")
+    desk.starts.mark_confirmed("m-1")
     assert not desk.in_doubt()
 
 
@@ -184,8 +184,8 @@
 
 def test_a_restarted_machine_may_carry_out_what_a_former_leader_sent():
     desk = Desk(acquired_at=NOW, recorded_before=True)
-    desk.starts.note_confirmed("m-1")
-    desk.starts.note_restarted("m-1")
+    desk.starts.mark_confirmed("m-1")
+    desk.starts.mark_restarted("m-1")
     assert desk.in_doubt()
 
 
@@ -210,9 +210,9 @@
     """Guards against a restarted machine that knows no token yet."""
     desk = Desk(acquired_at=NOW, recorded_before=True)
     desk.starts.inherit(5, ())
-    desk.starts.note_restarted("m-1")
+    desk.starts.mark_restarted("m-1")
     assert desk.in_doubt()
-    desk.starts.note_confirmed("m-1")
+    desk.starts.mark_confirmed("m-1")
     assert not desk.in_doubt()
 
 
--- a/roadbend/placement/test_unheld_attempts.py
+++ b/roadbend/placement/test_unheld_attempts.py
@@ -52,7 +52,7 @@
 
     def show(self, number: int = 70, machine: str = "m-1") -> None:
         shown = ObservedTask(number, TaskState.RUNNING, NOW)
-        self.unheld.note_shown(machine, {KEY: shown})
+        self.unheld.mark_shown(machine, {KEY: shown})
 
     def may_send(self, now=NOW) -> bool:
         return self.unheld.may_send("m-1", KEY, 70, now)
@@ -73,7 +73,7 @@
     desk = Desk({})
     assert desk.unheld.jobs() == set()
     desk.view.attempt_listeners.append(
-        lambda _partition, job, index, attempt: desk.unheld.note_recorded(
+        lambda _partition, job, index, attempt: desk.unheld.mark_recorded(
             TaskKey(job, index), attempt
         )
     )
@@ -171,7 +171,7 @@
     desk = Desk()
     desk.show()
     desk.reports.send("node-1", NOW)
-    desk.unheld.note_lost("m-1", [(KEY, 70)], NOW)
+    desk.unheld.mark_lost("m-1", [(KEY, 70)], NOW)
     assert desk.unheld.jobs() == {JOB} and not desk.may_send()
     # It does not begin to wait anew with every look.
     assert desk.may_send(UNUSED)
@@ -181,7 +181,7 @@
     """Guards against starts that are delayed at every machine's restart or lease."""
     desk = Desk()
     desk.reports.send("node-1", NOW)
-    desk.unheld.note_lost("m-1", [(KEY, 70)], NOW)
+    desk.unheld.mark_lost("m-1", [(KEY, 70)], NOW)
     assert desk.may_send()
 
 
@@ -190,6 +190,6 @@
     desk = Desk({index: Attempt(index, f"m-{index}") for index in range(held)})
     for index in range(held - 3):
         shown = ObservedTask(index, TaskState.RUNNING, NOW)
-        desk.unheld.note_shown(f"m-{index}", {TaskKey(JOB, index): shown})
+        desk.unheld.mark_shown(f"m-{index}", {TaskKey(JOB, index): shown})
     assert calls(desk.unheld.jobs) < 40
-    assert calls(lambda: desk.unheld.note_shown("m-0", {})) < 5
+    assert calls(lambda: desk.unheld.mark_shown("m-0", {})) < 5
--- a/roadbend/placement/transaction.py
+++ b/roadbend/placement/transaction.py
@@ -44,12 +44,12 @@
         self.ended_attempts: set[TaskKey] = set()
         self.change: dict[str, tuple[float, float]] = {}
         self._sizes: dict[str, int] = {}
-        self.after: list[Callable[[], None]] = []
+        self.on_commit: list[Callable[[], None]] = []
         # Jobs that it ends, with their final status.
         self.jobs_over: list[tuple[Job, str]] = []
 
     @property
-    def free(self) -> int:
+    def remaining_changes(self) -> int:
         """Return how many more changes fit."""
         return max(0, self._most - len(self.changes))
 
@@ -64,7 +64,7 @@
         weight = min(self._value, width * ATTEMPT_BYTES + SLICE_BYTES)
         return max(1, min(self._most - 1, (MAX_BODY - self._value) // weight))
 
-    def room_for(self, *record_keys: str) -> bool:
+    def has_space_for(self, *record_keys: str) -> bool:
         """Whether the records with these keys may be changed, too."""
         fresh = sum(1 for key in record_keys if key not in self.changes)
         return (
@@ -72,7 +72,7 @@
             and sum(self._sizes.values()) < MAX_BODY - self._value
         )
 
-    def slice(self, job: str, team: str, resources: Resources, shard: int) -> SliceShard:
+    def shard(self, job: str, team: str, resources: Resources, shard: int) -> SliceShard:
         """Return a shard as this transaction leaves it so far; an empty one if there is none."""
         key = keys.slice_key(self._part, job, shard)
         if key in self.slices:
@@ -81,7 +81,7 @@
         found = job_slice.shards.get(shard) if job_slice is not None else None
         return found or SliceShard(job, self._part, team, resources, shard=shard)
 
-    def team(self, name: str) -> QuotaRecord:
+    def quota(self, name: str) -> QuotaRecord:
         """Return a quota record as this transaction leaves it so far."""
         return self.teams.get(name) or self._view.quotas.get(name) or QuotaRecord(name)
 
@@ -108,7 +108,7 @@
         """Whether a shard fits into the value of its record."""
         return weigh(piece.to_value()) <= self._value * 0.95
 
-    def set_slice(self, piece: SliceShard) -> bool:
+    def set_shard(self, piece: SliceShard) -> bool:
         """Write a shard; False, and nothing is changed, where it would not fit its value."""
         key, value = piece.key, piece.to_value()
         size = weigh(value)
@@ -119,12 +119,12 @@
         self._put(key, value, size)
         return True
 
-    def drop_slice(self, piece: SliceShard) -> None:
+    def delete_shard(self, piece: SliceShard) -> None:
         """Delete the record of a shard."""
         self.conditions.setdefault(piece.key, self._view.mod_revision(piece.key))
         self.changes[piece.key] = delete(piece.key)
 
-    def set_team(self, use: QuotaRecord) -> None:
+    def set_quota(self, use: QuotaRecord) -> None:
         """Write a quota record."""
         key = keys.team_key(use.team)
         self.conditions.setdefault(key, self._view.mod_revision(key))
--- a/roadbend/placement/transaction_sender.py
+++ b/roadbend/placement/transaction_sender.py
@@ -105,7 +105,7 @@
     def _finish(self, transaction: TransactionBuilder) -> None:
         """Do what follows once a transaction was carried out and the view shows it."""
         self._terminations.end_transaction()
-        for call in transaction.after:
+        for call in transaction.on_commit:
             call()
         for job, status in transaction.jobs_over:
             self._context.observer.job_over(job, status)
--- a/roadbend/placement/unheld_attempts.py
+++ b/roadbend/placement/unheld_attempts.py
@@ -38,17 +38,17 @@
         self._tidied_at = clock.ORIGIN
         for machine, attempts in records.attempts_by_machine().items():
             for key, (_, attempt) in attempts.items():
-                self.note_recorded(TaskKey(*key), Attempt(attempt.number, machine))
+                self.mark_recorded(TaskKey(*key), Attempt(attempt.number, machine))
 
     def _reports(self) -> StartReports:
         return self._records.context.start_reports
 
-    def note_recorded(self, key: TaskKey, attempt: Attempt) -> None:
+    def mark_recorded(self, key: TaskKey, attempt: Attempt) -> None:
         """Note that the records name an attempt newly."""
         unheld = self._by_machine.setdefault(attempt.machine, {})
         unheld[key] = _UnheldAttempt(attempt.number)
 
-    def note_shown(self, machine: str, shown: Mapping[TaskKey, ObservedTask]) -> None:
+    def mark_shown(self, machine: str, shown: Mapping[TaskKey, ObservedTask]) -> None:
         """Note the recorded attempts that a heartbeat with our token shows."""
         unheld = self._by_machine.get(machine)
         if unheld is None:
@@ -59,7 +59,7 @@
         if not unheld:
             del self._by_machine[machine]
 
-    def note_lost(
+    def mark_lost(
         self, machine: str, attempts: Iterable[tuple[TaskKey, int]], now: datetime
     ) -> None:
         """Note attempts that a machine held, and may have lost."""
@@ -77,7 +77,7 @@
     def may_send(self, machine: str, key: TaskKey, number: int, now: datetime) -> bool:
         """Whether the start of an attempt may be sent that its machine does not show now."""
         if not self.is_unheld(machine, key, number):
-            self.note_lost(machine, [(key, number)], now)
+            self.mark_lost(machine, [(key, number)], now)
         withdrawal = self._by_machine[machine][key].withdrawal
         return withdrawal is None or self._reports().is_complete(withdrawal, now)
 
--- a/roadbend/recovery/adoption.py
+++ b/roadbend/recovery/adoption.py
@@ -73,16 +73,16 @@
         piece = self._with_attempt(transaction, job, held)
         here = ranges.has(job.allocation.get(self._leader.partition, ()), held.index)
         wanted = [piece.key, *([] if here else [keys.job_key(job.id)])]
-        if not transaction.fits(piece) or not transaction.room_for(*wanted):
+        if not transaction.fits(piece) or not transaction.has_space_for(*wanted):
             return False
         if held.decision is Decision.ADOPT:
             if not self._reserve_quota(transaction, job, wanted):
                 return False
             transaction.charge(job.spec.team, job.spec.resources, 1)
-        transaction.set_slice(piece)
+        transaction.set_shard(piece)
         self._hold_task(transaction, job, held.index)
         self._unconfirmed.add((held.job, held.index))
-        transaction.after.append(partial(self._adopted, held))
+        transaction.on_commit.append(partial(self._adopted, held))
         return True
 
     def _with_attempt(
@@ -96,7 +96,7 @@
             if job_slice is None
             else job_slice.shard_of(held.index, leader.records.shard_width)
         )
-        piece = transaction.slice(job.id, job.spec.team, job.spec.resources, shard)
+        piece = transaction.shard(job.id, job.spec.team, job.spec.resources, shard)
         if held.decision is Decision.RECORD_DONE:
             return replace(piece, done=ranges.union(piece.done, ((held.index, held.index + 1),)))
         run = {**piece.attempts, held.index: Attempt(held.attempt, held.machine)}
--- a/tests/scenarios/test_double_starts.py
+++ b/tests/scenarios/test_double_starts.py
@@ -178,7 +178,7 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(heartbeat)
             await trio.sleep(0.05)
-            leader.terminate_attempts(machine, TerminationEvidence.DELETED)
+            leader.mark_attempts_terminated(machine, TerminationEvidence.DELETED)
         assert answers == [None]
 
 
