--- a/roadbend/autoscaler/booting_machines.py
+++ b/roadbend/autoscaler/booting_machines.py
@@ -40,7 +40,7 @@
         # By partition and id.
         self._machines: dict[str, dict[str, BootingMachine]] = {}
 
-    def note_created(
+    def record_created(
         self, partition: str, machines: Iterable[str], kind: MachineKind, now: datetime
     ) -> None:
         """Note machines that the cloud has just created."""
--- a/roadbend/autoscaler/machine_creation.py
+++ b/roadbend/autoscaler/machine_creation.py
@@ -76,10 +76,10 @@
         except NoCapacityError:
             self._refusals.refuse(partition, kind)
             return 0
-        self._booting.note_created(partition, created, kind, clock.now())
+        self._booting.record_created(partition, created, kind, clock.now())
         for machine in created:
             if machine not in leader.machines:
-                leader.registry.note_created(machine)
+                leader.registry.record_created(machine)
         log.info(
             "machines-created",
             partition=partition,
--- a/roadbend/autoscaler/scale_out_planner.py
+++ b/roadbend/autoscaler/scale_out_planner.py
@@ -17,7 +17,7 @@
 from roadbend.placement.machine_options import MachineOption
 from roadbend.placement.queue_order import PendingTasks
 from roadbend.placement.quota_allowance import QuotaAllowance
-from roadbend.placement.quotas import within
+from roadbend.placement.quotas import limit_to_quota
 from roadbend.store.records import Job
 
 # For the later deadlines, which are the last chance, more time is kept: this many times the run,
@@ -52,7 +52,7 @@
         partition = leader.partition
         self._booting.forget_registered(leader)
         booting = self._booting.capacities(leader, now)
-        leader.registry.note_booting(booting)
+        leader.registry.update_booting(booting)
         queue = self._timed(leader, self._within_quotas(leader, leader.queue.pending()))
         choices = machine_options.options(self._context.machine_types.values(), partition, refused)
         machines = self._for_queue(leader, queue, choices, booting)
@@ -87,7 +87,7 @@
             choices,
             leader.partition,
             self._context.operator.boot_factor,
-            max(leader.projections.most_forecast(timelines), widest_gang),
+            max(leader.projections.max_forecast_tasks(timelines), widest_gang),
         )
 
     def _add_for_warm_pool(
@@ -144,10 +144,8 @@
             image_gb=spec.image_gb,
             excluded_types=leader.exclusions.withheld_types(item.job.id),
             later_slacks=tuple(later_slacks),
-            least_cost=(
-                machine_options.least_cost(item, machine_types, item.count)
-                if later_slacks
-                else None
+            min_cost=(
+                machine_options.min_cost(item, machine_types, item.count) if later_slacks else None
             ),
         )
 
@@ -158,4 +156,4 @@
         allowance = QuotaAllowance(
             lambda team: self._context.fair_share.quota_left(team, leader.partition)
         )
-        return within(allowance, queue)
+        return limit_to_quota(allowance, queue)
--- a/roadbend/autoscaler/scale_out_policy.py
+++ b/roadbend/autoscaler/scale_out_policy.py
@@ -49,7 +49,7 @@
     # The slack to the later deadlines at which the job's objectives count, and what a task costs at
     # the least, in any zone and whether it can be had or not.
     later_slacks: tuple[float, ...] = ()
-    least_cost: float | None = None
+    min_cost: float | None = None
 
 
 class Target(NamedTuple):
@@ -181,9 +181,9 @@
         then would be early for nothing.
         """
         timed = self._timed
-        if timed.least_cost is not None:
+        if timed.min_cost is not None:
             costs = self._costs(self._choices, timed.item.count)
-            if min(costs, default=0.0) <= timed.least_cost * MAX_COST_RATIO_TO_HURRY_LATE:
+            if min(costs, default=0.0) <= timed.min_cost * MAX_COST_RATIO_TO_HURRY_LATE:
                 return Target(timed.slack, True)
         soonest = min((self._ready_after(option) for option in self._choices), default=0.0)
         for slack in (timed.slack, *timed.later_slacks):
@@ -198,10 +198,10 @@
             for option in self._choices
             if option.machine_type.name not in timed.excluded_types
         ]
-        if not self.target.in_reach and timed.least_cost is not None:
+        if not self.target.in_reach and timed.min_cost is not None:
             # Too late for every objective: it takes what is cheap, and else the next place that
             # comes free; being the oldest, it is the first to get one.
-            usable = self._within(usable, timed.least_cost * MAX_COST_RATIO_IF_LATE, alike)
+            usable = self._within(usable, timed.min_cost * MAX_COST_RATIO_IF_LATE, alike)
         # Those that would be in time, if any; a slow boot or fetch may cost more than it saves.
         in_time = [option for option in usable if self._ready_after(option) <= self.target.slack]
         if not in_time and usable:
--- a/roadbend/autoscaler/test_autoscaler.py
+++ b/roadbend/autoscaler/test_autoscaler.py
@@ -34,10 +34,10 @@
 
 def test_what_has_missed_a_deadline_hurries_for_the_next_one_and_then_takes_what_is_cheap():
     ordinary = choices({("g2", True), ("s1", True)})
-    missed = TimedTasks(pending(), 20.0, 3.0, later_slacks=(60.0,), least_cost=1.0)
+    missed = TimedTasks(pending(), 20.0, 3.0, later_slacks=(60.0,), min_cost=1.0)
     assert machines_to_create([missed], [busy(50.0)], ordinary, "east", 1.0) == {}
     assert sum(machines_to_create([missed], [busy(70.0)], ordinary, "east", 1.0).values()) == 1
-    lost = TimedTasks(pending(), 20.0, -80.0, later_slacks=(-20.0,), least_cost=1.0)
+    lost = TimedTasks(pending(), 20.0, -80.0, later_slacks=(-20.0,), min_cost=1.0)
     assert machines_to_create([lost], [busy(70.0)], ordinary, "east", 1.0) == {}
     assert sum(machines_to_create([lost], [busy(70.0)], choices(), "east", 1.0).values()) == 1
 
--- a/roadbend/bidding/requester.py
+++ b/roadbend/bidding/requester.py
@@ -134,7 +134,7 @@
     def _may_allocate(self, job: Job) -> bool:
         if not job.unassigned or job.id in self._context.cancellations.jobs:
             return False
-        return not self._context.recovery.holds_back(job.id)
+        return not self._context.recovery.defers_allocation(job.id)
 
     def _request(self, job: Job) -> BidRequest:
         return BidRequest(
--- a/roadbend/bidding/responder.py
+++ b/roadbend/bidding/responder.py
@@ -61,9 +61,9 @@
             return None
         job = Job(request.job, spec, clock.wall())
         expensive = frozenset(self._scale_out.expensive_machine_types(job, request.waited))
-        queue = leader.queue.lately()
+        queue = leader.queue.recent()
         # What waits here goes first: the job is offered what that leaves.
-        projection = leader.projections.of(spec.priority, expensive)
+        projection = leader.projections.projection(spec.priority, expensive)
         prospect = self._prospect(job, request, queue, projection, expensive)
         if prospect.wait == forecast.NEVER:
             return None
@@ -76,8 +76,8 @@
             partition=leader.partition,
             controller=self._controller,
             job_time=spec.expected_duration + fetch + timedelta(seconds=prospect.wait),
-            queue_time=casa.load_time(queue_load, projection.cores),
-            shadow_time=casa.load_time(self._shadow.load(now), projection.cores),
+            queue_time=casa.load_time(queue_load, projection.total_cpus),
+            shadow_time=casa.load_time(self._shadow.load(now), projection.total_cpus),
             startable_now=prospect.startable_now,
             capacity=prospect.capacity,
         )
@@ -91,7 +91,7 @@
         Jobs whose tasks were started count as the paper's executed jobs.
         """
         leader = self._leader
-        waiting = [leader.aging.waited(item.job.id, now) for item in leader.queue.lately()]
+        waiting = [leader.aging.waited(item.job.id, now) for item in leader.queue.recent()]
         return casa.average_queuing(waiting, list(leader.aging.recent_waits))
 
     def estimate_response_time(self, job: Job) -> timedelta:
@@ -113,7 +113,7 @@
         For tasks beyond the forecast that is `forecast.NEVER`.
         """
         leader = self._leader
-        known = leader.projections.of(0, frozenset()).starts.get(job.id, [])
+        known = leader.projections.projection(0, frozenset()).starts.get(job.id, [])
         unknown = ranges.size(leader.queue.unplaced(job)) - len(known)
         return sorted(known) + [forecast.NEVER] * unknown
 
@@ -136,7 +136,7 @@
         scale_out = self._scale_out.offer(job, request, expensive)
         if scale_out is not None:
             # What waits here and found no place calls for machines first.
-            displaced = sum(item.count for item in queue) - projection.laid
+            displaced = sum(item.count for item in queue) - projection.placed_count
             capacity += max(0, scale_out.capacity - displaced)
             if job.spec.gang:
                 # A gang may be wider than what one request creates: more requests follow.
--- a/roadbend/bidding/scale_out.py
+++ b/roadbend/bidding/scale_out.py
@@ -49,7 +49,7 @@
         longest_startup = max(
             (machine_type.startup for machine_type in machine_types), default=clock.ZERO
         )
-        if waited >= context.objectives.patience(job.spec, longest_startup):
+        if waited >= context.objectives.max_wait_for_cheaper_type(job.spec, longest_startup):
             return set()
         return machine_options.expensive_machine_types(
             job, machine_types, context.operator.dear, self._leader.partition
@@ -76,7 +76,7 @@
         if option is None:
             return None
         price = machine_options.cost(task, option, leader.partition, request.tasks)
-        least = machine_options.least_cost(task, machine_types, request.tasks)
+        least = machine_options.min_cost(task, machine_types, request.tasks)
         if price is None or least is None:
             return None
         if price > least * operator.dear and request.waited < operator.dear_wait:
--- a/roadbend/fleet/machines.py
+++ b/roadbend/fleet/machines.py
@@ -101,7 +101,7 @@
         """Whether nothing newer of the machine has been admitted than this heartbeat."""
         return self.position == heartbeat.position
 
-    def note_heartbeat(self, now: datetime, heartbeat_interval: timedelta) -> None:
+    def record_heartbeat(self, now: datetime, heartbeat_interval: timedelta) -> None:
         """Note when a heartbeat came, and infer whether the one before it was answered."""
         last, self.last_heartbeat_at = self.last_heartbeat_at, now
         if last is None or now - last < heartbeat_interval * HEARTBEAT_JITTER + ANSWERED_WITHIN:
--- a/roadbend/placement/aging.py
+++ b/roadbend/placement/aging.py
@@ -24,7 +24,7 @@
         # How long what was started lately had waited.
         self.recent_waits: deque[timedelta] = deque(maxlen=MAX_RECENT_WAITS)
 
-    def note_queue(self, jobs: Iterable[str], now: datetime) -> None:
+    def update_queue(self, jobs: Iterable[str], now: datetime) -> None:
         """Take in which jobs wait now; the others are forgotten."""
         known = self._queued_since
         self._queued_since = {job: known.get(job, now) for job in jobs}
@@ -37,7 +37,7 @@
         """Return for how long a job has waited here."""
         return now - self._queued_since.get(job, now)
 
-    def note_start(self, job: str, now: datetime) -> None:
+    def record_start(self, job: str, now: datetime) -> None:
         """Remember how long a job had waited for this start."""
         self.recent_waits.append(self.waited(job, now))
 
@@ -45,7 +45,7 @@
         """Forget since when a job waits: it was given back, to be bid for anew."""
         self._queued_since.pop(job, None)
 
-    def note_passed_over(self, jobs: Iterable[str], now: datetime) -> None:
+    def update_passed_over(self, jobs: Iterable[str], now: datetime) -> None:
         """Take in which jobs are kept from capacity that fits them for the sake of others now."""
         known = self._passed_over_since
         self._passed_over_since = {job: known.get(job, now) for job in jobs}
--- a/roadbend/placement/apart_gangs.py
+++ b/roadbend/placement/apart_gangs.py
@@ -143,7 +143,7 @@
         The next one does not begin at once, and its shares are bid for anew, since one of them may
         find no room where it is.
         """
-        self._backoff.rest_until(job.id, now + REST)
+        self._backoff.delay_until(job.id, now + REST)
         self._gang_attempts.note_over(job.id)
 
     def may_release(self, job: Job) -> dict[str, int] | None:
--- a/roadbend/placement/failure_backoff.py
+++ b/roadbend/placement/failure_backoff.py
@@ -6,7 +6,7 @@
 from roadbend import clock
 
 # The longest rest, and after how many failures in a row a job rests at all.
-MAX_REST = timedelta(seconds=24)
+MAX_BACKOFF = timedelta(seconds=24)
 FREE_FAILURES = 3
 FIRST_REST_S, MAX_DOUBLINGS = 0.5, 8
 # For how long the failures of a job are remembered after its rest.
@@ -31,7 +31,7 @@
         """Return the jobs that are not to be started now."""
         return {job for job, rest in self._rests.items() if rest.until > now}
 
-    def note_failure(self, job: str, now: datetime) -> int:
+    def record_failure(self, job: str, now: datetime) -> int:
         """Take in a failed task; return how often the job has failed in a row.
 
         A job that fails everywhere comes back ever more slowly and waits for its user.
@@ -40,11 +40,11 @@
         rest = clock.ZERO
         if failures > FREE_FAILURES:
             doubled = timedelta(seconds=FIRST_REST_S * 2 ** min(failures, MAX_DOUBLINGS))
-            rest = min(MAX_REST, doubled)
+            rest = min(MAX_BACKOFF, doubled)
         self._rests[job] = _Rest(failures, now + rest)
         return failures
 
-    def rest_until(self, job: str, until: datetime) -> None:
+    def delay_until(self, job: str, until: datetime) -> None:
         """Have a job rest though none of its tasks failed."""
         self._rests[job] = _Rest(self._failures(job), until)
 
--- a/roadbend/placement/heartbeats.py
+++ b/roadbend/placement/heartbeats.py
@@ -75,7 +75,7 @@
         ):
             return None
         contact.take_in(position, now)
-        contact.note_heartbeat(now, self._context.settings.heartbeat_interval)
+        contact.record_heartbeat(now, self._context.settings.heartbeat_interval)
         return token
 
     async def handle(self, heartbeat: WorkerHeartbeat) -> tuple[int, list[WorkerOrder]] | None:
@@ -107,10 +107,10 @@
             if not (is_new or news):
                 return self._answer(machine, heartbeat, orders, now)
             self._steps.request()
-            step = self._steps.next
+            step = self._steps.next_step
         incarnation = machine.token.incarnation
         with trio.move_on_after(ANSWER_WAIT.total_seconds()):
-            await self._steps.ended(step)
+            await self._steps.wait_for_end(step)
         with self._lock:
             if not self._still_counts(machine, heartbeat, incarnation):
                 return None
@@ -138,7 +138,7 @@
         # ours was another leader's before.
         is_unknown = heartbeat.machine not in self._machines
         if term > self._leadership.term or (is_unknown and term == self._leadership.term):
-            self.recovery.note_term_in_use(heartbeat.machine, term)
+            self.recovery.record_term_in_use(heartbeat.machine, term)
             return True
         return False
 
@@ -149,7 +149,7 @@
         had_notice = machine.lifecycle.reclaim_at is not None
         was_confirmed = machine.token.confirmed
         before = self._terminations.changes
-        machine.contact.note_heartbeat(now, self._context.settings.heartbeat_interval)
+        machine.contact.record_heartbeat(now, self._context.settings.heartbeat_interval)
         orders = self._orders(machine, heartbeat, now)
         news = self._terminations.changes != before or machine.token.confirmed != was_confirmed
         if machine.token.confirmed and not was_confirmed:
@@ -238,7 +238,7 @@
         orders = heartbeat_evaluation.read(machine, heartbeat, self.token(machine), expected, now)
         if shows_our_token:
             self._unheld.note_shown(machine.id, machine.tasks)
-        self.recovery.note_heartbeat(machine, heartbeat, now)
+        self.recovery.record_heartbeat(machine, heartbeat, now)
         self._learn(machine, recorded, now)
         return orders
 
--- a/roadbend/placement/leader.py
+++ b/roadbend/placement/leader.py
@@ -177,7 +177,7 @@
         """Carry steps out, as they are called for, until the leadership ends."""
         while self.records.is_leading():
             with trio.move_on_after(0.5):
-                await self.steps.requested()
+                await self.steps.wait_for_request()
             again = True
             while again and self.records.is_leading():
                 # Together with what comes in the next moment: fewer and fuller transactions.
@@ -221,8 +221,8 @@
             more = self._recorder.record(transaction, now)
             more = self.recovery.adopt(transaction, now) or more
             more = self._scheduler.start(transaction, now) or more
-            self.quotas.reserve(self.queue.pending(), transaction, now)
-            self.steps.note_duration(clock.now() - now)
+            self.quotas.release_unneeded(self.queue.pending(), transaction, now)
+            self.steps.record_duration(clock.now() - now)
         if not transaction.changes:
             return False
         return await self.transactions.send(transaction, more)
@@ -255,7 +255,7 @@
         with self.lock:
             for key, (_, attempt) in self.records.attempts_by_machine().get(machine, {}).items():
                 self.terminations.note(key, Termination(attempt.number, machine, False, evidence))
-            self.registry.expect_change(machine)
+            self.registry.invalidate_evaluation(machine)
             if evidence == TerminationEvidence.DELETED:
                 self.registry.remove(machine)
                 self.context.deleted_machines.add(machine)
--- a/roadbend/placement/machine_options.py
+++ b/roadbend/placement/machine_options.py
@@ -108,9 +108,7 @@
     return choices[min(priced)[1]] if priced else None
 
 
-def least_cost(
-    item: PendingTasks, machine_types: Iterable[MachineType], alike: int
-) -> float | None:
+def min_cost(item: PendingTasks, machine_types: Iterable[MachineType], alike: int) -> float | None:
     """Return the least cost in any zone, whether the cloud has such a machine now or not.
 
     What is expensive is told by it.
--- a/roadbend/placement/machine_registry.py
+++ b/roadbend/placement/machine_registry.py
@@ -24,12 +24,12 @@
         # The capacities of machines that boot, as autoscaling last saw them.
         self.booting: Sequence[FreeCapacity] = ()
 
-    def note_created(self, machine: str) -> None:
+    def record_created(self, machine: str) -> None:
         """Remember that a machine was created in this term, unless it has registered already."""
         if machine not in self._machines:
             self._unregistered.add(machine)
 
-    def note_booting(self, capacities: Sequence[FreeCapacity]) -> None:
+    def update_booting(self, capacities: Sequence[FreeCapacity]) -> None:
         """Replace the capacities of machines that boot."""
         self.booting = capacities
 
@@ -63,7 +63,7 @@
         self._machines.pop(machine, None)
         self._unregistered.discard(machine)
 
-    def expect_change(self, machine: str) -> None:
+    def invalidate_evaluation(self, machine: str) -> None:
         """Have a machine's next heartbeat read in full: it may call for orders."""
         known = self._machines.get(machine)
         if known is not None:
--- a/roadbend/placement/objectives.py
+++ b/roadbend/placement/objectives.py
@@ -56,7 +56,7 @@
             self._deadline_factors[spec.job_class] = factors
         return factors
 
-    def patience(self, spec: JobSpec, startup: timedelta) -> timedelta:
+    def max_wait_for_cheaper_type(self, spec: JobSpec, startup: timedelta) -> timedelta:
         """Return how long a service may be kept from machine types on which it is expensive.
 
         `startup` is how long the slowest machine type boots.
--- a/roadbend/placement/pending_queue.py
+++ b/roadbend/placement/pending_queue.py
@@ -95,11 +95,11 @@
             items.append(PendingTasks(job, tasks, guaranteed))
         return items
 
-    def note_not_placed(self, items: list[PendingTasks]) -> None:
+    def update_not_placed(self, items: list[PendingTasks]) -> None:
         """Replace what the last step found no place for."""
         self.not_placed = items
 
-    def lately(self) -> list[PendingTasks]:
+    def recent(self) -> list[PendingTasks]:
         """Return the queue as it was a moment ago, for bids and estimates.
 
         Records change many times a second, and what a bid promises is only a forecast; starts go by
--- a/roadbend/placement/queue_projection.py
+++ b/roadbend/placement/queue_projection.py
@@ -36,7 +36,7 @@
     _fitting: dict[TaskShape, tuple[int, int]] = field(default_factory=dict)
 
     @cached_property
-    def cores(self) -> float:
+    def total_cpus(self) -> float:
         """Return the CPUs of all machines, at least one."""
         return max(1.0, sum(timeline.capacity.total.cpus for timeline in self.timelines))
 
@@ -46,7 +46,7 @@
         return [timeline.capacity for timeline in self.timelines if timeline.capacity.ready_in <= 0]
 
     @cached_property
-    def laid(self) -> int:
+    def placed_count(self) -> int:
         """Return how many waiting tasks found a place."""
         return sum(len(rows) for rows in self.starts.values())
 
@@ -89,7 +89,7 @@
             maxlen=MAX_LAYOUTS
         )
 
-    def of(self, least: int, avoid: frozenset[str]) -> QueueProjection:
+    def projection(self, least: int, avoid: frozenset[str]) -> QueueProjection:
         """Return the machines with the queue from a priority on laid on them.
 
         One projection serves all that is asked of a moment, for in a burst bids come by the dozen;
@@ -110,7 +110,9 @@
             if timeline.capacity.machine_type not in avoid
         ]
         queue = [item for item in self._queue.pending() if item.job.spec.priority >= least]
-        starts = forecast.project(queue, timelines, self.run_seconds, self.most_forecast(timelines))
+        starts = forecast.project(
+            queue, timelines, self.run_seconds, self.max_forecast_tasks(timelines)
+        )
         projection = QueueProjection(timelines, starts)
         self._projections.append(
             (mark, now, max(REUSE, self._context.reuse_window(clock.now() - now)), projection)
@@ -118,7 +120,7 @@
         return projection
 
     @staticmethod
-    def most_forecast(timelines: list[MachineTimeline]) -> int:
+    def max_forecast_tasks(timelines: list[MachineTimeline]) -> int:
         """Return how far down the queue a forecast looks.
 
         That is to about where every machine has been filled anew.
--- a/roadbend/placement/quotas.py
+++ b/roadbend/placement/quotas.py
@@ -16,9 +16,9 @@
 log = Log("placement")
 # How long what waits for a machine keeps its team's limit from lesser work, and what is reserved
 # from other partitions.
-HOLD = timedelta(seconds=20)
+QUOTA_HOLD_TIME = timedelta(seconds=20)
 # For how long a job leaves its team's room to one of another partition that has begun nothing.
-YIELD = timedelta(seconds=30)
+QUOTA_YIELD_TIME = timedelta(seconds=30)
 # How often a partition looks whether it has set too much aside for a team.
 RESERVE_EVERY = timedelta(seconds=1)
 # From which share of a team's quota on others may want what one partition reserves.
@@ -35,7 +35,7 @@
         self._reserved_at: dict[str, datetime] = {}
         self._partition = state.records.partition
 
-    def team_left(self, transaction: TransactionBuilder, team: str) -> QuotaAmount | None:
+    def remaining_quota(self, transaction: TransactionBuilder, team: str) -> QuotaAmount | None:
         """Return what a team's quota leaves this partition; None for an unknown team.
 
         What the transaction in the making starts and ends counts.
@@ -46,7 +46,7 @@
         used = transaction.used(team)
         return QuotaAmount(most[0] - used[0], most[1] - used[1])
 
-    def yields(self, item: PendingTasks, overdue: dict[str, dict[str, int]]) -> bool:
+    def yields_quota(self, item: PendingTasks, overdue: dict[str, dict[str, int]]) -> bool:
         """Whether an item leaves its team's quota to a starved job that another partition holds.
 
         A partition's own steady stream must not starve it.
@@ -58,7 +58,7 @@
         scarce = self._context.fair_share.startable_tasks(here, self._partition) < 2 * item.count
         # Only for so long: one that has not begun by then waits for something else than the team's
         # room.
-        since = clock.wall() - self._context.operator.begin_within - YIELD
+        since = clock.wall() - self._context.operator.begin_within - QUOTA_YIELD_TIME
         return scarce and any(
             priority >= here.priority and self._partition not in view.jobs[name].allocation
             for name, priority in jobs.items()
@@ -100,7 +100,7 @@
             transaction.set_team(use.with_partition(self._partition, *fresh))
         return True
 
-    def reserve(
+    def release_unneeded(
         self, pending: Iterable[PendingTasks], transaction: TransactionBuilder, now: datetime
     ) -> None:
         """Give back what is reserved and not needed here, once others may want it."""
@@ -140,7 +140,9 @@
         waiting: dict[str, tuple[float, float]] = {}
         starved = self._context.starvation.starved_jobs(now)
         for item in pending:
-            if self._aging.waited(item.job.id, now) < HOLD and not self.yields(item, starved):
+            if self._aging.waited(item.job.id, now) < QUOTA_HOLD_TIME and not self.yields_quota(
+                item, starved
+            ):
                 spec = item.job.spec
                 cpus, gpus = waiting.get(spec.team, (0.0, 0.0))
                 waiting[spec.team] = (
@@ -150,7 +152,7 @@
         return waiting
 
 
-def within(limits: QuotaAllowance, items: Iterable[PendingTasks]) -> list[PendingTasks]:
+def limit_to_quota(limits: QuotaAllowance, items: Iterable[PendingTasks]) -> list[PendingTasks]:
     """Return as much of the items, in their order, as the teams' quotas permit all together.
 
     No room is made, and no machine created, for what could not use it.
--- a/roadbend/placement/recovery_hooks.py
+++ b/roadbend/placement/recovery_hooks.py
@@ -29,17 +29,17 @@
         """Whether the partition's machines are known well enough to create more in advance."""
         return True
 
-    def spaces_out(self, key: TaskKey, stop: StopOrder, now: datetime) -> bool:
+    def defers_kill(self, key: TaskKey, stop: StopOrder, now: datetime) -> bool:
         """Whether a direct kill may wait.
 
         The answer to a heartbeat has just carried it, or the task has ended.
         """
         return False
 
-    def note_heartbeat(self, machine: Machine, heartbeat: WorkerHeartbeat, now: datetime) -> None:
+    def record_heartbeat(self, machine: Machine, heartbeat: WorkerHeartbeat, now: datetime) -> None:
         """Note a heartbeat that was admitted and read."""
 
-    def note_term_in_use(self, machine: str, term: int) -> None:
+    def record_term_in_use(self, machine: str, term: int) -> None:
         """Note that a machine which we have not answered has seen our term or a higher one."""
 
     def adopt(self, transaction: TransactionBuilder, now: datetime) -> bool:
@@ -53,7 +53,7 @@
 class Recovery:
     """Questions about a whole controller."""
 
-    def holds_back(self, job: str) -> bool:
+    def defers_allocation(self, job: str) -> bool:
         """Whether a job that nobody holds is not offered for now."""
         return False
 
--- a/roadbend/placement/restrictions.py
+++ b/roadbend/placement/restrictions.py
@@ -33,7 +33,7 @@
         self._partition = state.records.partition
         self._gang_reservations = gang_reservations
 
-    def note_passed_over(
+    def update_passed_over(
         self,
         items: list[PendingTasks],
         yielding: set[str],
@@ -58,9 +58,9 @@
                 )
             if known[kind]:
                 passed.add(item.job.id)
-        self._aging.note_passed_over(passed, now)
+        self._aging.update_passed_over(passed, now)
 
-    def hold_back(self, queue: list[PendingTasks]) -> None:
+    def withhold_expensive_types(self, queue: list[PendingTasks]) -> None:
         """Decide which types a waiting service is kept from, as when bidding."""
         machine_types, wall = self._context.machine_types.values(), clock.wall()
         boot = max((machine_type.startup for machine_type in machine_types), default=clock.ZERO)
@@ -70,7 +70,8 @@
             if (
                 job.spec.service
                 and job.id not in withheld
-                and wall - job.submitted_at < self._context.objectives.patience(job.spec, boot)
+                and wall - job.submitted_at
+                < self._context.objectives.max_wait_for_cheaper_type(job.spec, boot)
             ):
                 expensive = machine_options.expensive_machine_types(
                     job, machine_types, self._context.operator.dear, self._partition
@@ -79,7 +80,9 @@
                     withheld[job.id] = frozenset(expensive)
         self._exclusions.withhold_types(withheld)
 
-    def image_first(self, queue: list[PendingTasks], capacities: list[FreeCapacity]) -> None:
+    def prefer_cached_images(
+        self, queue: list[PendingTasks], capacities: list[FreeCapacity]
+    ) -> None:
         """Keep services that would be late by their fetch off machines without their image.
 
         That is for a moment, and where a machine that has the image can be cleared for them sooner:
--- a/roadbend/placement/run_time_estimates.py
+++ b/roadbend/placement/run_time_estimates.py
@@ -25,7 +25,7 @@
         """Return the factor by which owners' estimates of a job class are multiplied."""
         return self._factors.get(job_class, 1.0)
 
-    def learn(self, job: Job, ran: timedelta) -> None:
+    def record_run(self, job: Job, ran: timedelta) -> None:
         """Take in how long a task of a job ran until it was done."""
         expected, job_class = job.spec.expected_duration, job.spec.job_class
         if expected <= MIN_EXPECTED:
--- a/roadbend/placement/start_recorder.py
+++ b/roadbend/placement/start_recorder.py
@@ -88,7 +88,7 @@
             return True
         self._write(transaction, job, shards)
         transaction.charge(job.spec.team, job.spec.resources, len(share))
-        self._aging.note_start(job.id, now)
+        self._aging.record_start(job.id, now)
         if len(share) < len(group):
             transaction.after.append(partial(self._gangs.note_filling, shards[0]))
         self._tell_once_recorded(transaction, job, shards, share)
--- a/roadbend/placement/starts.py
+++ b/roadbend/placement/starts.py
@@ -63,13 +63,13 @@
         What finds no place gets machines reserved, or lesser work stopped for it.
         """
         queue = self._queue.pending()
-        self._aging.note_queue((item.job.id for item in queue), now)
+        self._aging.update_queue((item.job.id for item in queue), now)
         if not queue:
-            self._queue.note_not_placed([])
+            self._queue.update_not_placed([])
             return False
         seen = self._find_capacities(queue, transaction)
-        self._restrictions.hold_back(queue)
-        self._restrictions.image_first(queue, seen.capacities)
+        self._restrictions.withhold_expensive_types(queue)
+        self._restrictions.prefer_cached_images(queue, seen.capacities)
         result = self._place(queue, seen.capacities, transaction, now)
         more = result.stopped_early
         more = self._recorder.record(result.placed, transaction, now) or more
@@ -112,12 +112,12 @@
         """Find a place for what may start, and note what found none."""
         starved = self._context.starvation.starved_jobs(now)
         quota = QuotaAllowance(
-            partial(self._quotas.team_left, transaction),
-            lambda job: self._aging.waited(job, now) < quotas.HOLD,
+            partial(self._quotas.remaining_quota, transaction),
+            lambda job: self._aging.waited(job, now) < quotas.QUOTA_HOLD_TIME,
         )
         ready, early = self._split(queue)
-        yielding = {item.job.id for item in ready if self._quotas.yields(item, starved)}
-        self._restrictions.note_passed_over(ready, yielding, capacities, now)
+        yielding = {item.job.id for item in ready if self._quotas.yields_quota(item, starved)}
+        self._restrictions.update_passed_over(ready, yielding, capacities, now)
         candidates = [
             item
             for item in ready
@@ -133,7 +133,7 @@
         kept = [
             item for item in early if self._aging.waited(item.job.id, now) < apart_gangs.KEEP_ROOM
         ]
-        self._queue.note_not_placed(quotas.within(quota, result.unplaced + kept))
+        self._queue.update_not_placed(quotas.limit_to_quota(quota, result.unplaced + kept))
         return result
 
     def _split(self, queue: list[PendingTasks]) -> _Candidates:
--- a/roadbend/placement/step_signal.py
+++ b/roadbend/placement/step_signal.py
@@ -22,7 +22,7 @@
         """Call for a step."""
         self._requested.set()
 
-    async def requested(self) -> None:
+    async def wait_for_request(self) -> None:
         """Return once a step is called for."""
         await self._requested.wait()
 
@@ -31,7 +31,7 @@
         self._requested = trio.Event()
         self._begun += 1
 
-    def note_duration(self, duration: timedelta) -> None:
+    def record_duration(self, duration: timedelta) -> None:
         """Note how long the step took to work out, without sending it."""
         self.last_duration = duration
 
@@ -42,11 +42,11 @@
         step_ended.set()
 
     @property
-    def next(self) -> int:
+    def next_step(self) -> int:
         """The number of the step that has not begun yet."""
         return self._begun + 1
 
-    async def ended(self, step: int) -> None:
+    async def wait_for_end(self, step: int) -> None:
         """Return once a step has ended."""
         while self._ended < step:
             await self._step_ended.wait()
--- a/roadbend/placement/stop_orders.py
+++ b/roadbend/placement/stop_orders.py
@@ -36,7 +36,7 @@
         stop = self._orders[key] = StopOrder(attempt.number, grace, reason, now, attempt.machine)
         if former is not None:
             stop.continue_from(former)
-        self._registry.expect_change(attempt.machine)
+        self._registry.invalidate_evaluation(attempt.machine)
 
     def order_cancelled(self, key: TaskKey, attempt: Attempt, now: datetime) -> None:
         """Order an attempt whose job is over or cancelled to be stopped without grace."""
--- a/roadbend/placement/termination_effects.py
+++ b/roadbend/placement/termination_effects.py
@@ -23,7 +23,7 @@
         self._gang_attempts, self._exclusions = state.gang_attempts, state.exclusions
         self._backoff = state.backoff
 
-    def note_recorded(self, key: TaskKey, end: Termination, now: datetime) -> None:
+    def apply(self, key: TaskKey, end: Termination, now: datetime) -> None:
         """Note a recorded termination: what it says of the job, its gang and the machine."""
         self._context.observer.attempt_ended(self._partition, key.job, key.task_index, end)
         log.debug(
@@ -50,7 +50,7 @@
             machine.failures.clear()
             seen, job = machine.tasks.get(key), self._context.view.jobs.get(key.job)
             if job is not None and seen is not None and seen.running_since is not None:
-                self._context.run_times.learn(job, seen.since - seen.running_since)
+                self._context.run_times.record_run(job, seen.since - seen.running_since)
         self._backoff.clear(key.job)
 
     def _note_error(self, key: TaskKey, name: str, now: datetime) -> None:
@@ -63,5 +63,5 @@
             partition=self._partition,
             task=f"{key.job}/{key.task_index}",
             machine=name,
-            failures=self._backoff.note_failure(key.job, now),
+            failures=self._backoff.record_failure(key.job, now),
         )
--- a/roadbend/placement/termination_recorder.py
+++ b/roadbend/placement/termination_recorder.py
@@ -78,7 +78,7 @@
             if left is None:
                 return True
             more = more or left
-            self.note_recorded(transaction, terminations, now)
+            self.add_effects(transaction, terminations, now)
         return more
 
     def done_gangs(self) -> dict[str, Job]:
@@ -294,7 +294,7 @@
             rest = job.with_partition(self._partition, ranges.minus(held, all_done))
             transaction.set_job(replace(rest, done=all_done))
 
-    def note_recorded(
+    def add_effects(
         self, transaction: TransactionBuilder, terminations: JobTerminations, now: datetime
     ) -> None:
         """Note what follows once the transaction is carried out.
@@ -305,7 +305,7 @@
             key = TaskKey(terminations.name, task_index)
             transaction.ended_attempts.add(key)
             transaction.charge(terminations.job_slice.team, terminations.job_slice.resources, -1)
-            transaction.after.append(partial(self._effects.note_recorded, key, end, now))
+            transaction.after.append(partial(self._effects.apply, key, end, now))
 
     def within(self, held: Ranges, n: int) -> Ranges:
         """Return the held tasks whose attempts are written into this shard."""
--- a/roadbend/placement/test_stop_orders.py
+++ b/roadbend/placement/test_stop_orders.py
@@ -17,7 +17,7 @@
 @pytest.mark.parametrize("grace, known", [(GRACE, True), (clock.ZERO, False)])
 def test_a_stop_that_is_decided_again_knows_that_it_went_out(grace, known):
     """Guards against a stop sent twice; one that leaves less time is sent at once."""
-    registry = SimpleNamespace(expect_change=lambda _machine: None)
+    registry = SimpleNamespace(invalidate_evaluation=lambda _machine: None)
     stops = StopOrders(SimpleNamespace(), registry)
     stops.order(KEY, Attempt(70, "m-1"), GRACE, "preempted", NOW)
     stops.by_task[KEY].sent_directly_at = NOW
--- a/roadbend/recovery/adoption.py
+++ b/roadbend/recovery/adoption.py
@@ -105,7 +105,7 @@
     def _reserve_quota(
         self, transaction: TransactionBuilder, job: Job, record_keys: list[str]
     ) -> bool:
-        left = self._leader.quotas.team_left(transaction, job.spec.team)
+        left = self._leader.quotas.remaining_quota(transaction, job.spec.team)
         resources = job.spec.resources
         if (
             left is None
--- a/roadbend/recovery/partition.py
+++ b/roadbend/recovery/partition.py
@@ -122,7 +122,7 @@
         """
         return not self.cold or self.phase.name is not PhaseName.GATHERING
 
-    def spaces_out(self, key: TaskKey, stop: StopOrder, now: datetime) -> bool:
+    def defers_kill(self, key: TaskKey, stop: StopOrder, now: datetime) -> bool:
         """Tell whether a direct kill may wait.
 
         A kill goes with the heartbeat's answer first, and directly only if that brought nothing;
@@ -142,7 +142,7 @@
             return unconfirmed and now - stop.decided_at < KILL_AGAIN
         return seen.state == TaskState.ENDED
 
-    def note_heartbeat(self, machine: Machine, heartbeat: WorkerHeartbeat, now: datetime) -> None:
+    def record_heartbeat(self, machine: Machine, heartbeat: WorkerHeartbeat, now: datetime) -> None:
         """Release the attempts that a current heartbeat no longer shows."""
         if not machine.token.confirmed:
             return
@@ -156,7 +156,7 @@
         if len(self.held_attempts):
             self._holder.drop_absent(machine, heartbeat)
 
-    def note_term_in_use(self, machine: str, term: int) -> None:
+    def record_term_in_use(self, machine: str, term: int) -> None:
         """Take in that a machine that we have not answered has seen our term or a higher one."""
         self.terms_in_use.note(machine, term)
 
--- a/roadbend/recovery/service.py
+++ b/roadbend/recovery/service.py
@@ -80,7 +80,7 @@
         )
         return partition
 
-    def holds_back(self, job: str) -> bool:
+    def defers_allocation(self, job: str) -> bool:
         """Tell whether a job that nobody holds is not offered for now: a machine may have it."""
         return not self._gate.is_open_for(job) or any(
             partition.held_attempts.indexes(job) for partition in self._partitions.values()
--- a/roadbend/recovery/test_recovery.py
+++ b/roadbend/recovery/test_recovery.py
@@ -314,7 +314,7 @@
         leader.recovery.held_attempts.add(held)
         assert leader.queue.unplaced(waiting) == ((0, 1), (2, 3))
         assert leader.queue.unplaced(waiting.as_gang()) == ()
-        assert controller.context.recovery.holds_back("run-000002")
+        assert controller.context.recovery.defers_allocation("run-000002")
 
 
 async def test_what_a_current_report_no_longer_shows_is_not_held_any_more():
@@ -337,10 +337,10 @@
         )
         # An older token proves presence only.
         machine.token.confirmed = False
-        partition.note_heartbeat(machine, heartbeat, now)
+        partition.record_heartbeat(machine, heartbeat, now)
         assert len(partition.held_attempts) == 1
         machine.token.confirmed = True
-        partition.note_heartbeat(machine, heartbeat, now)
+        partition.record_heartbeat(machine, heartbeat, now)
         assert len(partition.held_attempts) == 0
 
 
@@ -366,15 +366,15 @@
     async with running(job(1, legs=1, yard="east", **SERVICE)) as w:
         leader, machine, key, stop = stop_of_the_only_task(w)
         seen, now = machine.tasks[key], stop.decided_at
-        assert not leader.recovery.spaces_out(key, stop, now)
+        assert not leader.recovery.defers_kill(key, stop, now)
         stop.sent_at = now - KILL_AGAIN
-        assert not leader.recovery.spaces_out(key, stop, now)
+        assert not leader.recovery.defers_kill(key, stop, now)
         stop.sent_at = now
-        assert leader.recovery.spaces_out(key, stop, now)
+        assert leader.recovery.defers_kill(key, stop, now)
         stop.sent_at = None
-        assert leader.recovery.spaces_out(key, replace(stop, attempt=1), now)
+        assert leader.recovery.defers_kill(key, replace(stop, attempt=1), now)
         seen.state = "ended"
-        assert leader.recovery.spaces_out(key, stop, now)
+        assert leader.recovery.defers_kill(key, stop, now)
         seen.state = "running"
 
 
@@ -389,11 +389,11 @@
         leader, machine, key, stop = stop_of_the_only_task(w)
         seen, now = machine.tasks[key], stop.decided_at
         machine.tasks, machine.token.confirmed = {}, False
-        assert leader.recovery.spaces_out(key, stop, now)
-        assert not leader.recovery.spaces_out(key, stop, now + KILL_AGAIN)
+        assert leader.recovery.defers_kill(key, stop, now)
+        assert not leader.recovery.defers_kill(key, stop, now + KILL_AGAIN)
         # A start of ours that may be on its way is followed by the kill.
         machine.token.direct_starts[key] = DirectStart(seen.attempt, 1)
-        assert not leader.recovery.spaces_out(key, stop, now)
+        assert not leader.recovery.defers_kill(key, stop, now)
         del machine.token.direct_starts[key]
         machine.tasks, machine.token.confirmed = {key: seen}, True
 
--- a/tests/scenarios/test_scalability.py
+++ b/tests/scenarios/test_scalability.py
@@ -534,8 +534,10 @@
     other is a rest after failures, its team's limit kept for work whose machine boots, and all
     that it is passed over for: room left to a job of another partition, being made, or kept for a
     gang."""
-    assert failure_backoff.MAX_REST + quotas.HOLD + aging.MAX_PASSED_OVER < timedelta(seconds=90)
-    assert quotas.YIELD < aging.MAX_PASSED_OVER
+    assert failure_backoff.MAX_BACKOFF + quotas.QUOTA_HOLD_TIME + aging.MAX_PASSED_OVER < timedelta(
+        seconds=90
+    )
+    assert quotas.QUOTA_YIELD_TIME < aging.MAX_PASSED_OVER
     assert preemption.RESERVATION_LIFETIME < aging.MAX_PASSED_OVER
     assert gang_reservations.KEEP < aging.MAX_PASSED_OVER
     # A job that no partition can start is offered everywhere well before that, its turn among
