--- a/roadbend/fleet/direct_commands.py
+++ b/roadbend/fleet/direct_commands.py
@@ -226,7 +226,7 @@
                     sent_at is not None and now - sent_at < STOP_AGAIN_AFTER
                 ):
                     continue
-                spaced_out = leader.recovery.defers_kill(key, stop, now)
+                spaced_out = leader.recovery.should_delay_stop(key, stop, now)
                 if spaced_out or stop.machine in stopping:
                     continue
                 if stop.machine in leader.machines:
--- a/roadbend/fleet/leader.py
+++ b/roadbend/fleet/leader.py
@@ -46,7 +46,7 @@
 class StopSpacing(Protocol):
     """Whether direct commands to stop may wait."""
 
-    def defers_kill(self, key: TaskKey, stop: StopOrder, now: datetime) -> bool:
+    def should_delay_stop(self, key: TaskKey, stop: StopOrder, now: datetime) -> bool:
         """Whether the direct command for a stop may wait."""
 
 
--- a/roadbend/fleet/test_direct_stops.py
+++ b/roadbend/fleet/test_direct_stops.py
@@ -27,7 +27,7 @@
         leadership=SimpleNamespace(term=7),
         stops=SimpleNamespace(order_all_cancelled=lambda _now: None, items={KEY: STOP}.items),
         terminations=ended,
-        recovery=SimpleNamespace(defers_kill=lambda *_arguments: False),
+        recovery=SimpleNamespace(should_delay_stop=lambda *_arguments: False),
         machines={"m-1": object()},
     )
     commands = DirectCommands(SimpleNamespace(), None, {})
