--- a/roadbend/placement/__init__.py
+++ b/roadbend/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Tasks on machines inside a partition."""
+"""Placement of tasks on the machines of one partition."""
--- a/roadbend/placement/attempt_numbers.py
+++ b/roadbend/placement/attempt_numbers.py
@@ -1,16 +1,16 @@
-"""The numbers of attempts: never used twice, since the leadership's term is part of them."""
+"""Attempt numbers, never used twice since the leadership's term is part of each."""
 
-# How many bits of a number, below the term, count within the term.
+# The low bits of an attempt number, which count within the term; the bits above are the term.
 SEQUENCE_BITS = 32
 
 
 class AttemptNumbers:
-    """Gives out the attempt numbers of one leadership."""
+    """Generates the attempt numbers of one leadership."""
 
     def __init__(self, term: int) -> None:
         self._term, self._sequence = term, 0
 
-    def next(self, mark: int = 0) -> int:
-        """Return a new number; `mark` is set in its higher bits below the term."""
+    def next(self, flags: int = 0) -> int:
+        """Return a new number, with `flags` set in the upper bits of its sequence."""
         self._sequence += 1
-        return (self._term << SEQUENCE_BITS) | self._sequence | mark
+        return (self._term << SEQUENCE_BITS) | self._sequence | flags
--- a/roadbend/placement/context.py
+++ b/roadbend/placement/context.py
@@ -1,4 +1,4 @@
-"""What all partitions of a controller share."""
+"""State shared by all partitions of a controller."""
 
 from dataclasses import dataclass, field
 from datetime import timedelta
@@ -19,13 +19,13 @@
 from roadbend.store.record_reader import RecordReader
 from roadbend.store.record_view import RecordView
 
-# What took some time to work out serves for this many times as long, on a whole core.
+# With a whole core, a result is reused for this multiple of the time that computing it took.
 REUSE_FACTOR = 12
 
 
 @dataclass
 class ControllerContext:
-    """What all partitions of a controller share: each object owns its state."""
+    """Objects shared by all partitions of a controller; each of them owns its state."""
 
     settings: PlatformSettings
     operator: OperatorSettings
@@ -33,11 +33,11 @@
     view: RecordView
     reader: RecordReader
     election: LeaderElection
-    # The catalog: machine types by name; empty until it is known.
+    # The catalog: machine types by name; empty until it is loaded.
     machine_types: dict[str, MachineType] = field(default_factory=dict)
-    # Asked before records that may not match the machines yet are acted on.
+    # Called before acting on records that may not match the state of the machines yet.
     recovery: Recovery = field(default_factory=Recovery)
-    # Told what happens to jobs and attempts.
+    # Notified of what happens to jobs and attempts.
     observer: Observer = field(default_factory=Observer)
     deleted_machines: DeletedMachines = field(default_factory=DeletedMachines)
     run_times: RunTimeEstimates = field(default_factory=RunTimeEstimates)
@@ -53,12 +53,12 @@
         self.fair_share = FairShare(self.settings, self.view)
         self.starvation = Starvation(self.operator, self.view, self.cancellations)
 
-    def reuse_window(self, took: timedelta) -> timedelta:
-        """Return for how long a result that took so long to work out serves.
+    def reuse_window(self, compute_time: timedelta) -> timedelta:
+        """Return how long a result that took `compute_time` to compute may be reused.
 
-        Of a core of which a controller has a quarter it may take a quarter of what it might of a
-        whole one, and one that leads further partitions works out each one's less often. So
-        heartbeats are still answered.
+        A controller with a quarter of a core may spend a quarter of the time that it could with a
+        whole one, and one that leads several partitions computes the results of each less often.
+        This leaves time to answer heartbeats.
         """
         partitions = max(1, len(self.election.leaderships))
-        return took * (REUSE_FACTOR / self.settings.cpu * partitions)
+        return compute_time * (REUSE_FACTOR / self.settings.cpu * partitions)
--- a/roadbend/placement/failure_backoff.py
+++ b/roadbend/placement/failure_backoff.py
@@ -1,62 +1,62 @@
-"""How long jobs whose tasks fail rest before they are tried again."""
+"""Backoff for jobs whose tasks fail."""
 
 from dataclasses import dataclass
 from datetime import datetime, timedelta
 
 from roadbend import clock
 
-# The longest rest, and after how many failures in a row a job rests at all.
+# The longest backoff, and how many failures in a row cause none.
 MAX_BACKOFF = timedelta(seconds=24)
-FREE_FAILURES = 3
-FIRST_REST_S, MAX_DOUBLINGS = 0.5, 8
-# For how long the failures of a job are remembered after its rest.
-REMEMBERED_FOR = timedelta(minutes=5)
+FAILURES_WITHOUT_BACKOFF = 3
+BACKOFF_BASE_S, MAX_DOUBLINGS = 0.5, 8
+# How long the failures of a job are kept after its backoff.
+RETENTION = timedelta(minutes=5)
 
 
 @dataclass(frozen=True, slots=True)
-class _Rest:
-    """How often a job has failed in a row, and until when it rests."""
+class _Backoff:
+    """How many times in a row a job has failed, and until when it is not started."""
 
     failures: int
     until: datetime
 
 
 class FailureBackoff:
-    """The jobs of one partition that rest."""
+    """The jobs of one partition that are not started for a while after failures."""
 
     def __init__(self) -> None:
-        self._rests: dict[str, _Rest] = {}
+        self._backoffs: dict[str, _Backoff] = {}
 
-    def resting(self, now: datetime) -> set[str]:
+    def delayed_jobs(self, now: datetime) -> set[str]:
         """Return the jobs that are not to be started now."""
-        return {job for job, rest in self._rests.items() if rest.until > now}
+        return {job for job, backoff in self._backoffs.items() if backoff.until > now}
 
     def record_failure(self, job: str, now: datetime) -> int:
-        """Take in a failed task; return how often the job has failed in a row.
+        """Record a failed task; return how many times in a row the job has failed.
 
-        A job that fails everywhere comes back ever more slowly and waits for its user.
+        A job that fails everywhere is retried at ever longer intervals, until its user intervenes.
         """
         failures = self._failures(job) + 1
-        rest = clock.ZERO
-        if failures > FREE_FAILURES:
-            doubled = timedelta(seconds=FIRST_REST_S * 2 ** min(failures, MAX_DOUBLINGS))
-            rest = min(MAX_BACKOFF, doubled)
-        self._rests[job] = _Rest(failures, now + rest)
+        delay = clock.ZERO
+        if failures > FAILURES_WITHOUT_BACKOFF:
+            doubled = timedelta(seconds=BACKOFF_BASE_S * 2 ** min(failures, MAX_DOUBLINGS))
+            delay = min(MAX_BACKOFF, doubled)
+        self._backoffs[job] = _Backoff(failures, now + delay)
         return failures
 
     def delay_until(self, job: str, until: datetime) -> None:
-        """Have a job rest though none of its tasks failed."""
-        self._rests[job] = _Rest(self._failures(job), until)
+        """Delay a job's next start although none of its tasks failed."""
+        self._backoffs[job] = _Backoff(self._failures(job), until)
 
     def clear(self, job: str) -> None:
-        """Forget the failures of a job of which a task is done."""
-        self._rests.pop(job, None)
+        """Forget the failures of a job, since one of its tasks is done."""
+        self._backoffs.pop(job, None)
 
     def drop_expired(self, now: datetime) -> None:
-        """Forget the failures that are long past."""
-        for job in [j for j, rest in self._rests.items() if rest.until + REMEMBERED_FOR < now]:
-            del self._rests[job]
+        """Forget failures that are kept no longer."""
+        for job in [j for j, backoff in self._backoffs.items() if backoff.until + RETENTION < now]:
+            del self._backoffs[job]
 
     def _failures(self, job: str) -> int:
-        rest = self._rests.get(job)
-        return rest.failures if rest is not None else 0
+        backoff = self._backoffs.get(job)
+        return backoff.failures if backoff is not None else 0
--- a/roadbend/placement/pending_queue.py
+++ b/roadbend/placement/pending_queue.py
@@ -71,9 +71,9 @@
         starved = self._context.starvation.starved_jobs(now)
         view, cancelled = self._context.view, self._context.cancellations.jobs
         items: list[PendingTasks] = []
-        resting = self._backoff.resting(now)
+        delayed = self._backoff.delayed_jobs(now)
         for name in view.assigned_jobs.get(self._partition, ()):
-            if name in cancelled or name in resting:
+            if name in cancelled or name in delayed:
                 continue
             job = view.jobs[name]
             items += self._items_of(job, name in guaranteed, name in starved.get(job.spec.team, ()))
--- a/roadbend/placement/recovery_hooks.py
+++ b/roadbend/placement/recovery_hooks.py
@@ -1,7 +1,7 @@
-"""What leaders and controllers ask before they act on records that may not match the machines yet.
+"""Hooks called before acting on records that may not match the state of the machines yet.
 
-The classes here hold nothing back: they stand in where recovery (`roadbend.recovery`) is switched
-off, so that the core has no condition on it and imports none of it.
+The implementations here allow everything. They are used where recovery (`roadbend.recovery`) is
+switched off, so that the core has no condition on it and imports none of it.
 """
 
 from datetime import datetime
@@ -15,10 +15,10 @@
 
 
 class PartitionRecovery:
-    """Questions about one partition, for one term."""
+    """Hooks of one partition, for one term."""
 
     def keeps_unrecorded(self, machine: Machine, task: TaskStatus, now: datetime) -> bool:
-        """Whether a task that no record names is left alone for now."""
+        """Return whether a task that no record names is left alone for now."""
         return False
 
     def placeable(self, job: Job, tasks: Ranges) -> Ranges:
@@ -26,24 +26,24 @@
         return tasks
 
     def knows_machines(self) -> bool:
-        """Whether the partition's machines are known well enough to create more in advance."""
+        """Return whether enough is known of the partition's machines to create more in advance."""
         return True
 
     def should_delay_stop(self, key: TaskKey, stop: StopOrder, now: datetime) -> bool:
-        """Whether a direct kill may wait.
+        """Return whether a direct kill may wait.
 
-        The answer to a heartbeat has just carried it, or the task has ended.
+        That is if the response to a heartbeat has just carried it, or the task has ended.
         """
         return False
 
     def record_heartbeat(self, machine: Machine, heartbeat: WorkerHeartbeat, now: datetime) -> None:
-        """Note a heartbeat that was admitted and read."""
+        """Record a heartbeat that was admitted and evaluated."""
 
     def record_term_in_use(self, machine: str, term: int) -> None:
-        """Note that a machine which we have not answered has seen our term or a higher one."""
+        """Record that a machine never answered by this leader has seen its term or a higher one."""
 
     def adopt(self, transaction: TransactionBuilder, now: datetime) -> bool:
-        """Put unrecorded attempts that are to be kept into the transaction.
+        """Add unrecorded attempts that are to be kept to the transaction.
 
         Return whether some are left for the next one.
         """
@@ -51,12 +51,12 @@
 
 
 class Recovery:
-    """Questions about a whole controller."""
+    """Hooks of a whole controller."""
 
     def defers_allocation(self, job: str) -> bool:
-        """Whether a job that nobody holds is not offered for now."""
+        """Return whether a job that no partition holds is not to be allocated for now."""
         return False
 
     def knows_jobs(self) -> bool:
-        """Whether a job that no record names is known to be none."""
+        """Return whether a job that no record names is known not to exist."""
         return True
--- a/roadbend/placement/starvation.py
+++ b/roadbend/placement/starvation.py
@@ -1,4 +1,4 @@
-"""Jobs that starve, so that aging can let them go first."""
+"""Starved jobs: those that have waited long and started no task."""
 
 from datetime import datetime, timedelta
 
@@ -8,18 +8,18 @@
 from roadbend.store.record_view import RecordView
 from roadbend.store.records import Job
 
-# How often the jobs are looked through.
+# How often the jobs are checked.
 REFRESH_INTERVAL = timedelta(seconds=1)
-# After this many times the operator's `begin_within` a job no longer counts as starved: it may be
-# one that no machine can be had for, and others must not wait behind it for ever.
-GIVE_UP_AFTER = 3
+# After this multiple of the operator's `begin_within` a job no longer counts as starved: there may
+# be no machine to be had for it, and other jobs must not wait behind it forever.
+GIVE_UP_FACTOR = 3
 
 
 class Starvation:
-    """Finds jobs that have waited for too long and have started nothing.
+    """Finds jobs that have waited too long and have started no task.
 
-    Whatever the order of work is, such a job comes next, and other partitions leave its team's
-    quota to it.
+    Such a job goes first among those of its priority, and other partitions leave its team's quota
+    to it.
     """
 
     def __init__(
@@ -30,9 +30,9 @@
         self._refreshed_at = clock.ORIGIN
 
     def starved_jobs(self, now: datetime) -> dict[str, dict[str, int]]:
-        """Return the starved jobs: the priority by job id, by team.
+        """Return the starved jobs by team, as their priorities by job id.
 
-        `now` is of the steady clock; the answer may be as old as REFRESH_INTERVAL.
+        `now` is a monotonic instant; the result may be as old as REFRESH_INTERVAL.
         """
         if now - self._refreshed_at >= REFRESH_INTERVAL:
             self._refreshed_at = now
@@ -45,7 +45,7 @@
         self._jobs = {}
         for job in self._view.jobs.values():
             if (
-                limit <= wall - job.submitted_at < limit * GIVE_UP_AFTER
+                limit <= wall - job.submitted_at < limit * GIVE_UP_FACTOR
                 and job.id not in cancelled
                 and not self._has_started(job)
             ):
--- a/roadbend/placement/step_signal.py
+++ b/roadbend/placement/step_signal.py
@@ -1,4 +1,4 @@
-"""When a scheduling step is called for, and when it has ended."""
+"""Signals that a scheduling step is requested, and that one has ended."""
 
 from datetime import timedelta
 
@@ -8,35 +8,35 @@
 
 
 class StepSignal:
-    """Counts the steps of one partition's loop, and wakes those who wait for one."""
+    """Counts the steps of one partition's scheduling loop, and wakes whoever waits for one."""
 
     def __init__(self) -> None:
         self._requested = trio.Event()
         # Set at the end of every step, and then replaced.
         self._step_ended = trio.Event()
         self._begun = self._ended = 0
-        # How long the last step took to work out, without sending it.
+        # How long the last step took to compute, without sending its transaction.
         self.last_duration = clock.ZERO
 
     def request(self) -> None:
-        """Call for a step."""
+        """Request a step."""
         self._requested.set()
 
     async def wait_for_request(self) -> None:
-        """Return once a step is called for."""
+        """Wait until a step is requested."""
         await self._requested.wait()
 
     def begin(self) -> None:
-        """Begin a step: what is called for from now on waits for the next one."""
+        """Begin a step; requests from now on are for the next one."""
         self._requested = trio.Event()
         self._begun += 1
 
     def record_duration(self, duration: timedelta) -> None:
-        """Note how long the step took to work out, without sending it."""
+        """Record how long the step took to compute, without sending its transaction."""
         self.last_duration = duration
 
     def end(self) -> None:
-        """End the step, however it went."""
+        """End the step, whether it succeeded or failed."""
         self._ended = self._begun
         step_ended, self._step_ended = self._step_ended, trio.Event()
         step_ended.set()
@@ -47,6 +47,6 @@
         return self._begun + 1
 
     async def wait_for_end(self, step: int) -> None:
-        """Return once a step has ended."""
+        """Wait until a step has ended."""
         while self._ended < step:
             await self._step_ended.wait()
