--- a/roadbend/placement/pending_queue.py
+++ b/roadbend/placement/pending_queue.py
@@ -71,9 +71,9 @@
         starved = self._context.starvation.starved_jobs(now)
         view, cancelled = self._context.view, self._context.cancellations.jobs
         items: list[PendingTasks] = []
-        resting = self._backoff.resting(now)
+        delayed = self._backoff.delayed_jobs(now)
         for name in view.assigned_jobs.get(self._partition, ()):
-            if name in cancelled or name in resting:
+            if name in cancelled or name in delayed:
                 continue
             job = view.jobs[name]
             items += self._items_of(job, name in guaranteed, name in starved.get(job.spec.team, ()))
@@ -95,11 +95,11 @@
             items.append(PendingTasks(job, tasks, guaranteed))
         return items
 
-    def note_not_placed(self, items: list[PendingTasks]) -> None:
+    def update_not_placed(self, items: list[PendingTasks]) -> None:
         """Replace what the last step found no place for."""
         self.not_placed = items
 
-    def lately(self) -> list[PendingTasks]:
+    def recent(self) -> list[PendingTasks]:
         """Return the queue as it was a moment ago, for bids and estimates.
 
         Records change many times a second, and what a bid promises is only a forecast; starts go by
