--- a/roadbend/bidding/bid_collector.py
+++ b/roadbend/bidding/bid_collector.py
@@ -41,7 +41,7 @@
             for link in self._peers.links.values():
                 if not gang:
                     nursery.start_soon(self._ask, link, kind, payload, bids)
-                elif link.known.supports(GANGS_EXTENSION):
+                elif link.peer_state.supports(GANGS_EXTENSION):
                     nursery.start_soon(self._ask, link, gang_kind, payload, bids)
         # While a partition's leadership changes, two controllers may bid for it.
         return list({bid.partition: bid for bid in bids}.values())
--- a/roadbend/controller/attempts_on_machines.py
+++ b/roadbend/controller/attempts_on_machines.py
@@ -38,19 +38,19 @@
         # of the job is sent any more.
         self._refusing: OrderedDict[tuple[str, str], None] = OrderedDict()
 
-    async def hold_all(self, job: str, attempts: Mapping[int, Attempt]) -> bool:
+    async def are_all_held(self, job: str, attempts: Mapping[int, Attempt]) -> bool:
         """Whether the machines hold all these attempts of a job now."""
-        return await self._settle_all(job, attempts, None)
+        return await self._are_all_settled(job, attempts, None)
 
-    async def settle_all(self, job: str, attempts: Mapping[int, Attempt], term: int) -> bool:
+    async def are_all_settled(self, job: str, attempts: Mapping[int, Attempt], term: int) -> bool:
         """Whether the machines hold these attempts, or refuse their starts from now on.
 
         `term`: the latest term of their partition, whose leader goes on from raised tokens. To be
         asked once no leader sends starts of the job any more.
         """
-        return await self._settle_all(job, attempts, term)
+        return await self._are_all_settled(job, attempts, term)
 
-    async def _settle_all(
+    async def _are_all_settled(
         self, job: str, attempts: Mapping[int, Attempt], term: int | None
     ) -> bool:
         by_machine: dict[str, Attempts] = {}
--- a/roadbend/controller/availability.py
+++ b/roadbend/controller/availability.py
@@ -35,11 +35,11 @@
         contact = self._context.reader.contact
         if contact is not None and now - contact < CONTACT_FRESHNESS:
             return False
-        return any(_is_served(link.known, now) for link in self._peers.links.values())
+        return any(_is_served(link.peer_state, now) for link in self._peers.links.values())
 
 
 def _is_served(peer: PeerState, now: datetime) -> bool:
-    heartbeat, heard_at = peer.heartbeat, peer.heard_at
-    if heartbeat is None or heard_at is None or now - heard_at > PEER_HEARTBEAT_FRESHNESS:
+    heartbeat, received_at = peer.heartbeat, peer.received_at
+    if heartbeat is None or received_at is None or now - received_at > PEER_HEARTBEAT_FRESHNESS:
         return False
     return heartbeat.contact_age is not None and heartbeat.contact_age < PEER_CONTACT_FRESHNESS
--- a/roadbend/controller/cancellation_confirmation.py
+++ b/roadbend/controller/cancellation_confirmation.py
@@ -13,10 +13,10 @@
 
 from roadbend import clock
 from roadbend.controller.attempts_on_machines import AttemptsOnMachines
-from roadbend.controller.cancellation_look import CancellationLook, Evidence, Missing
+from roadbend.controller.cancellation_look import CancellationCheck, Evidence, Missing
 from roadbend.controller.cancellations import ConfirmedCancellations
 from roadbend.controller.leader_evidence import LeaderEvidence
-from roadbend.controller.leader_questions import LeaderQuestions, all_settled
+from roadbend.controller.leader_questions import LeaderQueries, all_settled
 from roadbend.controller.machine_evidence import MachineEvidence
 from roadbend.controller.peer_start_reports import NO_MORE_STARTS, PeerStartReports
 from roadbend.controller.starts_in_doubt_service import StartsInDoubtService
@@ -40,7 +40,7 @@
 RETRY_INTERVAL = timedelta(milliseconds=100)
 
 
-def max_wait(settings: PlatformSettings, operator: OperatorSettings) -> timedelta:
+def max_confirmation_wait(settings: PlatformSettings, operator: OperatorSettings) -> timedelta:
     """Return after how long no start of a cancelled job can be carried out, whatever fails.
 
     Counted from when the cancellation was noted here. A leader that does not know of it renews
@@ -67,12 +67,12 @@
         reports: PeerStartReports | None = None,
     ) -> None:
         self._context, self._peers = context, peers
-        self._leaders = LeaderQuestions(context.settings.name, peers, exchange, service)
+        self._leaders = LeaderQueries(context.settings.name, peers, exchange, service)
         self._noted = noted
         reports = reports or PeerStartReports(noted)
         self._leader_evidence = LeaderEvidence(context.view, reports)
         self._machine_evidence = MachineEvidence(context.view, machines)
-        self._max_wait = max_wait(context.settings, context.operator)
+        self._max_confirmation_wait = max_confirmation_wait(context.settings, context.operator)
 
     async def confirm(self, job: str, patience: timedelta) -> bool:
         """Tell whether no start of a cancelled job can be carried out any more.
@@ -81,7 +81,7 @@
         """
         self._noted.add(job)
         began = clock.now()
-        look: CancellationLook | None = None
+        look: CancellationCheck | None = None
         with trio.move_on_after((patience + LOOK_TIMEOUT).total_seconds()):
             look = await self._look_until(job, began + patience)
         waited_s = f"{(clock.now() - began).total_seconds():.2f}"
@@ -94,10 +94,10 @@
         log.info("cancellation-waits", job=job, partitions=partitions, waited_s=waited_s)
         return False
 
-    async def _look_until(self, job: str, until: datetime) -> CancellationLook:
+    async def _look_until(self, job: str, until: datetime) -> CancellationCheck:
         """Look for starts of a job that may still be carried out, until there are none."""
         if await self._is_settled_everywhere(job):
-            return CancellationLook({"*": Evidence.ALL_LEADERS})
+            return CancellationCheck({"*": Evidence.ALL_LEADERS})
         # Whatever start was recorded before the cancellation is in the view from here on.
         await self._context.reader.read_barrier()
         inspect_at = clock.ORIGIN
@@ -107,7 +107,7 @@
             if look.waits_for and inspects:
                 inspect_at = clock.now() + INSPECT_INTERVAL
                 await self._machine_evidence.ask(job, look)
-            if self._noted_for(job) > self._max_wait:
+            if self._noted_for(job) > self._max_confirmation_wait:
                 for partition in list(look.waits_for):
                     look.settle(partition, Evidence.TIME)
             if not look.waits_for or clock.now() >= until:
@@ -129,12 +129,12 @@
         """
         now = clock.now()
         if not all(
-            link.alive(now) and link.known.supports(STARTS_EXTENSION)
+            link.alive(now) and link.peer_state.supports(STARTS_EXTENSION)
             for link in self._peers.links.values()
         ):
             return False
         with trio.move_on_after(QUICK_ANSWER_TIMEOUT.total_seconds()):
-            replies = await self._leaders.ask_all(job)
+            replies = await self._leaders.query_all(job)
             return replies is not None and all_settled(job, replies)
         return False
 
@@ -148,14 +148,14 @@
             if job in job_slices and job_slices[job].attempts
         }
 
-    async def _ask_leaders(self, job: str) -> CancellationLook:
+    async def _ask_leaders(self, job: str) -> CancellationCheck:
         """Ask the leaders of open partitions; for those that can't be asked read their reports."""
-        look = CancellationLook()
+        look = CancellationCheck()
         partitions = self._open_partitions(job)
         if not partitions:
             return look
         leaders = {self._context.election.leader_of(partition) for partition in partitions}
-        replies = await self._leaders.ask(job, leaders)
+        replies = await self._leaders.query(job, leaders)
         answers = [answer for reply in replies for answer in reply.partitions]
         # What was in the records before the question may have been cleared meanwhile.
         for partition in sorted(partitions & self._open_partitions(job)):
--- a/roadbend/controller/cancellation_look.py
+++ b/roadbend/controller/cancellation_look.py
@@ -23,7 +23,7 @@
 
 
 @dataclass
-class CancellationLook:
+class CancellationCheck:
     """What came of looking at the partitions whose records name attempts of a job."""
 
     settled: dict[str, Evidence] = field(default_factory=dict)
--- a/roadbend/controller/heartbeats.py
+++ b/roadbend/controller/heartbeats.py
@@ -50,7 +50,7 @@
                 partition: leadership.term
                 for partition, leadership in self._context.election.leaderships.items()
             },
-            heard_machines=self._fleet.heard(now),
+            reporting_machines=self._fleet.heard(now),
             cancellations_span=cancellations.span,
             cancellations=cancellations.jobs,
         )
@@ -60,15 +60,15 @@
         self._learn(PeerHeartbeat.unpack(payload))
         return self.build().pack()
 
-    def on_reply(self, link: Link, heartbeat: PeerHeartbeat, asked_at: datetime) -> None:
-        """Take in a peer's answer to a heartbeat that was sent at `asked_at`.
+    def on_reply(self, link: Link, heartbeat: PeerHeartbeat, requested_at: datetime) -> None:
+        """Take in a peer's answer to a heartbeat that was sent at `requested_at`.
 
         It may raise the cancellation watermark that we have of the peer.
         """
-        link.known.update(heartbeat, asked_at, clock.now(), self._context.reader.contact)
+        link.peer_state.update(heartbeat, requested_at, clock.now(), self._context.reader.contact)
         self._learn(heartbeat)
 
     def _learn(self, heartbeat: PeerHeartbeat) -> None:
         for partition, term in heartbeat.led_partitions.items():
             self._context.election.depose(partition, term)
-        self._leaders.note_cancelled(heartbeat.cancellations)
+        self._leaders.mark_cancelled(heartbeat.cancellations)
--- a/roadbend/controller/leader_evidence.py
+++ b/roadbend/controller/leader_evidence.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterable
 
-from roadbend.controller.cancellation_look import CancellationLook, Evidence, Missing
+from roadbend.controller.cancellation_look import CancellationCheck, Evidence, Missing
 from roadbend.controller.peer_start_reports import PeerStartReports
 from roadbend.peers.starts_in_doubt import PartitionStartsInDoubt
 from roadbend.store.record_view import RecordView
@@ -19,7 +19,7 @@
         job: str,
         partition: str,
         answers: Iterable[PartitionStartsInDoubt],
-        look: CancellationLook,
+        look: CancellationCheck,
     ) -> None:
         """Note whether the partition's leader has answered, or reported, that all is settled."""
         answer = next(
--- a/roadbend/controller/leader_questions.py
+++ b/roadbend/controller/leader_questions.py
@@ -17,7 +17,7 @@
 ANSWER_TIMEOUT = timedelta(milliseconds=500)
 
 
-class LeaderQuestions:
+class LeaderQueries:
     """Asks this controller and its peers."""
 
     def __init__(
@@ -30,13 +30,15 @@
         self._controller, self._peers = controller, peers
         self._exchange, self._service = exchange, service
 
-    async def ask_all(self, job: str) -> list[StartsInDoubtReply] | None:
+    async def query_all(self, job: str) -> list[StartsInDoubtReply] | None:
         """Return the replies of all controllers; None where one does not answer."""
         controllers = self._peers.links.keys() | {self._controller}
-        replies = await self.ask(job, controllers)
+        replies = await self.query(job, controllers)
         return replies if len(replies) == len(controllers) else None
 
-    async def ask(self, job: str, controllers: Collection[str | None]) -> list[StartsInDoubtReply]:
+    async def query(
+        self, job: str, controllers: Collection[str | None]
+    ) -> list[StartsInDoubtReply]:
         """Return the replies of those controllers that answer."""
         replies: list[StartsInDoubtReply] = []
         if self._controller in controllers:
@@ -44,12 +46,12 @@
         async with trio.open_nursery() as nursery:
             for name, link in self._peers.links.items():
                 if name in controllers:
-                    nursery.start_soon(self._ask_peer, link, job, replies)
+                    nursery.start_soon(self._query_peer, link, job, replies)
         return replies
 
-    async def _ask_peer(self, link: Link, job: str, replies: list[StartsInDoubtReply]) -> None:
+    async def _query_peer(self, link: Link, job: str, replies: list[StartsInDoubtReply]) -> None:
         """Add a peer's reply to `replies`."""
-        if not link.known.supports(STARTS_EXTENSION):
+        if not link.peer_state.supports(STARTS_EXTENSION):
             # An older version is told of the cancellation, and can't answer for its starts.
             await link.exchange_heartbeats(self._exchange)
             return
--- a/roadbend/controller/leaders.py
+++ b/roadbend/controller/leaders.py
@@ -71,7 +71,7 @@
             log.info("start-report-inherited", partition=partition, term=report.term)
             leader.starts_in_doubt.inherit(report.revision, report.unsettled_jobs)
 
-    def note_cancelled(self, jobs: Iterable[str]) -> None:
+    def mark_cancelled(self, jobs: Iterable[str]) -> None:
         """Note that users are, or are about to be, told that these jobs are cancelled.
 
         A worker's heartbeat with nothing new is answered without a step of the leader: what is to
--- a/roadbend/controller/machine_evidence.py
+++ b/roadbend/controller/machine_evidence.py
@@ -1,7 +1,7 @@
 """Ask machines for the attempts of a cancelled job, where its leader can't be asked."""
 
 from roadbend.controller.attempts_on_machines import AttemptsOnMachines
-from roadbend.controller.cancellation_look import CancellationLook, Evidence
+from roadbend.controller.cancellation_look import CancellationCheck, Evidence
 from roadbend.peers.frames import SETTLED_EXTENSION, supports
 from roadbend.store.record_view import JobSlice, RecordView
 
@@ -12,7 +12,7 @@
     def __init__(self, view: RecordView, machines: AttemptsOnMachines) -> None:
         self._view, self._machines = view, machines
 
-    async def ask(self, job: str, look: CancellationLook) -> None:
+    async def ask(self, job: str, look: CancellationCheck) -> None:
         """Settle the partitions whose machines hold, or refuse, all attempts of a job."""
         for partition in list(look.waits_for):
             job_slice = self._view.job_slices[partition].get(job)
@@ -23,8 +23,8 @@
         attempts = dict(job_slice.attempts)
         term = self._followed_term(partition)
         if term is None:
-            return await self._machines.hold_all(job_slice.job, attempts)
-        return await self._machines.settle_all(job_slice.job, attempts, term)
+            return await self._machines.are_all_held(job_slice.job, attempts)
+        return await self._machines.are_all_settled(job_slice.job, attempts, term)
 
     def _followed_term(self, partition: str) -> int | None:
         """Return the partition's term if its leader goes on from a token that a peer raises.
--- a/roadbend/controller/peer_start_reports.py
+++ b/roadbend/controller/peer_start_reports.py
@@ -30,7 +30,7 @@
 
     incarnation: str = ""
     number: int = 0
-    asked_at: datetime = clock.ORIGIN
+    requested_at: datetime = clock.ORIGIN
     partitions: dict[str, SettledStarts] = field(default_factory=dict)
 
 
@@ -54,7 +54,7 @@
         """Ask one peer, for ever."""
         while True:
             await clock.pause(REPORT_INTERVAL)
-            if link.known.supports(SETTLED_EXTENSION):
+            if link.peer_state.supports(SETTLED_EXTENSION):
                 await self._ask(link)
 
     def find(self, partition: str, term: int) -> SettledStarts | None:
@@ -86,16 +86,16 @@
         now = clock.now()
         for peer, report in self._reports.items():
             settled = report.partitions.get(partition)
-            if settled is None or now - report.asked_at > REPORT_LIFETIME:
+            if settled is None or now - report.requested_at > REPORT_LIFETIME:
                 continue
             if settled.term == term:
                 return peer
         return None
 
     async def _ask(self, link: Link) -> None:
-        asked_at = clock.now()
+        requested_at = clock.now()
         try:
-            request = self._request(link.peer.name, asked_at).pack()
+            request = self._request(link.peer.name, requested_at).pack()
             reply = await link.call(FrameKind.SETTLED_STARTS, request, REPORT_TIMEOUT)
             report = SettledStartsReport.unpack(reply)
         except NoReplyError:
@@ -107,7 +107,7 @@
         self._reports[link.peer.name] = _PeerReport(
             report.incarnation,
             report.number,
-            asked_at,
+            requested_at,
             {settled.partition: settled for settled in report.partitions},
         )
 
--- a/roadbend/controller/rate_sharing.py
+++ b/roadbend/controller/rate_sharing.py
@@ -16,9 +16,9 @@
         await clock.pause(INTERVAL)
         now = clock.now()
         rates = [
-            link.known.heartbeat.request_rates
+            link.peer_state.heartbeat.request_rates
             for link in peers.links.values()
-            if link.alive(now) and link.known.heartbeat
+            if link.alive(now) and link.peer_state.heartbeat
         ]
         budget.share([(rate.state_requests, rate.state_changes) for rate in rates])
         cloud.share([rate.cloud_requests for rate in rates])
--- a/roadbend/controller/reachability.py
+++ b/roadbend/controller/reachability.py
@@ -52,7 +52,7 @@
 
     def _is_silent(self, leader: PartitionLeader, now: datetime) -> bool:
         acquired_at = leader.leadership.acquired_at
-        heard_at = max(
+        received_at = max(
             (
                 m.contact.last_heartbeat_at
                 for m in leader.machines.values()
@@ -60,7 +60,7 @@
             ),
             default=acquired_at,
         )
-        return now - max(heard_at, acquired_at) > self._heartbeat_interval * SILENT_INTERVALS
+        return now - max(received_at, acquired_at) > self._heartbeat_interval * SILENT_INTERVALS
 
     def _is_heard_by_peers(self, partition: str, now: datetime) -> bool:
-        return any(self._peers.heard_machines(partition, now))
+        return any(self._peers.reporting_machines(partition, now))
--- a/roadbend/controller/settled_starts_service.py
+++ b/roadbend/controller/settled_starts_service.py
@@ -23,7 +23,7 @@
         request = SettledStartsRequest.unpack(payload)
         reports = self._context.start_reports
         # What it confirmed by an earlier report is known here before starts are sent anew.
-        self._leaders.note_cancelled(request.cancellations)
+        self._leaders.mark_cancelled(request.cancellations)
         if request.incarnation == self._incarnation:
             reports.acknowledge(sender, request.number)
         settled = tuple(
--- a/roadbend/controller/starts_in_doubt_service.py
+++ b/roadbend/controller/starts_in_doubt_service.py
@@ -25,7 +25,7 @@
 
     def answer(self, jobs: tuple[str, ...]) -> StartsInDoubtReply:
         """Answer for each partition; nothing of these jobs is started here from now on."""
-        self._leaders.note_cancelled(jobs)
+        self._leaders.mark_cancelled(jobs)
         now = clock.now()
         partitions = [_answer_for(leader, jobs, now) for leader in self._leaders.leaders.values()]
         terms = {partition: term.number for partition, term in self._view.terms.items()}
--- a/roadbend/controller/test_cancellation_confirmation.py
+++ b/roadbend/controller/test_cancellation_confirmation.py
@@ -11,7 +11,10 @@
 import trio
 
 from roadbend import clock
-from roadbend.controller.cancellation_confirmation import CancellationConfirmation, max_wait
+from roadbend.controller.cancellation_confirmation import (
+    CancellationConfirmation,
+    max_confirmation_wait,
+)
 from roadbend.controller.cancellations import ConfirmedCancellations
 from roadbend.controller.leaders import PartitionLeaders
 from roadbend.controller.starts_in_doubt_service import StartsInDoubtService
@@ -54,7 +57,7 @@
             SimpleNamespace(links={}),
             None,
             SimpleNamespace(answer=self.answer),
-            SimpleNamespace(hold_all=self.hold_all),
+            SimpleNamespace(are_all_held=self.are_all_held),
             ConfirmedCancellations(SETTINGS.cancel_within),
         )
 
@@ -69,7 +72,7 @@
         self.asked += 1
         return StartsInDoubtReply(self.answers, self.terms)
 
-    async def hold_all(self, _job: str, _attempts: dict[int, Attempt]) -> bool:
+    async def are_all_held(self, _job: str, _attempts: dict[int, Attempt]) -> bool:
         self.inspected += 1
         return self.held
 
@@ -97,7 +100,7 @@
 async def test_a_partition_without_an_answer_is_waited_for_until_the_bound():
     desk = Desk()
     assert not await desk.confirmed()
-    await trio.sleep(max_wait(SETTINGS, OperatorSettings()).total_seconds() - 1)
+    await trio.sleep(max_confirmation_wait(SETTINGS, OperatorSettings()).total_seconds() - 1)
     assert not await desk.confirmed()
     await trio.sleep(1)
     assert await desk.confirmed()
@@ -174,9 +177,11 @@
 def test_the_bound_follows_from_the_settings():
     """The time for a cancellation, or what fences a start and a lease, whichever is longer."""
     operator = OperatorSettings()
-    assert max_wait(SETTINGS, operator) == 38 * S * 1.002 + operator.state_margin
+    assert max_confirmation_wait(SETTINGS, operator) == 38 * S * 1.002 + operator.state_margin
     short = settings_for(0, 1, cancel_within=20 * S)
-    assert max_wait(short, operator) == (18 + 2 + 1.5) * S * 1.002 + operator.state_margin
+    assert (
+        max_confirmation_wait(short, operator) == (18 + 2 + 1.5) * S * 1.002 + operator.state_margin
+    )
 
 
 class SilentLink:
@@ -184,7 +189,7 @@
 
     def __init__(self):
         heartbeat = PeerHeartbeat("b1+starts+gangs", S, None, RequestRates(0, 0, 0))
-        self.known, self.peer = PeerState(heartbeat), SimpleNamespace(name="node-1")
+        self.peer_state, self.peer = PeerState(heartbeat), SimpleNamespace(name="node-1")
         self.asked = 0
 
     def alive(self, _now: datetime) -> bool:
--- a/roadbend/controller/test_peer_start_reports.py
+++ b/roadbend/controller/test_peer_start_reports.py
@@ -38,7 +38,7 @@
 
     def __init__(self):
         self.peer = SimpleNamespace(name="node-1")
-        self.known = SimpleNamespace(supports=lambda _extension: True)
+        self.peer_state = SimpleNamespace(supports=lambda _extension: True)
         self.answer: bytes | None = None
         self.requests: list[SettledStartsRequest] = []
 
@@ -66,7 +66,7 @@
             reader=SimpleNamespace(read_barrier=trio.lowlevel.checkpoint),
             election=SimpleNamespace(leader_of=lambda _partition: SETTINGS.name),
         )
-        unheld = SimpleNamespace(hold_all=self.hold_none)
+        unheld = SimpleNamespace(are_all_held=self.hold_none)
         no_peers = SimpleNamespace(links={})
         # What the leader answers, where it can be asked.
         self.answers: tuple[PartitionStartsInDoubt, ...] = ()
--- a/roadbend/fleet/foreign_heartbeats.py
+++ b/roadbend/fleet/foreign_heartbeats.py
@@ -8,7 +8,7 @@
 
 from roadbend import clock
 from roadbend.fleet.messages import HeartbeatPosition, WorkerHeartbeat
-from roadbend.partitions.unserved import UnservedQuestion
+from roadbend.partitions.unserved import UnservedMachinesQuery
 from roadbend.store.records import INCARNATION_BITS
 
 # Bytes of names of machines that we tell their leader we hear, a partition and all together (a peer
@@ -64,7 +64,7 @@
         """Return when a machine was last heard; raise `KeyError` if it was not."""
         return self._heard[partition][machine]
 
-    def find_unserved(self, question: UnservedQuestion, now: datetime) -> set[str]:
+    def find_unserved(self, question: UnservedMachinesQuery, now: datetime) -> set[str]:
         """Return which machines have lately turned to us, so that their leader does not serve them.
 
         A worker that its leader serves stays with it. What was held back on its way does not count:
--- a/roadbend/fleet/service.py
+++ b/roadbend/fleet/service.py
@@ -17,7 +17,7 @@
 from roadbend.fleet.zone_reachability import ZoneReachability
 from roadbend.http.net import Net
 from roadbend.http.server import MalformedError, Request, Response, decode
-from roadbend.partitions.unserved import UnservedQuestion
+from roadbend.partitions.unserved import UnservedMachinesQuery
 from roadbend.peers.links import Peers
 
 # Most characters of an error that a worker is told.
@@ -115,11 +115,11 @@
             return leader
         return None if other == next_in_ring(name, names) else other
 
-    def count_unserved(self, question: UnservedQuestion, now: datetime) -> int:
+    def count_unserved(self, question: UnservedMachinesQuery, now: datetime) -> int:
         """Count which machines of a silent leader have lately turned to us."""
         return len(self._find_unserved(question, now))
 
-    def _find_unserved(self, question: UnservedQuestion, now: datetime) -> set[str]:
+    def _find_unserved(self, question: UnservedMachinesQuery, now: datetime) -> set[str]:
         """Return which machines of a silent leader have lately turned to us.
 
         After a pause of this process none has: what came meanwhile looks as if it came now.
@@ -134,7 +134,7 @@
 
     def heard_elsewhere(self, partition: str, machine: str, now: datetime) -> bool:
         """Whether a peer tells that it hears a machine of a partition."""
-        return any(machine in names for names in self._peers.heard_machines(partition, now))
+        return any(machine in names for names in self._peers.reporting_machines(partition, now))
 
 
 def _refused(status: int, error: str) -> Response:
--- a/roadbend/fleet/silent_leaders.py
+++ b/roadbend/fleet/silent_leaders.py
@@ -12,7 +12,7 @@
 from roadbend.fleet.avoidance_policy import avoidance_limits
 from roadbend.fleet.leader import Controller
 from roadbend.log import Log
-from roadbend.partitions.unserved import UnservedQuestion
+from roadbend.partitions.unserved import UnservedMachinesQuery
 from roadbend.peers.links import Peers
 from roadbend.store.records import LeaderRecord
 
@@ -21,7 +21,7 @@
 CHECK_INTERVAL = timedelta(seconds=1)
 
 # Returns the machines that have turned to this controller lately.
-FindUnserved = Callable[[UnservedQuestion, datetime], set[str]]
+FindUnserved = Callable[[UnservedMachinesQuery, datetime], set[str]]
 
 
 @dataclass
@@ -102,13 +102,13 @@
         link = self._peers.links.get(leader.controller)
         if link is None or link.alive(now):
             return None
-        return link.known.heard_at
+        return link.peer_state.received_at
 
     def _note_workers(self, partition: str, silence: _Silence, now: datetime) -> None:
         machines = self._controller.view.attempts_by_machine.get(partition, {})
-        question = UnservedQuestion(partition, silence.leader.term, silence.since, machines)
+        question = UnservedMachinesQuery(partition, silence.leader.term, silence.since, machines)
         turned = self._find_unserved(question, now)
-        for names in self._peers.heard_machines(partition, now):
+        for names in self._peers.reporting_machines(partition, now):
             turned.update(name for name in names if name in machines)
         share = self._controller.operator.takeover_share
         silence.most_turned = len(turned) > len(machines) * share
--- a/roadbend/fleet/test_foreign_heartbeats.py
+++ b/roadbend/fleet/test_foreign_heartbeats.py
@@ -10,7 +10,7 @@
 from roadbend.fakes.world import world
 from roadbend.fleet.foreign_heartbeats import UNSERVED_ROUND, ForeignHeartbeats
 from roadbend.fleet.messages import HeartbeatPosition, WorkerHeartbeat
-from roadbend.partitions.unserved import UnservedQuestion
+from roadbend.partitions.unserved import UnservedMachinesQuery
 from roadbend.store.records import INCARNATION_BITS
 
 S = timedelta(seconds=1)
@@ -28,7 +28,7 @@
     tasks=(),
     reported_tasks=None,
 )
-QUESTION = UnservedQuestion("east", TERM, T - 5 * S, {"m-1": None, "m-2": None})
+QUESTION = UnservedMachinesQuery("east", TERM, T - 5 * S, {"m-1": None, "m-2": None})
 
 
 def noted(*rows):
--- a/roadbend/fleet/test_silent_leaders.py
+++ b/roadbend/fleet/test_silent_leaders.py
@@ -34,7 +34,7 @@
         )
         controller = SimpleNamespace(settings=SETTINGS, operator=OPERATOR, view=self.view)
         self.peers = Peers(None, SETTINGS.name, SETTINGS.peers)
-        self.peers.links["node-0"].known.heard_at = HEARD
+        self.peers.links["node-0"].peer_state.received_at = HEARD
         self.leaders = SilentLeaders(
             controller, self.peers, lambda _question, _now: set(self.turned)
         )
@@ -50,10 +50,10 @@
 
     def check(self, now):
         """Check once, with node-2 heard just now."""
-        other = self.peers.links["node-2"].known
-        other.heard_at = now
+        other = self.peers.links["node-2"].peer_state
+        other.received_at = now
         other.heartbeat = PeerHeartbeat(
-            "i2", 100 * S, 0 * S, RequestRates(0, 0, 0), heard_machines={"east": self.told}
+            "i2", 100 * S, 0 * S, RequestRates(0, 0, 0), reporting_machines={"east": self.told}
         )
         self.leaders.check(now)
 
@@ -107,7 +107,7 @@
     watched = Watched()
     assert watched.check_until(LIMITS.min_silence)
     heard_again = HEARD + LIMITS.min_silence + S
-    watched.peers.links["node-0"].known.heard_at = heard_again
+    watched.peers.links["node-0"].peer_state.received_at = heard_again
     assert not watched.leaders.is_avoided("east", heard_again)
     watched.check(heard_again + 4 * S)
     assert not watched.leaders.is_avoided("east", heard_again + 4 * S)
@@ -133,5 +133,5 @@
 def test_a_leader_that_was_never_heard_is_not_avoided():
     """Guards against a silence that has no beginning."""
     watched = Watched()
-    watched.peers.links["node-0"].known.heard_at = None
+    watched.peers.links["node-0"].peer_state.received_at = None
     assert not watched.check_until(LIMITS.min_silence)
--- a/roadbend/partitions/election.py
+++ b/roadbend/partitions/election.py
@@ -117,7 +117,7 @@
         """Tell whether we may renew the leases of workers in partitions that we lead."""
         until = policy.renew_until(
             self._reader.contact,
-            [link.known for link in self._peers.links.values()],
+            [link.peer_state for link in self._peers.links.values()],
             self._settings.cancel_within,
             self._settings.lease,
             self._operator.state_margin,
--- a/roadbend/partitions/live_controllers.py
+++ b/roadbend/partitions/live_controllers.py
@@ -41,7 +41,7 @@
             incarnation=self._incarnation,
             zones=self.zones,
             alive_since=self._alive_since,
-            peers={name: link.known for name, link in self._peers.links.items()},
+            peers={name: link.peer_state for name, link in self._peers.links.items()},
             began_at=self._began_at,
             led=led,
             without_gangs=self._without_gangs(),
--- a/roadbend/partitions/partition_observation.py
+++ b/roadbend/partitions/partition_observation.py
@@ -12,7 +12,7 @@
     NO_MACHINES,
     CountUnserved,
     MachineCounts,
-    UnservedQuestion,
+    UnservedMachinesQuery,
     count_none,
 )
 from roadbend.peers.frames import GANGS_EXTENSION, supports
@@ -126,5 +126,5 @@
         if silent is None:
             return NO_MACHINES
         machines = self._view.attempts_by_machine.get(partition, {})
-        question = UnservedQuestion(partition, recorded.term, silent, machines)
+        question = UnservedMachinesQuery(partition, recorded.term, silent, machines)
         return MachineCounts(len(machines), self.count_unserved(question, now))
--- a/roadbend/partitions/silent_leader.py
+++ b/roadbend/partitions/silent_leader.py
@@ -25,9 +25,9 @@
     """
     if recorded.controller == controllers.name:
         return None
-    heard_at = last_heard(recorded.controller, controllers)
+    received_at = last_heard(recorded.controller, controllers)
     enough = _silence_needed(recorded.controller, controllers, operator)
-    return heard_at if now - heard_at >= enough else None
+    return received_at if now - received_at >= enough else None
 
 
 def _silence_needed(
@@ -38,7 +38,7 @@
     One that restarts is heard again within `takeover_silence`; one that lives, soon after we began.
     """
     peer = controllers.peers.get(controller)
-    if peer is not None and peer.heard_at is not None:
+    if peer is not None and peer.received_at is not None:
         return operator.takeover_silence
     return min(operator.takeover_silence, ALIVE_FOR)
 
@@ -75,5 +75,5 @@
 def last_heard(name: str, controllers: ControllersState) -> datetime:
     """Return when a controller was last heard, at the earliest when we began to listen."""
     peer = controllers.peers.get(name)
-    heard_at = peer.heard_at if peer is not None else None
-    return max(heard_at or controllers.began_at, controllers.began_at)
+    received_at = peer.received_at if peer is not None else None
+    return max(received_at or controllers.began_at, controllers.began_at)
--- a/roadbend/partitions/test_gang_leaders.py
+++ b/roadbend/partitions/test_gang_leaders.py
@@ -50,7 +50,7 @@
 def heard(incarnation, ago=S):
     """Build the state of a peer that was heard some time ago."""
     heartbeat = PeerHeartbeat(incarnation, 100 * S, S, RequestRates(0.0, 0.0, 0.0))
-    return PeerState(heartbeat=heartbeat, asked_at=T - ago, heard_at=T - ago)
+    return PeerState(heartbeat=heartbeat, requested_at=T - ago, received_at=T - ago)
 
 
 def controllers(leader_heard=S, leader="i2", third="i3" + GANGS_EXTENSION, led=("east",)):
--- a/roadbend/partitions/test_partition_observation.py
+++ b/roadbend/partitions/test_partition_observation.py
@@ -35,7 +35,7 @@
         return 1
 
     observer.count_unserved = count
-    peers = {"n2": PeerState(heard_at=T - silent_for)}
+    peers = {"n2": PeerState(received_at=T - silent_for)}
     zones = {"n1": "east", "n2": "west"}
     controllers = ControllersState("n1", "i1", zones, {"n1": T, "n2": T}, peers)
     state = observer.observe("west", None, controllers, T)
--- a/roadbend/partitions/test_policy.py
+++ b/roadbend/partitions/test_policy.py
@@ -23,7 +23,7 @@
 def controllers(**alive_since):
     """Build what n1 of the east knows while it and the named controllers are alive."""
     heartbeat = PeerHeartbeat("i2", 100 * S, S, RequestRates(0.0, 0.0, 0.0))
-    peers = {"n2": PeerState(heartbeat=heartbeat, asked_at=T, heard_at=T)}
+    peers = {"n2": PeerState(heartbeat=heartbeat, requested_at=T, received_at=T)}
     return ControllersState("n1", "i1", ZONES, {"n1": T - 100 * S, **alive_since}, peers)
 
 
@@ -123,6 +123,6 @@
         heartbeat = replace(peer.heartbeat, contact_age=contact_age)
         deaf = replace(known, peers={"n2": replace(peer, heartbeat=heartbeat)})
         assert decision(state, deaf).action is Action.NOTHING
-    silent = replace(known, peers={"n2": replace(peer, heard_at=T - 10 * S)})
+    silent = replace(known, peers={"n2": replace(peer, received_at=T - 10 * S)})
     assert decision(state, silent).action is Action.NOTHING
     assert decision(state, replace(known, peers={})).action is Action.NOTHING
--- a/roadbend/partitions/test_silent_leader_policy.py
+++ b/roadbend/partitions/test_silent_leader_policy.py
@@ -44,8 +44,8 @@
         zones=ZONES,
         alive_since={"n1": T - 100 * S, "n2": T - 100 * S, "n3": T - 100 * S},
         peers={
-            "n2": PeerState(heard_at=T - silent_for),
-            "n3": PeerState(heard_at=T - other_silent_for),
+            "n2": PeerState(received_at=T - silent_for),
+            "n3": PeerState(received_at=T - other_silent_for),
         },
         began_at=began_at,
     )
--- a/roadbend/partitions/unserved.py
+++ b/roadbend/partitions/unserved.py
@@ -6,7 +6,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class UnservedQuestion:
+class UnservedMachinesQuery:
     """Asks how many machines their leader, which is silent, does not serve."""
 
     partition: str
@@ -29,9 +29,9 @@
 NO_MACHINES = MachineCounts()
 
 # Returns how many machines have turned to this controller lately.
-CountUnserved = Callable[[UnservedQuestion, datetime], int]
+CountUnserved = Callable[[UnservedMachinesQuery, datetime], int]
 
 
-def count_none(_question: UnservedQuestion, _now: datetime) -> int:
+def count_none(_question: UnservedMachinesQuery, _now: datetime) -> int:
     """Count no machine: for a controller that hears none."""
     return 0
--- a/roadbend/peers/heartbeat.py
+++ b/roadbend/peers/heartbeat.py
@@ -36,7 +36,7 @@
     # The partitions that the sender leads, with their terms.
     led_partitions: dict[str, int] = field(default_factory=dict)
     # Machines heard lately by partition, for partitions that the sender does not lead.
-    heard_machines: dict[str, tuple[str, ...]] = field(default_factory=dict)
+    reporting_machines: dict[str, tuple[str, ...]] = field(default_factory=dict)
     # Cancellations that the sender confirmed to users, complete for the last `cancellations_span`.
     cancellations_span: timedelta = ZERO
     cancellations: tuple[str, ...] = ()
@@ -50,8 +50,8 @@
         writer.put("H", len(self.led_partitions))
         for partition, term in self.led_partitions.items():
             writer.text(partition).put("Q", term)
-        writer.put("H", len(self.heard_machines))
-        for partition, machines in self.heard_machines.items():
+        writer.put("H", len(self.reporting_machines))
+        for partition, machines in self.reporting_machines.items():
             writer.text(partition).texts(machines)
         return writer.texts(self.cancellations).payload()
 
@@ -66,10 +66,10 @@
         for _ in range(reader.read_one("H")):
             partition = reader.text()
             led_partitions[partition] = reader.read_one("Q")
-        heard_machines = {}
+        reporting_machines = {}
         for _ in range(reader.read_one("H")):
             partition = reader.text()
-            heard_machines[partition] = reader.texts()
+            reporting_machines[partition] = reader.texts()
         cancellations = reader.texts()
         reader.expect_end()
         return PeerHeartbeat(
@@ -78,7 +78,7 @@
             contact_age=None if contact_age == _NO_CONTACT else timedelta(milliseconds=contact_age),
             request_rates=RequestRates(state_requests, state_changes, cloud_requests),
             led_partitions=led_partitions,
-            heard_machines=heard_machines,
+            reporting_machines=reporting_machines,
             cancellations_span=timedelta(milliseconds=span),
             cancellations=cancellations,
         )
@@ -98,8 +98,8 @@
 
     heartbeat: PeerHeartbeat | None = None
     # When the heartbeat that it answered was sent, and when the answer came.
-    asked_at: datetime | None = None
-    heard_at: datetime | None = None
+    requested_at: datetime | None = None
+    received_at: datetime | None = None
     # All cancellations that the peer confirmed to users before this instant are known here, by its
     # own word.
     cancellation_watermark: datetime | None = None
@@ -107,7 +107,7 @@
     def update(
         self,
         heartbeat: PeerHeartbeat,
-        asked_at: datetime,
+        requested_at: datetime,
         now: datetime,
         contact: datetime | None,
     ) -> None:
@@ -121,8 +121,8 @@
         known_until = self.cancellations_known_until(contact)
         covered = min(heartbeat.uptime, heartbeat.cancellations_span) * (1 - DRIFT) - _ROUNDING
         if known_until is not None and now - covered <= known_until:
-            self.cancellation_watermark = max(known_until, asked_at)
-        self.heartbeat, self.asked_at, self.heard_at = heartbeat, asked_at, now
+            self.cancellation_watermark = max(known_until, requested_at)
+        self.heartbeat, self.requested_at, self.received_at = heartbeat, requested_at, now
 
     def cancellations_known_until(self, contact: datetime | None) -> datetime | None:
         """Return before which instant all of the peer's cancellations are known here.
@@ -134,7 +134,7 @@
 
     def alive(self, now: datetime) -> bool:
         """Tell whether the peer was heard lately."""
-        return self.heard_at is not None and now - self.heard_at < ALIVE_FOR
+        return self.received_at is not None and now - self.received_at < ALIVE_FOR
 
     def supports(self, extension: str) -> bool:
         """Tell whether the peer understands an extension of version 2 of the frames.
--- a/roadbend/peers/links.py
+++ b/roadbend/peers/links.py
@@ -51,8 +51,8 @@
     def build(self) -> PeerHeartbeat:
         """Build a heartbeat of what is known now."""
 
-    def on_reply(self, link: "Link", heartbeat: PeerHeartbeat, asked_at: datetime) -> None:
-        """Take in a peer's answer to a heartbeat that was sent at `asked_at`."""
+    def on_reply(self, link: "Link", heartbeat: PeerHeartbeat, requested_at: datetime) -> None:
+        """Take in a peer's answer to a heartbeat that was sent at `requested_at`."""
 
 
 class Link:
@@ -60,7 +60,7 @@
 
     def __init__(self, net: Net, peer: Peer, controller: str, rng: random.Random) -> None:
         self.peer = peer
-        self.known = PeerState()
+        self.peer_state = PeerState()
         self._net = net
         self._controller = controller
         self._rng = rng
@@ -72,7 +72,7 @@
 
     def alive(self, now: datetime) -> bool:
         """Tell whether the peer was heard lately."""
-        return self.known.alive(now)
+        return self.peer_state.alive(now)
 
     async def call(self, kind: FrameKind, payload: bytes, within: timedelta) -> bytes:
         """Send a call, and return its reply's payload; raise `NoReplyError` if none comes."""
@@ -150,10 +150,10 @@
 
     async def exchange_heartbeats(self, exchange: HeartbeatExchange) -> bool:
         """Exchange heartbeats once; return whether the peer has taken in ours."""
-        asked_at = clock.now()
+        requested_at = clock.now()
         try:
             reply = await self.call(FrameKind.HEARTBEAT, exchange.build().pack(), HEARTBEAT_TIMEOUT)
-            exchange.on_reply(self, PeerHeartbeat.unpack(reply), asked_at)
+            exchange.on_reply(self, PeerHeartbeat.unpack(reply), requested_at)
         except (NoReplyError, FrameError):
             return False
         return True
@@ -209,11 +209,11 @@
         """List the controllers that were heard lately."""
         return [name for name, link in self.links.items() if link.alive(now)]
 
-    def heard_machines(self, partition: str, now: datetime) -> Iterator[tuple[str, ...]]:
+    def reporting_machines(self, partition: str, now: datetime) -> Iterator[tuple[str, ...]]:
         """Yield which machines of a partition each live controller hears without leading it."""
         for link in self.links.values():
-            if link.alive(now) and link.known.heartbeat is not None:
-                yield link.known.heartbeat.heard_machines.get(partition, ())
+            if link.alive(now) and link.peer_state.heartbeat is not None:
+                yield link.peer_state.heartbeat.reporting_machines.get(partition, ())
 
     async def serve(self, stream: trio.abc.Stream) -> None:
         """Answer the calls of one connection until it ends."""
--- a/roadbend/recovery/gate.py
+++ b/roadbend/recovery/gate.py
@@ -91,9 +91,9 @@
         if now - self._controller.began > limit:
             return False
         ages = [
-            link.known.heartbeat.uptime
+            link.peer_state.heartbeat.uptime
             for link in self._controller.peers.links.values()
-            if link.alive(now) and link.known.heartbeat is not None
+            if link.alive(now) and link.peer_state.heartbeat is not None
         ]
         return all(age < limit for age in ages)
 
--- a/roadbend/recovery/service.py
+++ b/roadbend/recovery/service.py
@@ -132,9 +132,9 @@
         """Return since when every live controller was heard; now where there is none."""
         now = clock.now()
         heard = [
-            link.known.asked_at
+            link.peer_state.requested_at
             for link in self._controller.peers.links.values()
-            if link.alive(now) and link.known.asked_at is not None
+            if link.alive(now) and link.peer_state.requested_at is not None
         ]
         return min(heard, default=now)
 
--- a/tests/compatibility/adapter.py
+++ b/tests/compatibility/adapter.py
@@ -189,7 +189,9 @@
         "contact_age_s": _seconds(heartbeat.contact_age),
         "used_per_s": list(heartbeat.request_rates),
         "owned_terms": heartbeat.led_partitions,
-        "machines_heard": {part: list(names) for part, names in heartbeat.heard_machines.items()},
+        "machines_heard": {
+            part: list(names) for part, names in heartbeat.reporting_machines.items()
+        },
         "cancellations_span_s": _seconds(heartbeat.cancellations_span),
         "cancelled_jobs": list(heartbeat.cancellations),
     }
--- a/tests/scenarios/test_confirmed_cancellations.py
+++ b/tests/scenarios/test_confirmed_cancellations.py
@@ -21,7 +21,7 @@
 from roadbend import clock
 from roadbend.controller import Controller
 from roadbend.controller.attempts_on_machines import AttemptsOnMachines
-from roadbend.controller.cancellation_confirmation import max_wait
+from roadbend.controller.cancellation_confirmation import max_confirmation_wait
 from roadbend.fakes.previous_version import Version090Controller
 from roadbend.fakes.scenario import TEAMS, name
 from roadbend.fakes.submission import gang, job
@@ -247,7 +247,7 @@
         w.nursery.start_soon(w.cut_pairs, pairs, 90.0)
         await cancellation_recorded(w, 1)
         settings = w.controllers["node-1"].settings
-        bound = max_wait(settings, w.operator).total_seconds()
+        bound = max_confirmation_wait(settings, w.operator).total_seconds()
         assert bound < USERS_PATIENCE_S
         began = trio.current_time()
         status = 0
@@ -386,15 +386,15 @@
         node = w.controllers["node-1"]
         machines = AttemptsOnMachines(w.network.port("node-1"), node.fleet.inventory)
         (attempts,) = (s.attempts for s in node.view.job_slices["east"].values() if s.job == KEPT)
-        assert await machines.hold_all(KEPT, attempts)
+        assert await machines.are_all_held(KEPT, attempts)
         for lacking in (
             {**attempts, 1: Attempt(9, machine)},
             {0: Attempt(attempts[0].number + 1, machine)},
             {0: Attempt(attempts[0].number, "m-999999")},
         ):
-            assert not await machines.hold_all(KEPT, lacking)
+            assert not await machines.are_all_held(KEPT, lacking)
         w.network.cut("node-1", machine)
-        assert not await machines.hold_all(KEPT, attempts)
+        assert not await machines.are_all_held(KEPT, attempts)
         w.network.heal("node-1", machine)
 
 
--- a/tests/scenarios/test_leaders_told.py
+++ b/tests/scenarios/test_leaders_told.py
@@ -3,7 +3,7 @@
 import threading
 from types import SimpleNamespace
 
-from roadbend.controller.leader_questions import LeaderQuestions
+from roadbend.controller.leader_questions import LeaderQueries
 from roadbend.controller.leaders import PartitionLeaders
 from roadbend.placement.cancellations import Cancellations
 from roadbend.store.record_view import RecordView
@@ -26,10 +26,10 @@
     }
     context = SimpleNamespace(cancellations=Cancellations(RecordView()))
     partition_leaders = PartitionLeaders(context, None, None, leaders)
-    partition_leaders.note_cancelled((JOB,))
+    partition_leaders.mark_cancelled((JOB,))
     assert marked == ["east", "west"]
     # Nothing is marked anew where nothing is news.
-    partition_leaders.note_cancelled((JOB,))
+    partition_leaders.mark_cancelled((JOB,))
     assert marked == ["east", "west"]
 
 
@@ -37,7 +37,7 @@
     """A link to a controller of 0.9.0, which does not know the question for starts."""
 
     def __init__(self):
-        self.known = SimpleNamespace(supports=lambda _extension: False)
+        self.peer_state = SimpleNamespace(supports=lambda _extension: False)
         self.told = 0
 
     async def exchange_heartbeats(self, _exchange) -> bool:
@@ -49,6 +49,6 @@
     """Guards against a leader that goes on starting until the next regular heartbeat."""
     link, other = OldLink(), OldLink()
     peers = SimpleNamespace(links={"node-1": link, "node-2": other})
-    questions = LeaderQuestions("node-0", peers, None, None)
-    assert await questions.ask(JOB, {"node-1"}) == []
+    queries = LeaderQueries("node-0", peers, None, None)
+    assert await queries.query(JOB, {"node-1"}) == []
     assert (link.told, other.told) == (1, 0)
--- a/tests/scenarios/test_workers_of_silent_leaders.py
+++ b/tests/scenarios/test_workers_of_silent_leaders.py
@@ -17,7 +17,7 @@
 from roadbend.fakes.worker import RETRY_PAUSE_S
 from roadbend.fakes.world import World, world
 from roadbend.fleet.worker_timing import MAX_FAILED_REDIRECT
-from roadbend.partitions.unserved import UnservedQuestion
+from roadbend.partitions.unserved import UnservedMachinesQuery
 from roadbend.settings import Team
 from tests.scenarios.test_silent_leaders import (
     ACQUIRING_S,
@@ -167,8 +167,8 @@
 
         def all_counted(name: str) -> bool:
             controller = w.controllers[name]
-            heard_at = controller.peers.links["node-0"].known.heard_at
-            question = UnservedQuestion("east", before, heard_at, machines)
+            received_at = controller.peers.links["node-0"].peer_state.received_at
+            question = UnservedMachinesQuery("east", before, received_at, machines)
             return controller.fleet.count_unserved(question, clock.now()) == len(machines)
 
         within = first_expiry(w) - trio.current_time()
