--- a/roadbend/controller/cancellation_confirmation.py
+++ b/roadbend/controller/cancellation_confirmation.py
@@ -13,10 +13,10 @@
 
 from roadbend import clock
 from roadbend.controller.attempts_on_machines import AttemptsOnMachines
-from roadbend.controller.cancellation_look import CancellationCheck, Evidence, Missing
+from roadbend.controller.cancellation_check import CancellationCheck, Evidence, Missing
 from roadbend.controller.cancellations import ConfirmedCancellations
 from roadbend.controller.leader_evidence import LeaderEvidence
-from roadbend.controller.leader_questions import LeaderQueries, all_settled
+from roadbend.controller.leader_queries import LeaderQueries, all_settled
 from roadbend.controller.machine_evidence import MachineEvidence
 from roadbend.controller.peer_start_reports import NO_MORE_STARTS, PeerStartReports
 from roadbend.controller.starts_in_doubt_service import StartsInDoubtService
--- a/roadbend/controller/leader_evidence.py
+++ b/roadbend/controller/leader_evidence.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterable
 
-from roadbend.controller.cancellation_look import CancellationCheck, Evidence, Missing
+from roadbend.controller.cancellation_check import CancellationCheck, Evidence, Missing
 from roadbend.controller.peer_start_reports import PeerStartReports
 from roadbend.peers.starts_in_doubt import PartitionStartsInDoubt
 from roadbend.store.record_view import RecordView
--- a/roadbend/controller/machine_evidence.py
+++ b/roadbend/controller/machine_evidence.py
@@ -1,7 +1,7 @@
 """Ask machines for the attempts of a cancelled job, where its leader can't be asked."""
 
 from roadbend.controller.attempts_on_machines import AttemptsOnMachines
-from roadbend.controller.cancellation_look import CancellationCheck, Evidence
+from roadbend.controller.cancellation_check import CancellationCheck, Evidence
 from roadbend.peers.frames import SETTLED_EXTENSION, supports
 from roadbend.store.record_view import JobSlice, RecordView
 
--- a/tests/scenarios/test_leaders_told.py
+++ b/tests/scenarios/test_leaders_told.py
@@ -3,7 +3,7 @@
 import threading
 from types import SimpleNamespace
 
-from roadbend.controller.leader_questions import LeaderQueries
+from roadbend.controller.leader_queries import LeaderQueries
 from roadbend.controller.leaders import PartitionLeaders
 from roadbend.placement.cancellations import Cancellations
 from roadbend.store.record_view import RecordView
