--- a/roadbend/autoscaler/inventory_loop.py
+++ b/roadbend/autoscaler/inventory_loop.py
@@ -41,7 +41,7 @@
                 continue
             try:
                 machines = await self._cloud.list_machines()
-                self._inventory.take(machines)
+                self._inventory.update(machines)
                 self._note_unknown(machines)
             except (NoAnswerError, CloudBusyError, NoCapacityError) as error:
                 log.debug("machine-list-unavailable", error=str(error)[:60])
--- a/roadbend/autoscaler/service.py
+++ b/roadbend/autoscaler/service.py
@@ -76,7 +76,7 @@
 
     def closed(self, partition: str, now: datetime) -> set[MachineKind]:
         """Return the kinds of machines that can't be created in a partition now."""
-        if self._fleet.reachability.is_cut(partition, now):
+        if self._fleet.reachability.is_unreachable(partition, now):
             # What is created behind a network partition comes up unheard.
             return {
                 MachineKind(machine_type, spot)
@@ -100,7 +100,7 @@
     async def _delete_never_registered(self, leader: PartitionLeader, now: datetime) -> None:
         partition = leader.partition
         late = self._booting.never_registered(leader, now)
-        if not late or self._fleet.reachability.is_cut(partition, now):
+        if not late or self._fleet.reachability.is_unreachable(partition, now):
             return
         log.info(
             "machines-never-registered",
--- a/roadbend/controller/controller.py
+++ b/roadbend/controller/controller.py
@@ -112,7 +112,7 @@
         self.election.observer.count_unserved = self.fleet.count_unserved
         self.election.reaches_machines = MachineReach(
             net, self.fleet.inventory, self.view
-        ).is_reached
+        ).is_reachable
         self.election.changed.append(self.partition_leaders.on_leadership)
         # What else runs as long as the controller does, such as recovery where it is switched on.
         self.background: list[Callable[[], Awaitable[None]]] = []
--- a/roadbend/controller/heartbeats.py
+++ b/roadbend/controller/heartbeats.py
@@ -50,7 +50,7 @@
                 partition: leadership.term
                 for partition, leadership in self._context.election.leaderships.items()
             },
-            heard_machines=self._fleet.heard(now),
+            heard_machines=self._fleet.foreign_machines(now),
             cancellations_span=cancellations.span,
             cancellations=cancellations.jobs,
         )
--- a/roadbend/fleet/cloud_inventory.py
+++ b/roadbend/fleet/cloud_inventory.py
@@ -16,7 +16,7 @@
         # In the order in which they were first listed.
         self._was_listed: dict[str, None] = {}
 
-    def take(self, rows: list[ListedMachine]) -> None:
+    def update(self, rows: list[ListedMachine]) -> None:
         """Replace what is listed by a list that was read anew."""
         self.rows = {row.id: row for row in rows}
         self.reads += 1
--- a/roadbend/fleet/direct_commands.py
+++ b/roadbend/fleet/direct_commands.py
@@ -148,7 +148,7 @@
             return
         log.info("direct-start-unanswered", partition=leader.partition, machine=name)
         if leader.machines.get(name) is machine:
-            machine.fence()
+            machine.raise_token()
             await self._raise_token(leader, machine)
 
     def _may_start_on(self, leader: Leader, machine: Machine, now: datetime) -> bool:
@@ -226,7 +226,7 @@
                     sent_at is not None and now - sent_at < STOP_AGAIN_AFTER
                 ):
                     continue
-                spaced_out = leader.recovery.spaces_out(key, stop, now)
+                spaced_out = leader.recovery.should_delay_stop(key, stop, now)
                 if spaced_out or stop.machine in stopping:
                     continue
                 if stop.machine in leader.machines:
--- a/roadbend/fleet/direct_starts.py
+++ b/roadbend/fleet/direct_starts.py
@@ -31,7 +31,7 @@
     epoch = machine.contact.position.epoch
     for key, attempt in starts:
         start = machine.token.direct_starts[key] = DirectStart(attempt.number, epoch)
-        leader.starts_in_doubt.note_direct(machine, key, start)
+        leader.starts_in_doubt.record_direct_start(machine, key, start)
     machine.last_evaluation.invalidate()
     machine.contact.lease_started_at = now
     return epoch
--- a/roadbend/fleet/fencing.py
+++ b/roadbend/fleet/fencing.py
@@ -4,7 +4,7 @@
 from roadbend.cloud.client import CloudBusyError, NoCapacityError
 from roadbend.fleet.deletions import Deletions
 from roadbend.fleet.leader import Controller, Leader
-from roadbend.fleet.liveness_policy import LeaseTerms, is_lease_expired
+from roadbend.fleet.liveness_policy import LeaseTimes, is_lease_expired
 from roadbend.fleet.terminations import TerminationEvidence
 from roadbend.http.client import NoAnswerError
 from roadbend.log import Log
@@ -48,7 +48,7 @@
     def expire(self, leader: Leader, name: str) -> None:
         """Give the attempts of a machine up if its worker's lease has expired."""
         settings, operator = self._controller.settings, self._controller.operator
-        terms = LeaseTerms.of(leader.leadership, settings, operator)
+        terms = LeaseTimes.of(leader.leadership, settings, operator)
         expired = is_lease_expired(leader.machines.get(name), terms, clock.now())
         if expired and leader.records.attempts_by_machine().get(name):
             log.info("worker-lease-expired", partition=leader.partition, machine=name)
--- a/roadbend/fleet/heartbeat_evaluation.py
+++ b/roadbend/fleet/heartbeat_evaluation.py
@@ -60,7 +60,7 @@
     may_send: Callable[[TaskKey, Attempt], bool] = _may_send_any
 
 
-def read(
+def evaluate(
     machine: Machine,
     heartbeat: WorkerHeartbeat,
     token: int,
@@ -140,7 +140,7 @@
             and machine.settled(key, attempt.number, self.heartbeat, self.current)
         ):
             evidence = TerminationEvidence.ABSENT
-            expected.ended.note(key, Termination(attempt.number, machine.id, False, evidence))
+            expected.ended.add(key, Termination(attempt.number, machine.id, False, evidence))
 
 
 def _note_machine(
@@ -219,10 +219,10 @@
     `done` stays true however old the heartbeat is; any other end is proven by a current one only.
     """
     if task.cause == EndCause.DONE:
-        ended.note(key, Termination(task.attempt, machine.id, True, EndCause.DONE))
+        ended.add(key, Termination(task.attempt, machine.id, True, EndCause.DONE))
     elif current:
         cause = task.cause or TerminationEvidence.ENDED
-        ended.note(key, Termination(task.attempt, machine.id, False, cause))
+        ended.add(key, Termination(task.attempt, machine.id, False, cause))
 
 
 def _stop(task: TaskStatus, stop: StopOrder, shown_for: timedelta) -> StopTask:
--- a/roadbend/fleet/leader.py
+++ b/roadbend/fleet/leader.py
@@ -46,7 +46,7 @@
 class StopSpacing(Protocol):
     """Whether direct commands to stop may wait."""
 
-    def spaces_out(self, key: TaskKey, stop: StopOrder, now: datetime) -> bool:
+    def should_delay_stop(self, key: TaskKey, stop: StopOrder, now: datetime) -> bool:
         """Whether the direct command for a stop may wait."""
 
 
@@ -83,7 +83,7 @@
 class LeaderStartsInDoubt(Protocol):
     """The starts that a leader has sent and that may still be carried out."""
 
-    def note_direct(self, machine: Machine, key: TaskKey, start: DirectStart) -> None:
+    def record_direct_start(self, machine: Machine, key: TaskKey, start: DirectStart) -> None:
         """Note a direct start before it is sent."""
 
 
--- a/roadbend/fleet/liveness_policy.py
+++ b/roadbend/fleet/liveness_policy.py
@@ -69,7 +69,7 @@
 
 
 @dataclass(frozen=True)
-class LeaseTerms:
+class LeaseTimes:
     """Times by which a worker's lease is judged."""
 
     acquired_at: datetime
@@ -80,7 +80,7 @@
     @classmethod
     def of(
         cls, leadership: Leadership, settings: PlatformSettings, operator: OperatorSettings
-    ) -> "LeaseTerms":
+    ) -> "LeaseTimes":
         """Return the times that hold for the machines of a partition."""
         return cls(
             leadership.acquired_at, settings.lease, settings.cancel_within, operator.state_margin
@@ -91,7 +91,7 @@
         return started_at + length * (1 + 2 * clock.DRIFT) + self.margin
 
 
-def is_lease_expired(machine: Machine | None, terms: LeaseTerms, now: datetime) -> bool:
+def is_lease_expired(machine: Machine | None, terms: LeaseTimes, now: datetime) -> bool:
     """Whether the worker's own lease has certainly expired, so that it has stopped its tasks."""
     started_at = machine.contact.lease_started_at if machine is not None else None
     if machine is not None and machine.token.confirmed:
--- a/roadbend/fleet/machine_reach.py
+++ b/roadbend/fleet/machine_reach.py
@@ -25,7 +25,7 @@
         # By partition, until when it counts as out of reach.
         self._out_of_reach: dict[str, datetime] = {}
 
-    async def is_reached(self, partition: str) -> bool:
+    async def is_reachable(self, partition: str) -> bool:
         """Tell whether the machines that run a partition's gangs answer us, or nothing runs there.
 
         All that are asked have to, but for those that have failed: one that is lost to us ends its
--- a/roadbend/fleet/machines.py
+++ b/roadbend/fleet/machines.py
@@ -88,11 +88,11 @@
     # A heartbeat came that was not newer than the last: a late copy, or the machine restarted.
     suspected: bool = False
 
-    def fresh(self, now: datetime, silent_after: timedelta) -> bool:
+    def is_responsive(self, now: datetime, silent_after: timedelta) -> bool:
         """Whether an answer of ours reached the machine within this time."""
         return self.acknowledged_at is not None and now - self.acknowledged_at < silent_after
 
-    def take_in(self, position: HeartbeatPosition, now: datetime) -> None:
+    def advance_to(self, position: HeartbeatPosition, now: datetime) -> None:
         """Advance to a newer heartbeat, which is, or may be, answered."""
         self.position = position
         self.lease_started_at = now
@@ -101,7 +101,7 @@
         """Whether nothing newer of the machine has been admitted than this heartbeat."""
         return self.position == heartbeat.position
 
-    def note_heartbeat(self, now: datetime, heartbeat_interval: timedelta) -> None:
+    def record_heartbeat(self, now: datetime, heartbeat_interval: timedelta) -> None:
         """Note when a heartbeat came, and infer whether the one before it was answered."""
         last, self.last_heartbeat_at = self.last_heartbeat_at, now
         if last is None or now - last < heartbeat_interval * HEARTBEAT_JITTER + ANSWERED_WITHIN:
@@ -193,7 +193,7 @@
         ):
             contact.suspected = True
             return False
-        contact.take_in(heartbeat.position, now)
+        contact.advance_to(heartbeat.position, now)
         return True
 
     def settled(
@@ -205,7 +205,7 @@
             return True
         return start.is_settled(heartbeat, current)
 
-    def fence(self) -> None:
+    def raise_token(self) -> None:
         """Raise the token, because nobody knows what became of a direct start.
 
         Nothing more is started here before the machine shows the new token.
@@ -222,7 +222,7 @@
         self.token.incarnation = incarnation
         self.last_evaluation = HeartbeatEvaluationCache()
 
-    def restart(self, position: HeartbeatPosition) -> None:
+    def record_restart(self, position: HeartbeatPosition) -> None:
         """Begin a new incarnation, which counts its heartbeats anew from this position."""
         self.contact.position, self.contact.suspected = position, False
         self.token.advance()
@@ -231,7 +231,7 @@
         self.tasks, self.images, self.unrecorded_tasks = {}, {}, 0
         self.last_evaluation = HeartbeatEvaluationCache()
 
-    def note_image(self, image: str, gb: float, cache_gb: float) -> None:
+    def record_image(self, image: str, gb: float, cache_gb: float) -> None:
         """Note that an image was used; the most recently used images stay in the cache."""
         self.images.pop(image, None)
         self.images[image] = gb
--- a/roadbend/fleet/service.py
+++ b/roadbend/fleet/service.py
@@ -128,7 +128,7 @@
             return set()
         return self.foreign_heartbeats.find_unserved(question, now)
 
-    def heard(self, now: datetime) -> dict[str, tuple[str, ...]]:
+    def foreign_machines(self, now: datetime) -> dict[str, tuple[str, ...]]:
         """Return the machines of other leaders' partitions that we hear, by partition."""
         return self.foreign_heartbeats.machines(now, self._leaders)
 
--- a/roadbend/fleet/terminations.py
+++ b/roadbend/fleet/terminations.py
@@ -80,7 +80,7 @@
         """Return a copy of all tasks with their terminations."""
         return list(self._ends.items())
 
-    def note(self, key: tuple[str, int], end: Termination) -> None:
+    def add(self, key: tuple[str, int], end: Termination) -> None:
         """Note a termination; the first one of a task stands, unless the task turns out done."""
         known = self._ends.get(TaskKey(*key))
         if known is not None and (known.done or not end.done):
--- a/roadbend/fleet/test_direct_stops.py
+++ b/roadbend/fleet/test_direct_stops.py
@@ -21,13 +21,13 @@
     """Guards against direct stops to tasks that their machines have just shown to lack."""
     ended = Terminations()
     if proven_gone:
-        ended.note(KEY, Termination(70, "m-1", False, "absent"))
+        ended.add(KEY, Termination(70, "m-1", False, "absent"))
     leader = SimpleNamespace(
         lock=threading.RLock(),
         leadership=SimpleNamespace(term=7),
         stops=SimpleNamespace(order_all_cancelled=lambda _now: None, items={KEY: STOP}.items),
         terminations=ended,
-        recovery=SimpleNamespace(spaces_out=lambda *_arguments: False),
+        recovery=SimpleNamespace(should_delay_stop=lambda *_arguments: False),
         machines={"m-1": object()},
     )
     commands = DirectCommands(SimpleNamespace(), None, {})
--- a/roadbend/fleet/test_large_fleet.py
+++ b/roadbend/fleet/test_large_fleet.py
@@ -23,13 +23,13 @@
 def test_a_machine_that_left_a_list_of_thousands_is_known_to_be_gone(monkeypatch):
     """With more than 4,096 names the list once forgot what it had shown before."""
     machines = CloudInventory()
-    machines.take(listed(range(6000)))
-    machines.take(listed(range(100, 6000)))
+    machines.update(listed(range(6000)))
+    machines.update(listed(range(100, 6000)))
     assert machines.has_left("m-000099") and not machines.has_left("m-000100")
     assert not machines.has_left("m-009999")
     # It is bounded all the same; what left first is forgotten first.
     monkeypatch.setattr(cloud_inventory, "MAX_REMEMBERED", 150)
-    machines.take(listed(range(200, 6000)))
+    machines.update(listed(range(200, 6000)))
     assert machines.has_left("m-000199") and not machines.has_left("m-000049")
     assert len(machines._was_listed) == 5800 + 150
 
--- a/roadbend/fleet/test_machine_incarnations.py
+++ b/roadbend/fleet/test_machine_incarnations.py
@@ -79,7 +79,7 @@
             await trio.sleep(1)
         assert last.position == (copies[2]["stint"], copies[2]["tick"])
         await trio.sleep(3)
-        assert w.controllers["node-1"].fleet.heard(last.at + timedelta(seconds=7)) == {}
+        assert w.controllers["node-1"].fleet.foreign_machines(last.at + timedelta(seconds=7)) == {}
         assert w.board.running("run-000002") and len(w.board.starts) == 1
 
 
--- a/roadbend/fleet/test_machine_reach.py
+++ b/roadbend/fleet/test_machine_reach.py
@@ -23,7 +23,7 @@
         if self.names:
             self.view.put(keys.slice_key("east", "run-1", 0), slice_value(self.names), 1)
         if listed:
-            self.inventory.take([listed_machine(name) for name in self.names])
+            self.inventory.update([listed_machine(name) for name in self.names])
         self.reach = MachineReach(None, self.inventory, self.view)
         monkeypatch.setattr(machine_reach, "inspect_machine", self.inspect)
 
@@ -58,7 +58,7 @@
     """Guards against a gang that ends since one of its machines does not reach the new leader."""
     machines = Machines(monkeypatch, 4)
     machines.answering = set(machines.names[:answering])
-    assert await machines.reach.is_reached("east") is reached
+    assert await machines.reach.is_reachable("east") is reached
 
 
 async def test_machines_that_have_failed_by_the_cloud_need_not_answer(monkeypatch):
@@ -66,47 +66,47 @@
     machines = Machines(monkeypatch, 4)
     machines.answering = set(machines.names[1:])
     failed = listed_machine(machines.names[0], MachineStatus.FAILED)
-    machines.inventory.take([failed, *(listed_machine(name) for name in machines.names[1:])])
-    assert await machines.reach.is_reached("east")
+    machines.inventory.update([failed, *(listed_machine(name) for name in machines.names[1:])])
+    assert await machines.reach.is_reachable("east")
 
 
 async def test_machines_that_run_gangs_are_asked_before_others(monkeypatch):
     machines = Machines(monkeypatch, 4)
     machines.view.put(keys.slice_key("east", "run-2", 0), slice_value(["m-900"]), 2)
     machines.view.put(keys.gang_key("run-2"), {}, 2)
-    machines.inventory.take([listed_machine("m-900")])
+    machines.inventory.update([listed_machine("m-900")])
     machines.answering = {"m-900"}
-    assert await machines.reach.is_reached("east")
+    assert await machines.reach.is_reachable("east")
     assert machines.asked == ["m-900"]
 
 
 async def test_a_partition_in_which_nothing_runs_is_in_reach(monkeypatch):
-    assert await Machines(monkeypatch, 0).reach.is_reached("east")
+    assert await Machines(monkeypatch, 0).reach.is_reachable("east")
 
 
 async def test_it_is_not_in_reach_while_its_machines_are_not_listed_and_is_asked_again_at_once(
     monkeypatch,
 ):
     machines = Machines(monkeypatch, 4, listed=False)
-    assert not await machines.reach.is_reached("east") and machines.asked == []
-    machines.inventory.take([listed_machine(name) for name in machines.names])
-    assert await machines.reach.is_reached("east")
+    assert not await machines.reach.is_reachable("east") and machines.asked == []
+    machines.inventory.update([listed_machine(name) for name in machines.names])
+    assert await machines.reach.is_reachable("east")
 
 
 async def test_a_partition_out_of_reach_is_asked_again_only_after_a_while(monkeypatch):
     """Guards against an election that waits for silent machines in each of its rounds."""
     machines = Machines(monkeypatch, 4)
     machines.answering = set()
-    assert not await machines.reach.is_reached("east")
+    assert not await machines.reach.is_reachable("east")
     machines.answering = set(machines.names)
     await trio.sleep(RETRY_INTERVAL.total_seconds() - 1)
-    assert not await machines.reach.is_reached("east")
+    assert not await machines.reach.is_reachable("east")
     await trio.sleep(2)
-    assert await machines.reach.is_reached("east")
+    assert await machines.reach.is_reachable("east")
 
 
 async def test_of_many_machines_a_few_are_asked_from_the_first_to_the_last_ones(monkeypatch):
     machines = Machines(monkeypatch, 1000)
-    assert await machines.reach.is_reached("east")
+    assert await machines.reach.is_reachable("east")
     assert len(machines.asked) == MAX_ASKED
     assert min(machines.asked) == "m-000" and max(machines.asked) == "m-875"
--- a/roadbend/fleet/test_machines.py
+++ b/roadbend/fleet/test_machines.py
@@ -69,7 +69,7 @@
             self.may_start,
             self.elsewhere.get,
         )
-        return heartbeat_evaluation.read(self.machine, seen, TERM, expected, NOW)
+        return heartbeat_evaluation.evaluate(self.machine, seen, TERM, expected, NOW)
 
 
 def verbs(orders):
@@ -97,7 +97,7 @@
     # Never answered: the machine must show the higher token first.
     machine.token.direct_starts[KEY].acknowledged_position = None
     incarnation = machine.token.incarnation
-    machine.fence()
+    machine.raise_token()
     assert machine.token.incarnation == incarnation + 1 and not machine.token.confirmed
     assert settled(9) and not settled(9, current=False)
 
@@ -202,13 +202,13 @@
 def test_an_attempt_that_is_proven_gone_is_not_ordered_while_the_records_name_it():
     for cause in ("lease", "absent", "error", "deleted"):
         desk = Desk()
-        desk.ended.note(KEY, Termination(70, "m-1", False, cause))
+        desk.ended.add(KEY, Termination(70, "m-1", False, cause))
         assert desk.take(epoch=2, sequence=6) == [] and desk.ended[KEY].cause == cause
 
 
 def test_a_later_report_that_shows_an_attempt_alive_withdraws_the_proof_but_not_a_result(caplog):
     desk = Desk()
-    desk.ended.note(KEY, Termination(70, "m-1", False, "lease"))
+    desk.ended.add(KEY, Termination(70, "m-1", False, "lease"))
     with caplog.at_level("WARNING"):
         assert desk.take(tasks=[("run-000001/0", 70, "running", None)]) == []
     assert KEY not in desk.ended
--- a/roadbend/fleet/zone_reachability.py
+++ b/roadbend/fleet/zone_reachability.py
@@ -64,7 +64,7 @@
         silent = known - {
             machine.id
             for machine in leader.machines.values()
-            if machine.contact.fresh(now, silent_after)
+            if machine.contact.is_responsive(now, silent_after)
         }
         settled = now - leader.leadership.acquired_at > interval * SETTLED_INTERVALS
         if (
@@ -76,7 +76,7 @@
         else:
             self._cut.pop(leader.partition, None)
 
-    def is_cut(self, partition: str, now: datetime) -> bool:
+    def is_unreachable(self, partition: str, now: datetime) -> bool:
         """Whether a partition's zone can't be reached, and has not been so for long.
 
         Until then no machine is created there, and none of its machines deleted.
@@ -91,7 +91,7 @@
         than waiting. Told apart are waves in which the cloud reclaims spot machines: only spot
         machines are silent, or they have left the inventory.
         """
-        if self.is_cut(leader.partition, now):
+        if self.is_unreachable(leader.partition, now):
             return True
         operator = self._controller.operator
         quiet = self._quiet.get(leader.partition) or self._count_quiet(leader, now)
--- a/roadbend/placement/heartbeats.py
+++ b/roadbend/placement/heartbeats.py
@@ -74,8 +74,8 @@
             or machine_versions.get(machine.id, 0) != last_evaluation.unchanged_version
         ):
             return None
-        contact.take_in(position, now)
-        contact.note_heartbeat(now, self._context.settings.heartbeat_interval)
+        contact.advance_to(position, now)
+        contact.record_heartbeat(now, self._context.settings.heartbeat_interval)
         return token
 
     async def handle(self, heartbeat: WorkerHeartbeat) -> tuple[int, list[WorkerOrder]] | None:
@@ -149,7 +149,7 @@
         had_notice = machine.lifecycle.reclaim_at is not None
         was_confirmed = machine.token.confirmed
         before = self._terminations.changes
-        machine.contact.note_heartbeat(now, self._context.settings.heartbeat_interval)
+        machine.contact.record_heartbeat(now, self._context.settings.heartbeat_interval)
         orders = self._orders(machine, heartbeat, now)
         news = self._terminations.changes != before or machine.token.confirmed != was_confirmed
         if machine.token.confirmed and not was_confirmed:
@@ -235,7 +235,9 @@
             partial(self.recovery.keeps_unrecorded, machine, now=now),
             partial(self._may_send, machine.id, now),
         )
-        orders = heartbeat_evaluation.read(machine, heartbeat, self.token(machine), expected, now)
+        orders = heartbeat_evaluation.evaluate(
+            machine, heartbeat, self.token(machine), expected, now
+        )
         if shows_our_token:
             self._unheld.note_shown(machine.id, machine.tasks)
         self.recovery.note_heartbeat(machine, heartbeat, now)
@@ -258,7 +260,7 @@
                 machine=machine.id,
                 incarnation=machine.token.incarnation + 1,
             )
-            machine.restart(position)
+            machine.record_restart(position)
             self._starts_in_doubt.note_restarted(machine.id)
             recorded = self._records.attempts_by_machine().get(machine.id, {})
             lost = [(TaskKey(*key), attempt.number) for key, (_, attempt) in recorded.items()]
@@ -290,7 +292,7 @@
             if job is None or machine_type is None:
                 continue
             if seen.state == "running":
-                machine.note_image(job.spec.image, job.spec.image_gb, machine_type.cache_gb)
+                machine.record_image(job.spec.image, job.spec.image_gb, machine_type.cache_gb)
         if recorded or machine.tasks:
             machine.empty_since = None
         elif machine.empty_since is None:
--- a/roadbend/placement/leader.py
+++ b/roadbend/placement/leader.py
@@ -254,7 +254,7 @@
         """
         with self.lock:
             for key, (_, attempt) in self.records.attempts_by_machine().get(machine, {}).items():
-                self.terminations.note(key, Termination(attempt.number, machine, False, evidence))
+                self.terminations.add(key, Termination(attempt.number, machine, False, evidence))
             self.registry.expect_change(machine)
             if evidence == TerminationEvidence.DELETED:
                 self.registry.remove(machine)
--- a/roadbend/placement/recovery_hooks.py
+++ b/roadbend/placement/recovery_hooks.py
@@ -29,7 +29,7 @@
         """Whether the partition's machines are known well enough to create more in advance."""
         return True
 
-    def spaces_out(self, key: TaskKey, stop: StopOrder, now: datetime) -> bool:
+    def should_delay_stop(self, key: TaskKey, stop: StopOrder, now: datetime) -> bool:
         """Whether a direct kill may wait.
 
         The answer to a heartbeat has just carried it, or the task has ended.
--- a/roadbend/placement/starts_in_doubt.py
+++ b/roadbend/placement/starts_in_doubt.py
@@ -11,7 +11,7 @@
 from typing import NamedTuple
 
 from roadbend import clock
-from roadbend.fleet.liveness_policy import LeaseTerms, is_lease_expired
+from roadbend.fleet.liveness_policy import LeaseTimes, is_lease_expired
 from roadbend.fleet.machines import DirectStart, Machine
 from roadbend.fleet.messages import HeartbeatPosition, StartTask, WorkerOrder
 from roadbend.fleet.terminations import TaskKey
@@ -79,7 +79,7 @@
             if job not in unsettled_jobs and job_slice.newest_mod_revision <= revision
         }
 
-    def note_direct(self, machine: Machine, key: TaskKey, start: DirectStart) -> None:
+    def record_direct_start(self, machine: Machine, key: TaskKey, start: DirectStart) -> None:
         """Note a direct start before it is sent."""
         self._note(machine, key, start.attempt, start)
 
@@ -172,5 +172,5 @@
 
     def _lease_expired(self, machine: str, now: datetime) -> bool:
         context = self._records.context
-        terms = LeaseTerms.of(self._records.leadership, context.settings, context.operator)
+        terms = LeaseTimes.of(self._records.leadership, context.settings, context.operator)
         return is_lease_expired(self._machines.get(machine), terms, now)
--- a/roadbend/placement/test_gang_end.py
+++ b/roadbend/placement/test_gang_end.py
@@ -240,7 +240,7 @@
     # What may still be on its machine stays until it is terminated.
     assert GANG not in desk.view.jobs
     assert desk.view.job_slices["east"][GANG].attempts == {last: Attempt(70, "m-1")}
-    desk.state.terminations.note((GANG, last), Termination(70, "m-1", False, "stopped"))
+    desk.state.terminations.add((GANG, last), Termination(70, "m-1", False, "stopped"))
     carry_out_all(desk)
     assert GANG not in desk.view.job_slices["east"]
 
--- a/roadbend/placement/test_starts_in_doubt.py
+++ b/roadbend/placement/test_starts_in_doubt.py
@@ -44,7 +44,7 @@
         context = SimpleNamespace(view=self.view, settings=SETTINGS, operator=OperatorSettings())
         records = PartitionRecords(context, Leadership("east", 7, 1, acquired_at))
         self.machine = Machine("m-1", "m-1:1", "g2", "east", False)
-        self.machine.contact.take_in(HeartbeatPosition(1, 5), NOW)
+        self.machine.contact.advance_to(HeartbeatPosition(1, 5), NOW)
         self.machine.token.confirmed = not recorded_before
         self.machines = {"m-1": self.machine}
         if recorded_before:
@@ -61,7 +61,7 @@
     def send_directly(self) -> DirectStart:
         start = DirectStart(70, 1)
         self.machine.token.direct_starts[KEY] = start
-        self.starts.note_direct(self.machine, KEY, start)
+        self.starts.record_direct_start(self.machine, KEY, start)
         return start
 
     def answer(self) -> None:
@@ -82,13 +82,13 @@
 
 
 def its_machine_shows_the_raised_token(desk, start):
-    desk.machine.fence()
+    desk.machine.raise_token()
     assert desk.in_doubt(), "it has not shown the token yet"
     desk.machine.token.confirmed = True
 
 
 def its_epoch_is_over(desk, start):
-    desk.machine.contact.take_in(HeartbeatPosition(2, 1), NOW)
+    desk.machine.contact.advance_to(HeartbeatPosition(2, 1), NOW)
 
 
 def its_machines_lease_expires(desk, start):
@@ -128,7 +128,7 @@
 def test_a_newer_heartbeat_of_the_same_epoch_does_not_settle_a_direct_start():
     desk = Desk()
     desk.send_directly()
-    desk.machine.contact.take_in(HeartbeatPosition(1, 9), NOW)
+    desk.machine.contact.advance_to(HeartbeatPosition(1, 9), NOW)
     assert desk.in_doubt()
 
 
@@ -136,9 +136,9 @@
     """It counts its epochs anew, so the held start could be of its present one."""
     desk = Desk()
     desk.send_directly()
-    desk.machine.restart(HeartbeatPosition(1, 1))
+    desk.machine.record_restart(HeartbeatPosition(1, 1))
     desk.starts.note_restarted("m-1")
-    desk.machine.contact.take_in(HeartbeatPosition(2, 1), NOW)
+    desk.machine.contact.advance_to(HeartbeatPosition(2, 1), NOW)
     assert desk.in_doubt()
     desk.machine.token.confirmed = True
     desk.starts.note_confirmed("m-1")
@@ -149,7 +149,7 @@
     desk = Desk()
     desk.answer()
     assert desk.in_doubt() and not desk.in_doubt(OTHER)
-    desk.machine.contact.take_in(HeartbeatPosition(1, 6), NOW)
+    desk.machine.contact.advance_to(HeartbeatPosition(1, 6), NOW)
     assert not desk.in_doubt()
 
 
@@ -241,7 +241,7 @@
     for attempt in attempts.values():
         machine = Machine(attempt.machine, f"{attempt.machine}:1", "g2", "east", False)
         machine.token.confirmed = True
-        machine.contact.take_in(HeartbeatPosition(1, 5), NOW)
+        machine.contact.advance_to(HeartbeatPosition(1, 5), NOW)
         desk.machines[machine.id] = machine
 
 
--- a/roadbend/placement/usable_machines.py
+++ b/roadbend/placement/usable_machines.py
@@ -85,7 +85,7 @@
             # Until a machine has carried our token it may be a late copy of a heartbeat that we
             # see; one that was created in this term and registers now is no such thing.
             and (token.confirmed or token.newly_created)
-            and machine.contact.fresh(now, silent_after)
+            and machine.contact.is_responsive(now, silent_after)
             and len(machine.failures) < self._context.operator.error_limit
         )
 
--- a/roadbend/recovery/partition.py
+++ b/roadbend/recovery/partition.py
@@ -122,7 +122,7 @@
         """
         return not self.cold or self.phase.name is not PhaseName.GATHERING
 
-    def spaces_out(self, key: TaskKey, stop: StopOrder, now: datetime) -> bool:
+    def should_delay_stop(self, key: TaskKey, stop: StopOrder, now: datetime) -> bool:
         """Tell whether a direct kill may wait.
 
         A kill goes with the heartbeat's answer first, and directly only if that brought nothing;
--- a/roadbend/recovery/test_recovery.py
+++ b/roadbend/recovery/test_recovery.py
@@ -366,15 +366,15 @@
     async with running(job(1, legs=1, yard="east", **SERVICE)) as w:
         leader, machine, key, stop = stop_of_the_only_task(w)
         seen, now = machine.tasks[key], stop.decided_at
-        assert not leader.recovery.spaces_out(key, stop, now)
+        assert not leader.recovery.should_delay_stop(key, stop, now)
         stop.sent_at = now - KILL_AGAIN
-        assert not leader.recovery.spaces_out(key, stop, now)
+        assert not leader.recovery.should_delay_stop(key, stop, now)
         stop.sent_at = now
-        assert leader.recovery.spaces_out(key, stop, now)
+        assert leader.recovery.should_delay_stop(key, stop, now)
         stop.sent_at = None
-        assert leader.recovery.spaces_out(key, replace(stop, attempt=1), now)
+        assert leader.recovery.should_delay_stop(key, replace(stop, attempt=1), now)
         seen.state = "ended"
-        assert leader.recovery.spaces_out(key, stop, now)
+        assert leader.recovery.should_delay_stop(key, stop, now)
         seen.state = "running"
 
 
@@ -389,11 +389,11 @@
         leader, machine, key, stop = stop_of_the_only_task(w)
         seen, now = machine.tasks[key], stop.decided_at
         machine.tasks, machine.token.confirmed = {}, False
-        assert leader.recovery.spaces_out(key, stop, now)
-        assert not leader.recovery.spaces_out(key, stop, now + KILL_AGAIN)
+        assert leader.recovery.should_delay_stop(key, stop, now)
+        assert not leader.recovery.should_delay_stop(key, stop, now + KILL_AGAIN)
         # A start of ours that may be on its way is followed by the kill.
         machine.token.direct_starts[key] = DirectStart(seen.attempt, 1)
-        assert not leader.recovery.spaces_out(key, stop, now)
+        assert not leader.recovery.should_delay_stop(key, stop, now)
         del machine.token.direct_starts[key]
         machine.tasks, machine.token.confirmed = {key: seen}, True
 
--- a/tests/scenarios/test_double_starts.py
+++ b/tests/scenarios/test_double_starts.py
@@ -215,7 +215,7 @@
         leader, worker = controller.leaders["east"], w.cloud.machines[machine].worker
         attempt = leader.records.recorded_attempt(TaskKey(*TASK))
         w.state.down = True
-        leader.terminations.note(TASK, Termination(attempt.number, machine, False, "error"))
+        leader.terminations.add(TASK, Termination(attempt.number, machine, False, "error"))
         before = len(worker.orders)
         await controller.fleet.commands._start_directly(
             leader, machine, [(TaskKey(*TASK), attempt)]
@@ -243,7 +243,7 @@
         assert await w.until(lambda: w.board.running("run-000001"), 60)
         leader = w.controllers["node-0"].leaders["east"]
         attempt = leader.records.recorded_attempt(TaskKey(*TASK))
-        leader.terminations.note(TASK, Termination(attempt.number, "m-before", False, "absent"))
+        leader.terminations.add(TASK, Termination(attempt.number, "m-before", False, "absent"))
         leader.steps.request()
         await trio.sleep(5)
         assert (
