--- a/roadbend/fleet/direct_commands.py
+++ b/roadbend/fleet/direct_commands.py
@@ -148,7 +148,7 @@
             return
         log.info("direct-start-unanswered", partition=leader.partition, machine=name)
         if leader.machines.get(name) is machine:
-            machine.fence()
+            machine.raise_token()
             await self._raise_token(leader, machine)
 
     def _may_start_on(self, leader: Leader, machine: Machine, now: datetime) -> bool:
--- a/roadbend/fleet/test_direct_stops.py
+++ b/roadbend/fleet/test_direct_stops.py
@@ -21,7 +21,7 @@
     """Guards against direct stops to tasks that their machines have just shown to lack."""
     ended = Terminations()
     if proven_gone:
-        ended.note(KEY, Termination(70, "m-1", False, "absent"))
+        ended.add(KEY, Termination(70, "m-1", False, "absent"))
     leader = SimpleNamespace(
         lock=threading.RLock(),
         leadership=SimpleNamespace(term=7),
