--- a/roadbend/autoscaler/service.py
+++ b/roadbend/autoscaler/service.py
@@ -61,7 +61,7 @@
             try:
                 now = clock.now()
                 if self._context.election.may_start(now) and self._context.machine_types:
-                    plan = self._planner.plan(leader, now, self.closed(partition, now))
+                    plan = self._planner.plan(leader, now, self.unavailable_kinds(partition, now))
                     # Where planning takes long, it is done less often.
                     took = clock.now() - now
                     pause = max(ROUND_INTERVAL, self._context.reuse_window(took))
@@ -74,7 +74,7 @@
                 log.crash("autoscaling-failed", partition=partition)
                 await clock.pause(RETRY_PAUSE)
 
-    def closed(self, partition: str, now: datetime) -> set[MachineKind]:
+    def unavailable_kinds(self, partition: str, now: datetime) -> set[MachineKind]:
         """Return the kinds of machines that can't be created in a partition now."""
         if self._fleet.reachability.is_cut(partition, now):
             # What is created behind a network partition comes up unheard.
--- a/roadbend/bidding/bid_service.py
+++ b/roadbend/bidding/bid_service.py
@@ -26,7 +26,7 @@
 LONG_WAIT = timedelta(seconds=30)
 
 # The kinds of machines that the cloud refuses in a partition at an instant.
-ClosedTypesAt = Callable[[str, datetime], set[MachineKind]]
+UnavailableKindsAt = Callable[[str, datetime], set[MachineKind]]
 
 
 class BidService:
@@ -36,9 +36,9 @@
         self,
         context: ControllerContext,
         leaders: Mapping[str, PartitionLeader],
-        closed_types: ClosedTypesAt,
+        unavailable_kinds: UnavailableKindsAt,
     ) -> None:
-        self._context, self._leaders, self._closed_types = context, leaders, closed_types
+        self._context, self._leaders, self._unavailable_kinds = context, leaders, unavailable_kinds
         # By partition.
         self._shadows: dict[str, Promises] = {}
 
@@ -57,7 +57,7 @@
         return Responder(
             self._leaders[partition],
             self._context.settings.name,
-            lambda: self._closed_types(partition, clock.now()),
+            lambda: self._unavailable_kinds(partition, clock.now()),
             shadow,
         )
 
--- a/roadbend/bidding/responder.py
+++ b/roadbend/bidding/responder.py
@@ -13,7 +13,7 @@
 from roadbend.bidding.casa import Bid
 from roadbend.bidding.messages import BidRequest
 from roadbend.bidding.promises import Promises
-from roadbend.bidding.scale_out import ClosedTypes, ScaleOut, ScaleOutOffer
+from roadbend.bidding.scale_out import ScaleOut, ScaleOutOffer, UnavailableKinds
 from roadbend.placement import forecast
 from roadbend.placement.forecast import MachineTimeline
 from roadbend.placement.free_capacity import FreeCapacity
@@ -46,10 +46,14 @@
     """Bids for one partition that this controller leads."""
 
     def __init__(
-        self, leader: PartitionLeader, controller: str, closed_types: ClosedTypes, shadow: Promises
+        self,
+        leader: PartitionLeader,
+        controller: str,
+        unavailable_kinds: UnavailableKinds,
+        shadow: Promises,
     ) -> None:
         self._leader, self._controller, self._shadow = leader, controller, shadow
-        self._scale_out = ScaleOut(leader, closed_types)
+        self._scale_out = ScaleOut(leader, unavailable_kinds)
 
     def bid(self, request: BidRequest, now: datetime) -> Bid | None:
         """Return the partition's bid, or None if it can't run the job: algorithm 2.
--- a/roadbend/bidding/scale_out.py
+++ b/roadbend/bidding/scale_out.py
@@ -14,7 +14,7 @@
 from roadbend.store.records import Job
 
 # Machine types, and whether as spot machines, that the cloud refuses in a partition for now.
-ClosedTypes = Callable[[], set[MachineKind]]
+UnavailableKinds = Callable[[], set[MachineKind]]
 
 
 class ScaleOutOffer(NamedTuple):
@@ -33,8 +33,8 @@
 class ScaleOut:
     """Looks for the machines that one partition could create."""
 
-    def __init__(self, leader: PartitionLeader, closed_types: ClosedTypes) -> None:
-        self._leader, self._closed_types = leader, closed_types
+    def __init__(self, leader: PartitionLeader, unavailable_kinds: UnavailableKinds) -> None:
+        self._leader, self._unavailable_kinds = leader, unavailable_kinds
 
     def expensive_machine_types(self, job: Job, waited: timedelta) -> set[str]:
         """Return the machine types that a service should not settle on, as long as it can wait.
@@ -67,7 +67,7 @@
         options = [
             option
             for option in machine_options.options(
-                machine_types, leader.partition, self._closed_types()
+                machine_types, leader.partition, self._unavailable_kinds()
             )
             if option.machine_type.name not in excluded
         ]
@@ -90,7 +90,7 @@
         """Return the seconds until the cheapest machine for a job would be up; None for none."""
         leader = self._leader
         options = machine_options.options(
-            leader.context.machine_types.values(), leader.partition, self._closed_types()
+            leader.context.machine_types.values(), leader.partition, self._unavailable_kinds()
         )
         option = machine_options.cheapest(
             _one_task(job), options, leader.partition, job.spec.task_count
--- a/roadbend/bidding/service.py
+++ b/roadbend/bidding/service.py
@@ -7,7 +7,7 @@
 
 from roadbend.bidding.allocation import AllocationRecorder
 from roadbend.bidding.bid_collector import BidCollector
-from roadbend.bidding.bid_service import BidService, ClosedTypesAt
+from roadbend.bidding.bid_service import BidService, UnavailableKindsAt
 from roadbend.bidding.gang_release import GangReleaser
 from roadbend.bidding.requester import Requester
 from roadbend.bidding.rescheduler import Rescheduler
@@ -27,10 +27,10 @@
         context: ControllerContext,
         peers: Peers,
         leaders: Mapping[str, PartitionLeader],
-        closed_types: ClosedTypesAt,
+        unavailable_kinds: UnavailableKindsAt,
         rng: random.Random,
     ) -> None:
-        bid_service = BidService(context, leaders, closed_types)
+        bid_service = BidService(context, leaders, unavailable_kinds)
         bid_service.register(peers)
         collector = BidCollector(context, peers, bid_service)
         recorder = AllocationRecorder(context, peers, leaders, bid_service)
--- a/roadbend/controller/controller.py
+++ b/roadbend/controller/controller.py
@@ -89,7 +89,9 @@
         leaders: dict[str, PartitionLeader] = {}
         self.fleet = Fleet(self.context, net, self.cloud, self.peers, leaders)
         self.autoscaler = Autoscaler(self.context, self.cloud, self.fleet, leaders, rng)
-        self.bidding = Bidding(self.context, self.peers, leaders, self.autoscaler.closed, rng)
+        self.bidding = Bidding(
+            self.context, self.peers, leaders, self.autoscaler.unavailable_kinds, rng
+        )
         self.partition_leaders = PartitionLeaders(
             self.context, self.fleet, self.autoscaler, leaders
         )
