--- a/roadbend/bidding/__init__.py
+++ b/roadbend/bidding/__init__.py
@@ -1,1 +1,1 @@
-"""CASA: bids, promises, the draw, and rescheduling."""
+"""CASA, the community-aware scheduling algorithm: bids, allocation and rescheduling of jobs."""
--- a/roadbend/bidding/allocation.py
+++ b/roadbend/bidding/allocation.py
@@ -1,4 +1,4 @@
-"""Records which partitions hold a job's tasks, and tells the bidders: the end of algorithm 3."""
+"""Records which partitions hold a job's tasks and notifies the bidders: the end of algorithm 3."""
 
 from collections.abc import Mapping, Sequence, Set
 from contextlib import suppress
@@ -25,13 +25,13 @@
 
 log = Log("bidding")
 
-# How long a transaction is tried, and how long the read barrier after a conflict may take.
+# How long a transaction is retried, and how long the read barrier after a conflict may take.
 COMMIT_TIMEOUT = timedelta(seconds=3)
 READ_BARRIER_SECONDS = 1.0
-# The conditions that the state store takes in a transaction, for each operation that it takes.
+# How many conditions the state store accepts in a transaction for each operation that it accepts.
 CONDITIONS_PER_OPERATION = 4
-# How much of the size limit of a value a job's record may take when tasks are allocated, and when
-# it is written: ranges that don't fit are written in a shorter form.
+# The shares of the size limit of a value that a job's record may use: when tasks are allocated, and
+# when it is written. Ranges beyond the latter are written in a more compact form.
 MAX_ALLOCATED_SHARE = 0.8
 MAX_WRITTEN_SHARE = 0.95
 
@@ -40,35 +40,35 @@
 class AllocationChange:
     """A change of which partitions hold a job's tasks.
 
-    `job` is as it was read, `changed` as it is to be recorded.
+    `job` is the job as it was read, `changed` the job as it is to be recorded.
     """
 
     job: Job
     changed: Job
-    # The bids that came, and the partitions that get tasks.
+    # The bids that were received, and the partitions that get tasks.
     bids: Sequence[Bid] = ()
     winners: Set[str] = frozenset()
-    # Mod revisions of further records that must be as they were read.
+    # Mod revisions of further records, by key, which must not have changed since they were read.
     conditions: Mapping[str, int] = field(default_factory=dict)
 
 
 def add_shares(job: Job, shares: Shares) -> Job:
-    """Return the job with tasks added to what partitions hold of it."""
+    """Return the job with the tasks of `shares` added to its partitions' allocation."""
     for partition, tasks in shares.items():
         job = job.with_partition(partition, ranges.union(job.allocation.get(partition, ()), tasks))
     return job
 
 
 def fits_record(job: Job, settings: PlatformSettings) -> bool:
-    """Tell whether an allocation has few enough ranges for one value.
+    """Return whether a job's allocation has few enough ranges for its record.
 
-    Where it has not, what is held must end before more is allocated.
+    If not, allocated tasks must end before more can be allocated.
     """
     return job.weight <= settings.value_bytes * MAX_ALLOCATED_SHARE
 
 
 def max_conditions(settings: PlatformSettings) -> int:
-    """Return how many conditions a transaction may have beside that on the job's record."""
+    """Return how many conditions a transaction may have besides that on the job's record."""
     return CONDITIONS_PER_OPERATION * settings.txn_ops - 1
 
 
@@ -78,7 +78,10 @@
 
 
 class AllocationRecorder:
-    """Writes allocations into the records. The record is the assignment; messages only tell it."""
+    """Writes allocations to the records.
+
+    The record alone is authoritative; messages only notify the controllers sooner.
+    """
 
     def __init__(
         self,
@@ -91,9 +94,9 @@
         self._bid_service = bid_service
 
     async def record(self, change: AllocationChange) -> bool:
-        """Record a change; tell whether it was, or the records had changed meanwhile.
+        """Record a change; return whether it was recorded: not if the records changed meanwhile.
 
-        Raises `UnavailableError` or `LeaseEndedError` if it may or may not have been recorded.
+        Raises `UnavailableError` or `LeaseEndedError` if the outcome is unknown.
         """
         context, job, changed = self._context, change.job, change.changed
         key = keys.job_key(job.id)
@@ -109,12 +112,12 @@
         context.view.applied(rows, revision)
         context.observer.job_assigned(changed, sorted(change.winners))
         self._log_allocated(change)
-        await self._tell_bidders(change, Assignment(job.id, cbor2.dumps(value), revision))
+        await self._notify_bidders(change, Assignment(job.id, cbor2.dumps(value), revision))
         for leader in self._leaders.values():
             leader.steps.request()
         return True
 
-    async def _tell_bidders(self, change: AllocationChange, assignment: Assignment) -> None:
+    async def _notify_bidders(self, change: AllocationChange, assignment: Assignment) -> None:
         """Send the winners the assignment, and all other peers a revocation."""
         winners = {bid.controller for bid in change.bids if bid.partition in change.winners}
         assign, revoke = assignment.pack(), Revocation(change.job.id).pack()
@@ -127,12 +130,12 @@
                     nursery.start_soon(self._send_revocation, link, revoke)
 
     async def _send_assignment(self, link: Link, payload: bytes) -> None:
-        """Send an assignment, which is answered: the paper's receipt."""
+        """Send an assignment and wait for its acknowledgement, the paper's receipt."""
         with suppress(NoReplyError):
             await link.call(FrameKind.ASSIGN, payload, self._context.operator.bid_wait)
 
     async def _send_revocation(self, link: Link, payload: bytes) -> None:
-        """Send a revocation, which is not answered and may get lost."""
+        """Send a revocation, which is not acknowledged and may get lost."""
         with suppress(NoReplyError):
             await link.notify(FrameKind.REVOKE, payload)
 
@@ -149,6 +152,6 @@
         )
 
     def _describe(self, bid: Bid) -> str:
-        """Return a bid as the log shows it: partition, response time, startable now, capacity."""
+        """Format a bid for the log: partition, response time, startable now, capacity."""
         seconds = casa.response_time(bid, self._context.operator.omega).total_seconds()
         return f"{bid.partition}:{seconds:.1f}/{bid.startable_now}/{bid.capacity}"
--- a/roadbend/bidding/bid_collector.py
+++ b/roadbend/bidding/bid_collector.py
@@ -1,4 +1,4 @@
-"""Asks all controllers for bids on a job: the sending halves of algorithms 1 and 4."""
+"""Requests bids on a job from all controllers: the sending halves of algorithms 1 and 4."""
 
 import trio
 
@@ -22,13 +22,13 @@
 
     @property
     def controller_count(self) -> int:
-        """How many controllers a request goes to, this one included."""
+        """The number of controllers that a request is sent to, this one included."""
         return len(self._peers.links) + 1
 
     async def collect(self, request: BidRequest) -> list[Bid]:
-        """Return the bids that came in time, at most one of each partition.
+        """Return the bids that were received in time, at most one for each partition.
 
-        Peers that don't answer are left out, and so are, for a gang, those that don't know gangs.
+        Requests for a gang are not sent to peers of versions without support for gangs.
         """
         if request.requester_response is None:
             bids, kind = self._bid_service.bids(request), FrameKind.REQUEST
@@ -40,14 +40,16 @@
         async with trio.open_nursery() as nursery:
             for link in self._peers.links.values():
                 if not gang:
-                    nursery.start_soon(self._ask, link, kind, payload, bids)
+                    nursery.start_soon(self._request_bids, link, kind, payload, bids)
                 elif link.known.supports(GANGS_EXTENSION):
-                    nursery.start_soon(self._ask, link, gang_kind, payload, bids)
+                    nursery.start_soon(self._request_bids, link, gang_kind, payload, bids)
         # While a partition's leadership changes, two controllers may bid for it.
         return list({bid.partition: bid for bid in bids}.values())
 
-    async def _ask(self, link: Link, kind: FrameKind, payload: bytes, bids: list[Bid]) -> None:
-        """Add a peer's bids to `bids`."""
+    async def _request_bids(
+        self, link: Link, kind: FrameKind, payload: bytes, bids: list[Bid]
+    ) -> None:
+        """Request a peer's bids and add them to `bids`; add none if it doesn't reply in time."""
         try:
             reply = await link.call(kind, payload, self._context.operator.bid_wait)
             bids += messages.unpack_bids(reply)
--- a/roadbend/bidding/bid_service.py
+++ b/roadbend/bidding/bid_service.py
@@ -1,7 +1,6 @@
 """The responder's side of CASA: bids for all partitions that this controller leads.
 
-Answers the frames in which other controllers ask for bids, and those that tell what became of a
-bid.
+Handles other controllers' requests for bids, and the assignments and revocations that follow.
 """
 
 from collections.abc import Callable, Mapping
@@ -22,15 +21,15 @@
 from roadbend.placement.leader import PartitionLeader
 from roadbend.store import keys
 
-# A job that has waited for so long goes to any partition that could start it now.
+# A job that has waited for this long is rescheduled to any partition that could start it now.
 LONG_WAIT = timedelta(seconds=30)
 
-# The kinds of machines that the cloud refuses in a partition at an instant.
+# Returns the kinds of machines that can't be created in a partition at an instant.
 UnavailableKindsAt = Callable[[str, datetime], set[MachineKind]]
 
 
 class BidService:
-    """Bids for the partitions that this controller leads, and keeps account of its promises."""
+    """Bids for the partitions that this controller leads, and keeps track of their promises."""
 
     def __init__(
         self,
@@ -39,11 +38,10 @@
         unavailable_kinds: UnavailableKindsAt,
     ) -> None:
         self._context, self._leaders, self._unavailable_kinds = context, leaders, unavailable_kinds
-        # By partition.
-        self._shadows: dict[str, Promises] = {}
+        self._promises_by_partition: dict[str, Promises] = {}
 
     def register(self, peers: Peers) -> None:
-        """Have the frames of the bidding handled here."""
+        """Register the handlers of the bidding frames."""
         peers.handlers[FrameKind.REQUEST] = self._on_request
         peers.handlers[FrameKind.ASSIGN] = self._on_assign
         peers.handlers[FrameKind.REVOKE] = self._on_revoke
@@ -53,19 +51,21 @@
 
     def responder(self, partition: str) -> Responder:
         """Return the responder of a partition that this controller leads."""
-        shadow = self._shadows.setdefault(partition, Promises(self._context.operator.promise_life))
+        promises = self._promises_by_partition.setdefault(
+            partition, Promises(self._context.operator.promise_life)
+        )
         return Responder(
             self._leaders[partition],
             self._context.settings.name,
             lambda: self._unavailable_kinds(partition, clock.now()),
-            shadow,
+            promises,
         )
 
     def bids(self, request: BidRequest) -> list[Bid]:
-        """Return a bid for each partition led here that can run a job (algorithm 2).
+        """Return a bid for each partition led by this controller that can run a job (algorithm 2).
 
-        The partition in which the job waits does not bid, and none does while this controller may
-        not start tasks.
+        The partition in which the job waits does not bid. None bids while this controller may not
+        start tasks.
         """
         election, now, bids = self._context.election, clock.now(), []
         for partition, leader in list(self._leaders.items()):
@@ -79,24 +79,24 @@
         return bids
 
     def reschedule_bids(self, request: BidRequest) -> list[Bid]:
-        """Return bids for a job that waits elsewhere: only those better than that (algorithm 5)."""
+        """Return the bids that beat the partition in which the job waits (algorithm 5)."""
         now, bids = clock.now(), []
         for bid in self.bids(request):
             if self._is_better(bid, request, now):
                 bids.append(bid)
             else:
-                self._shadows[bid.partition].revoke(request.job)
+                self._promises_by_partition[bid.partition].revoke(request.job)
         return bids
 
     def _is_better(self, bid: Bid, request: BidRequest, now: datetime) -> bool:
-        """Tell whether a job does better with a bid than where it waits."""
+        """Return whether a bid is better for a job than the partition in which it waits."""
         operator = self._context.operator
         average = self.responder(bid.partition).average_queuing(now)
         if request.requester_response is None:
             return False
-        # A partition that can start it now takes what has waited for long, whatever waits here for
-        # other machines: by the averages alone a job can wait for ever beside free capacity that
-        # it fits.
+        # A partition that can start a job now takes it after a long wait, even if its own pending
+        # queue waits for other machines: if only the averages counted, a job could wait for ever
+        # although it fits another partition's free capacity.
         if bid.startable_now > 0 and request.waited >= LONG_WAIT:
             return True
         return casa.accepts_reschedule(
@@ -107,10 +107,10 @@
             varpi=operator.varpi,
         )
 
-    def revoke(self, job: str) -> None:
-        """Cease to count the promises for a job, in all partitions."""
-        for shadow in self._shadows.values():
-            shadow.revoke(job)
+    def revoke(self, job_id: str) -> None:
+        """Remove the promises for a job, in all partitions."""
+        for promises in self._promises_by_partition.values():
+            promises.revoke(job_id)
 
     def _on_request(self, _sender: str, payload: bytes) -> bytes:
         return messages.pack_bids(self.bids(BidRequest.unpack(payload)))
@@ -125,7 +125,7 @@
         return messages.pack_bids(self.reschedule_bids(BidRequest.unpack(payload).as_gang()))
 
     def _on_assign(self, _sender: str, payload: bytes) -> bytes:
-        """Take in an assignment. The record decides; the message only brings it sooner."""
+        """Apply an assigned job's record to the record view before the change log brings it."""
         assignment = Assignment.unpack(payload)
         self.revoke(assignment.job)
         view = self._context.view
--- a/roadbend/bidding/casa.py
+++ b/roadbend/bidding/casa.py
@@ -4,8 +4,7 @@
 scheduling for grids and clouds using the community-aware scheduling algorithm", sections 3 and 4.
 The paper's node is a partition here; docs/design.md says what was kept and what was changed.
 
-Units: times are durations of work, loads are core-seconds, `cores` are those of a partition's
-machines.
+Units: times are durations, loads core-seconds; `cores` are those of a partition's machines.
 """
 
 import random
@@ -18,17 +17,17 @@
 from roadbend.store.ranges import Ranges
 from roadbend.store.records import Job, JobSpec
 
-# The duration that counts for a task whose owner stated none.
+# The duration assumed for a task whose user stated none.
 UNKNOWN_DURATION = timedelta(seconds=60)
-# Response times below this weigh alike in the draw.
+# Response times below this have the same weight in the draw.
 MIN_RESPONSE_TIME = timedelta(milliseconds=50)
-# The longest time that a load is thought to take, and the least rate at which it is worked off.
+# Upper bound on the time in which a load is processed, and lower bound on the rate.
 MAX_LOAD_SECONDS = 1e7
 MIN_RATE = 1e-9
-# The most tasks of a job that one draw allocates.
+# How many tasks of a job one draw allocates at most.
 MAX_SLICE_TASKS = 64
 
-# Partition -> the tasks that it gets.
+# The tasks that each partition gets.
 Shares = dict[str, Ranges]
 
 
@@ -36,8 +35,8 @@
 class Bid:
     """What a partition promises for a job: the paper's accept message (section 4.2).
 
-    The three times are those of algorithm 2, lines 3 to 5: of the job itself, of the partition's
-    pending queue, and of its shadow load.
+    The three times are those of algorithm 2, lines 3 to 5: for the job itself, for the partition's
+    pending queue, and for its shadow load.
     """
 
     partition: str
@@ -45,20 +44,20 @@
     job_time: timedelta
     queue_time: timedelta
     shadow_time: timedelta
-    # How many tasks of the job the partition can start now, and how many it can take in all.
+    # How many tasks of the job the partition can start now, and how many it accepts in total.
     startable_now: int
     capacity: int
 
 
 def expected_duration(spec: JobSpec) -> timedelta:
-    """Return how long one task of a job is thought to run, the paper's `length`."""
+    """Return how long one task of a job is expected to run, the paper's `length`."""
     if spec.expected_duration <= ZERO:
         return UNKNOWN_DURATION
     return spec.expected_duration
 
 
 def job_load(spec: JobSpec, tasks: int) -> float:
-    """Return the load of some tasks of a job in core-seconds (section 3), with speed one."""
+    """Return the load of `tasks` tasks of a job in core-seconds (section 3), at speed 1."""
     return spec.resources.cpus * expected_duration(spec).total_seconds() * tasks
 
 
@@ -76,9 +75,9 @@
 
 
 def draw(bids: Sequence[Bid], omega: float, rng: random.Random) -> Bid | None:
-    """Draw one bid with a chance in inverse proportion to its response time (definition 3).
+    """Draw one bid with a probability inversely proportional to its response time (definition 3).
 
-    Returns None when there are no bids; `rng` is not used then.
+    Returns None without bids; `rng` is not used then.
     """
     if not bids:
         return None
@@ -97,12 +96,12 @@
 ) -> Shares:
     """Draw which partitions get which of a job's unassigned tasks (algorithm 3).
 
-    The paper draws one node for a whole job. Here a job goes out in slices, except for jobs that
-    one partition must hold whole and gangs with anti-affinity. Partitions that can start tasks now
-    come first, and a job's zone cap holds throughout.
+    The paper draws one node for a whole job. Here a job is allocated in slices, except for jobs
+    whose tasks must all run in one partition and for gangs with anti-affinity. Partitions that can
+    start tasks now take precedence. No partition gets more tasks than the job's zone cap.
 
-    `time_left` is what is left until the job is due; None without a deadline. No more than one bid
-    of each partition may be given.
+    `time_left` is the time until the job is due; None without a deadline. `bids` has at most one
+    bid for each partition.
     """
     spec = job.spec
     if not job.unassigned:
@@ -121,7 +120,7 @@
     rng: random.Random,
     time_left: timedelta | None,
 ) -> Shares:
-    """Draw a partition for one slice after the other, until nobody can take more."""
+    """Draw a partition for one slice after the other, until no bidder has capacity left."""
     remaining = _RemainingCapacity(job, bids)
     unassigned = job.unassigned
     shares: Shares = {}
@@ -135,28 +134,29 @@
         tasks = ranges.first(unassigned, remaining.slice_size(partition, bool(startable)))
         shares[partition] = ranges.union(shares.get(partition, ()), tasks)
         unassigned = ranges.minus(unassigned, tasks)
-        remaining.take(partition, ranges.size(tasks), bool(startable))
+        remaining.deduct_slice(partition, ranges.size(tasks), bool(startable))
     return shares
 
 
 def _bids_in_time(bids: list[Bid], omega: float, time_left: timedelta | None) -> list[Bid]:
-    """Return the bids that promise to meet the deadline, or all when none does.
+    """Return the bids that promise to meet the deadline, or all of them if none does.
 
-    An inverse weight hardly tells a partition that is just in time from one that is just too late.
+    The inverse weights alone hardly distinguish a partition that is just in time from one that is
+    just too late.
     """
     in_time = [bid for bid in bids if time_left is None or response_time(bid, omega) <= time_left]
     return in_time or bids
 
 
 class _RemainingCapacity:
-    """What the bidders can still take while a job's slices are drawn, in tasks."""
+    """The bidders' remaining capacity, in tasks, while a job's slices are drawn."""
 
     def __init__(self, job: Job, bids: Sequence[Bid]) -> None:
         self._bids = bids
         self._capacity: dict[str, int] = {}
         for bid in bids:
-            # Tasks that are over no longer count against a zone, but to keep to the cap with them
-            # needs no evidence of that.
+            # Terminated tasks need not count against the zone cap, but counting them needs no
+            # evidence of termination.
             zone_left = job.spec.zone_cap - ranges.size(job.allocation.get(bid.partition, ()))
             self._capacity[bid.partition] = max(0, min(bid.capacity, zone_left))
         self._startable_now = {
@@ -173,37 +173,37 @@
         ]
 
     def bids_with_capacity(self) -> list[Bid]:
-        """Return the bids of the partitions that can take more tasks, now or later."""
+        """Return the bids of the partitions that accept more tasks, to start now or later."""
         return [bid for bid in self._bids if self._capacity[bid.partition] > 0]
 
     def slice_size(self, partition: str, starts_now: bool) -> int:
-        """Return how many tasks the next slice of a partition may have."""
+        """Return how many tasks a partition's next slice has at most."""
         capacity = self._capacity[partition]
         wanted = self._startable_now[partition] if starts_now else capacity
         return min(wanted, capacity, MAX_SLICE_TASKS)
 
-    def take(self, partition: str, tasks: int, starts_now: bool) -> None:
-        """Note that a slice of so many tasks goes to a partition."""
+    def deduct_slice(self, partition: str, tasks: int, starts_now: bool) -> None:
+        """Deduct a slice of `tasks` tasks from the capacity of a partition that gets it."""
         capacity = self._capacity
         self._startable_now[partition] -= min(self._startable_now[partition], tasks)
         capacity[partition] -= tasks
         if starts_now:
             return
-        # The bid does not count the load that was just drawn: the next slice is drawn among the
-        # others as long as there are any.
+        # The bid does not include the load of the slice just drawn: the next slice is drawn among
+        # the other partitions as long as any has capacity.
         if any(left > 0 for other, left in capacity.items() if other != partition):
             capacity[partition] = 0
 
 
 def _allocate_whole(job: Job, bids: Sequence[Bid], omega: float, rng: random.Random) -> Shares:
-    """Draw one partition for all tasks of a job that no two may share."""
+    """Draw one partition for all tasks of a job that must run in the same partition."""
     holders = [partition for partition, tasks in job.allocation.items() if tasks]
     if holders:
         holder = holders[0]
         return {holder: job.unassigned} if any(bid.partition == holder for bid in bids) else {}
     if job.done:
-        # Its zone is known only to the partition that held it; partitions never give back started
-        # slices.
+        # Only the partition that held the job knows its zone, and partitions never release a slice
+        # that has started.
         return {}
     count = ranges.size(job.unassigned)
     able = [bid for bid in bids if bid.capacity >= count]
@@ -215,10 +215,10 @@
 def _allocate_gang_shares(
     job: Job, bids: Sequence[Bid], omega: float, rng: random.Random
 ) -> Shares:
-    """Draw partitions for the shares of a gang with anti-affinity: for all of it, or for nothing.
+    """Draw partitions for all tasks of a gang with anti-affinity, or for none of them.
 
-    No partition gets more than the zone cap. What can start now counts where it is enough for the
-    whole gang, else what partitions can take in all.
+    No partition gets more than the zone cap. Partitions get what they can start now if that is
+    enough for the whole gang, else up to their total capacity.
     """
     if job.allocation or job.done:
         return {}
@@ -240,14 +240,14 @@
 def average_queuing(waiting: Sequence[timedelta], executed: Sequence[timedelta]) -> timedelta:
     """Return a partition's average queuing time (definition 4).
 
-    It is that of the jobs that wait, else of those that were executed, else zero.
+    It is the average over the jobs that wait, else over those that were executed, else zero.
     """
     times = waiting or executed
     return sum(times, ZERO) / len(times) if times else ZERO
 
 
 def relative_delay(wait: timedelta, average: timedelta) -> float:
-    """Return a job's relative queuing delay (definition 5); zero where the average is."""
+    """Return a job's relative queuing delay (definition 5); zero if the average is zero."""
     return wait / average if average > ZERO else 0.0
 
 
@@ -258,9 +258,9 @@
     requester_average: timedelta,
     varpi: float,
 ) -> bool:
-    """Tell whether a partition bids for a job that waits elsewhere: both tests of algorithm 5.
+    """Return whether a partition bids for a job that waits elsewhere: both tests of algorithm 5.
 
-    The job's response time must be shorter here than with the requester, and so must the average
-    queuing time, weighed by `varpi`.
+    The job's response time must be shorter in the bidding partition than in the requester's, and so
+    must the average queuing time, weighted by `varpi`.
     """
     return response < requester_response and average * varpi < requester_average
--- a/roadbend/bidding/gang_release.py
+++ b/roadbend/bidding/gang_release.py
@@ -1,4 +1,4 @@
-"""Gives back gangs that can't start where their tasks are, so that they are allocated anew."""
+"""Releases gangs that can't start where they are allocated, so that they are allocated anew."""
 
 from dataclasses import replace
 from datetime import datetime
@@ -16,7 +16,7 @@
 
 
 class GangReleaser:
-    """Releases gangs of which several partitions hold tasks."""
+    """Removes the allocation of gangs whose tasks several partitions hold."""
 
     def __init__(
         self, context: ControllerContext, recorder: AllocationRecorder, requester: Requester
@@ -24,9 +24,9 @@
         self._context, self._recorder, self._requester = context, recorder, requester
 
     async def release_due(self, leader: PartitionLeader, now: datetime) -> None:
-        """Release the gangs of a partition that are due, and queue them to be allocated."""
-        for name in list(self._context.view.assigned_jobs.get(leader.partition, ())):
-            job = self._context.view.jobs[name]
+        """Release the gangs of a partition that are due, and queue them for allocation."""
+        for job_id in list(self._context.view.assigned_jobs.get(leader.partition, ())):
+            job = self._context.view.jobs[job_id]
             if not self._is_due(leader, job, now):
                 continue
             conditions = leader.apart_gangs.may_release(job)
@@ -35,18 +35,21 @@
             released = replace(job, allocation={})
             if await self._recorder.record(AllocationChange(job, released, conditions=conditions)):
                 log.info(
-                    "gang-released", partition=leader.partition, job=name, tasks=job.spec.task_count
+                    "gang-released",
+                    partition=leader.partition,
+                    job=job_id,
+                    tasks=job.spec.task_count,
                 )
-                leader.aging.forget(name)
-                leader.gang_attempts.note_released(name)
-                self._requester.submit(name)
+                leader.aging.forget(job_id)
+                leader.gang_attempts.note_released(job_id)
+                self._requester.submit(job_id)
 
     def _is_due(self, leader: PartitionLeader, job: Job, now: datetime) -> bool:
-        """Tell whether a gang should be released.
+        """Return whether a gang should be released.
 
-        One with anti-affinity is when it has waited for long, for one of its shares may find no
-        capacity where it is. Any other one is at once if it is scattered, since one partition must
-        hold it whole.
+        A gang with anti-affinity is released after a long wait, as one of its shares may find no
+        capacity in its partition. Any other gang is released at once if several partitions hold
+        tasks of it, since one partition must hold them all.
         """
         if not job.spec.gang or job.id in self._context.cancellations.jobs:
             return False
--- a/roadbend/bidding/machine_fit.py
+++ b/roadbend/bidding/machine_fit.py
@@ -1,6 +1,6 @@
-"""Which of a partition's machines suit a job that it is asked to bid for.
+"""Which of a partition's machines suit a job for which a bid is requested.
 
-Machines that the partition avoids for the job are left out. All functions only read.
+Machines on which the job's tasks failed don't count. No function changes its arguments.
 """
 
 from collections.abc import Sequence
@@ -18,7 +18,7 @@
 def count_fitting(
     leader: PartitionLeader, job: Job, projection: QueueProjection
 ) -> tuple[int, int]:
-    """Return how many tasks of a job fit on machines that are up, and on those that start up."""
+    """Return how many tasks of a job fit on machines that are up, and on machines that boot."""
     if not leader.exclusions.failed_on(job.id):
         return projection.fitting(job)
     booting = [
@@ -38,7 +38,7 @@
 
 
 def has_image(leader: PartitionLeader, job: Job, capacities: Sequence[FreeCapacity]) -> bool:
-    """Tell whether a task of a job fits on a machine that has its image."""
+    """Return whether a task of a job fits on a machine that has its image."""
     return any(
         job.spec.image in capacity.images and count_tasks(leader, job, [capacity])
         for capacity in capacities
@@ -48,9 +48,10 @@
 def fastest_fetching_type(
     leader: PartitionLeader, job: Job, capacities: Sequence[FreeCapacity]
 ) -> MachineType | None:
-    """Return the machine type that fetches a job's image first.
+    """Return the machine type that fetches a job's image fastest.
 
-    It is one on which a task fits now, else any type of the zone; None when there is none.
+    Considers the types of machines on which a task fits now, else all types in the zone. Returns
+    None if there are none.
     """
     machine_types = leader.context.machine_types
     candidates = [
--- a/roadbend/bidding/messages.py
+++ b/roadbend/bidding/messages.py
@@ -1,6 +1,6 @@
-"""Payloads of the frames of the bidding: requests for bids, bids, assignments, revocations.
+"""Payloads of the bidding frames: requests for bids, bids, assignments, revocations.
 
-docs/peers.md describes them byte by byte. What cannot be read raises `FrameError`.
+docs/peers.md specifies them byte by byte. A malformed payload raises `FrameError`.
 """
 
 from collections.abc import Sequence
@@ -12,27 +12,27 @@
 from roadbend.peers.frames import PayloadReader, PayloadWriter, finite
 from roadbend.store.records import JobSpec, Resources
 
-# What stands for an absent duration, and for an absent list of machine types.
+# The encodings of an absent duration and of an absent list of machine types.
 ABSENT_SECONDS = -1.0
 ABSENT_LIST = -1
-# The longest duration that is read.
+# Longer durations are read as this one.
 MAX_SECONDS = 1e8
-# The largest number of tasks that a bid states.
+# Larger numbers of tasks are sent as this one.
 MAX_TASKS = 1 << 31
 
 
 @dataclass(frozen=True, kw_only=True)
 class BidRequest:
-    """What a partition must know to bid for a job: the paper's request message (algorithm 1).
+    """A request to bid for a job: the paper's request message (algorithm 1).
 
     With `requester_response` set it is the paper's inform message (algorithm 4): the job waits in
-    `from_partition`, and is to be rescheduled.
+    `from_partition` and is to be rescheduled.
     """
 
     job: str
-    # To how many controllers the request goes, the paper's x.
+    # The number of controllers that the request is sent to, the paper's x.
     requests: int
-    # For how many of the job's tasks bids are asked.
+    # The number of the job's tasks for which bids are requested.
     tasks: int
     spec: JobSpec
     from_partition: str = ""
@@ -43,7 +43,7 @@
     waited: timedelta = ZERO
 
     def pack(self) -> bytes:
-        """Return the payload. Whether the job is a gang is told by the frame's kind."""
+        """Return the payload. The frame's kind, not the payload, says whether the job is a gang."""
         writer = PayloadWriter().text(self.job).put("HI", self.requests, self.tasks)
         _pack_spec(writer, self.spec)
         writer.text(self.from_partition)
@@ -136,7 +136,7 @@
 
 
 def pack_bids(bids: Sequence[Bid]) -> bytes:
-    """Return the payload of the answer to a request: the bids of a controller's partitions."""
+    """Return the payload of the reply to a request: the bids of a controller's partitions."""
     writer = PayloadWriter().put("H", len(bids))
     for bid in bids:
         writer.text(bid.partition).text(bid.controller)
@@ -147,7 +147,7 @@
 
 
 def unpack_bids(data: bytes) -> list[Bid]:
-    """Read the payload of the answer to a request."""
+    """Read the payload of the reply to a request."""
     reader = PayloadReader(data)
     bids = [_unpack_bid(reader) for _ in range(reader.read_one("H"))]
     reader.expect_end()
@@ -171,9 +171,9 @@
 
 @dataclass(frozen=True)
 class Assignment:
-    """Tells a bidder that its partition gets tasks of a job: the paper's assign message.
+    """Notifies a bidder that its partition gets tasks of a job: the paper's assign message.
 
-    `value` is the job's new record as CBOR, and may be empty; `mod_revision` is its revision.
+    `value` is the job's new record as CBOR and may be empty; `mod_revision` is its mod revision.
     """
 
     job: str
@@ -195,7 +195,7 @@
 
 @dataclass(frozen=True)
 class Revocation:
-    """Tells a bidder that a job went elsewhere, so that its promise no longer counts."""
+    """Notifies a bidder that other partitions got the job, so that its promise no longer counts."""
 
     job: str
 
--- a/roadbend/bidding/requester.py
+++ b/roadbend/bidding/requester.py
@@ -23,19 +23,19 @@
 
 log = Log("bidding")
 
-# The most jobs that wait to be allocated.
+# How many jobs are queued for allocation at most.
 MAX_QUEUED = 2048
-# How often a job is allocated anew when its record changes meanwhile.
+# How often bids for a job are collected while its record changes between collection and write.
 MAX_TRIES = 3
-# How many rounds after its first a job that nobody holds is allocated by any controller, and the
-# most rounds between two tries.
+# In rebid intervals: after how long any controller allocates a job that has unassigned tasks, and
+# the longest wait between two tries.
 REBID_ROUNDS = 4
-# The wait between two tries as a share of how long the job has found nobody.
+# The wait between two tries as a share of the time for which the job has had unassigned tasks.
 REBID_BACKOFF = 0.4
 
 
 class _UnassignedJob(NamedTuple):
-    """Since when a job has tasks that nobody holds, and when it is next allocated: both steady."""
+    """Since when a job has had unassigned tasks, and its next try: monotonic instants."""
 
     since: datetime
     next_try: datetime
@@ -54,36 +54,37 @@
     ) -> None:
         self._context, self._peers, self._rng = context, peers, rng
         self._collector, self._recorder = collector, recorder
-        self._send, self._receive = trio.open_memory_channel[str](MAX_QUEUED)
-        # Jobs that are in the queue or being allocated.
-        self._busy: set[str] = set()
+        self._send_channel, self._receive_channel = trio.open_memory_channel[str](MAX_QUEUED)
+        # The ids of jobs that are queued or being allocated.
+        self._in_progress: set[str] = set()
 
-    def submit(self, job: str) -> None:
-        """Queue a job to be allocated; when the queue is full, `run_rebid` finds it later."""
-        if job in self._busy:
+    def submit(self, job_id: str) -> None:
+        """Queue a job for allocation; if the queue is full, `run_rebid` queues it later."""
+        if job_id in self._in_progress:
             return
         try:
-            self._send.send_nowait(job)
-            self._busy.add(job)
+            self._send_channel.send_nowait(job_id)
+            self._in_progress.add(job_id)
         except trio.WouldBlock:
             pass
 
     async def run_worker(self) -> None:
         """Allocate queued jobs, one at a time, for ever."""
-        async for job in self._receive:
+        async for job_id in self._receive_channel:
             try:
-                await self._allocate(job)
+                await self._allocate(job_id)
             except (UnavailableError, LeaseEndedError):
                 pass
-            except Exception:  # one job must not keep the others from being allocated
-                log.crash("bidding-failed", job=job)
+            except Exception:  # a failure with one job must not stop the allocation of others
+                log.crash("bidding-failed", job=job_id)
             finally:
-                self._busy.discard(job)
+                self._in_progress.discard(job_id)
 
     async def run_rebid(self) -> None:
         """Queue recorded jobs that have unassigned tasks, for ever.
 
-        Any live controller may allocate them; a hash of their names says which one tries first.
+        Any live controller may allocate them; rendezvous hashing of the job id selects the one that
+        tries first.
         """
         operator = self._context.operator
         unassigned: dict[str, _UnassignedJob] = {}
@@ -96,35 +97,36 @@
                 for job in self._context.view.jobs.values()
                 if job.unassigned
             }
-            for name, job in unassigned.items():
-                if now >= job.next_try and self._is_our_turn(name, now - job.since, controllers):
-                    unassigned[name] = self._next_try(job, now)
-                    self.submit(name)
-
-    def _is_our_turn(self, job: str, waited: timedelta, controllers: list[str]) -> bool:
-        """Tell whether this controller allocates a job, or leaves it to another one for now."""
-        if rendezvous(job, controllers) == self._context.settings.name:
+            for job_id, job in unassigned.items():
+                if now >= job.next_try and self._is_our_turn(job_id, now - job.since, controllers):
+                    unassigned[job_id] = self._next_try(job, now)
+                    self.submit(job_id)
+
+    def _is_our_turn(self, job_id: str, waited: timedelta, controllers: list[str]) -> bool:
+        """Return whether this controller allocates a job now, or leaves it to another one."""
+        if rendezvous(job_id, controllers) == self._context.settings.name:
             return True
         return waited > self._context.operator.rebid_every * REBID_ROUNDS
 
     def _next_try(self, job: _UnassignedJob, now: datetime) -> _UnassignedJob:
-        """Return when a job that is tried now is tried again.
+        """Return the job with the time of its next try, if it is tried now.
 
-        The longer it has found nobody, the less often it is: a burst must not be all bids.
+        The wait grows with the time that the job has had unassigned tasks, so that requests for
+        bids don't use up the controllers' time in a burst of submissions.
         """
         longest = self._context.operator.rebid_every * REBID_ROUNDS
         wait = min((now - job.since) * REBID_BACKOFF, longest)
         return job._replace(next_try=now + jittered(wait, self._rng))
 
-    async def _allocate(self, name: str) -> None:
-        """Allocate a job's unassigned tasks, as far as there are bids for them."""
+    async def _allocate(self, job_id: str) -> None:
+        """Allocate as many of a job's unassigned tasks as the bids allow."""
         view = self._context.view
         for _ in range(MAX_TRIES):
-            job = view.jobs.get(name)
+            job = view.jobs.get(job_id)
             if job is None or not self._may_allocate(job):
                 return
             bids = await self._collector.collect(self._request(job))
-            job = view.jobs.get(name)
+            job = view.jobs.get(job_id)
             if job is None:
                 return
             change = self._draw(job, bids)
@@ -146,7 +148,10 @@
         )
 
     def _draw(self, job: Job, bids: list[Bid]) -> AllocationChange | None:
-        """Draw who gets the tasks; None if nobody does, or the record has no place for it."""
+        """Draw the partitions that get the tasks.
+
+        Returns None if none does, or if the allocation would not fit the job's record.
+        """
         shares = casa.allocate(
             job,
             bids,
--- a/roadbend/bidding/rescheduler.py
+++ b/roadbend/bidding/rescheduler.py
@@ -26,36 +26,37 @@
 
 log = Log("bidding")
 
-# The most jobs of a partition that are looked at in a round, and after how many in a row without a
-# bid the round ends.
+# How many of a partition's jobs are considered in a round at most, and after how many in a row
+# without a bid the round ends.
 MAX_RESCHEDULED = 12
 MAX_WITHOUT_BIDS = 3
-# For how long it is remembered that nobody bid for a job.
-FORGET_NO_BIDS = timedelta(seconds=60)
-# Shards of one job from which tasks move at once; each is a condition of the transaction.
+# For how long a job for which no partition bid is considered after the others.
+NO_BIDS_RETENTION = timedelta(seconds=60)
+# From how many shards of one job tasks move at once; each is a condition of the transaction.
 MAX_SHARDS = 16
 
 
 class RescheduleOutcome(enum.StrEnum):
-    """What became of an attempt to reschedule a job."""
+    """The outcome of a try to reschedule a job."""
 
-    # Its tasks can't move: they have started meanwhile, or not all of them wait where all must go.
+    # The tasks can't move: they have started meanwhile, or the job can only move as a whole and not
+    # all of its tasks are pending.
     NOT_MOVABLE = "not movable"
     NO_BIDS = "no bids"
-    # There were bids, but the tasks stay: they start here sooner, or the records changed.
+    # There were bids, but the tasks stay: they start sooner here, or the records have changed.
     STAYS = "stays"
     MOVED = "moved"
 
 
 class _PlannedMove(NamedTuple):
-    """Tasks that leave a partition, and the change of the records that makes them."""
+    """The tasks that leave a partition, and the change of the job's allocation."""
 
     tasks: Ranges
     change: AllocationChange
 
 
 class Rescheduler:
-    """Offers what waits in the partitions led here to all others."""
+    """Offers pending tasks of the partitions led by this controller to all other partitions."""
 
     def __init__(
         self,
@@ -70,11 +71,11 @@
         self._context, self._leaders, self._rng = context, leaders, rng
         self._bid_service, self._collector, self._recorder = bid_service, collector, recorder
         self._gang_releaser = gang_releaser
-        # When nobody bid for a job: steady instants.
+        # When no partition bid for a job, by job id: monotonic instants.
         self._no_bids_at: dict[str, datetime] = {}
 
     async def run(self) -> None:
-        """Reschedule what is due in every partition led here, for ever."""
+        """Reschedule the due jobs of every partition led by this controller, for ever."""
         while True:
             await clock.pause(self._context.operator.reoffer_every)
             for leader in list(self._leaders.values()):
@@ -82,7 +83,7 @@
                     await self._reschedule_partition(leader)
                 except (UnavailableError, LeaseEndedError):
                     pass
-                except Exception:  # one partition must not keep the others from being looked at
+                except Exception:  # a failure in one partition must not stop the others
                     log.crash("rescheduling-failed", partition=leader.partition)
 
     async def _reschedule_partition(self, leader: PartitionLeader) -> None:
@@ -93,8 +94,8 @@
         await self._gang_releaser.release_due(leader, now)
         average = responder.average_queuing(now)
         without_bids = 0
-        for name in self._due_jobs(leader, average, now)[:MAX_RESCHEDULED]:
-            job = self._context.view.jobs.get(name)
+        for job_id in self._due_jobs(leader, average, now)[:MAX_RESCHEDULED]:
+            job = self._context.view.jobs.get(job_id)
             if job is None or not self._may_reschedule(leader, job):
                 continue
             outcome = await self._reschedule(leader, responder, job, average)
@@ -102,53 +103,54 @@
                 without_bids = 0
                 continue
             without_bids += 1
-            self._no_bids_at[name] = clock.now()
-            # Where nobody takes what waits longest, all is full: the rest is not asked about now.
+            self._no_bids_at[job_id] = clock.now()
+            # If no partition bids for the jobs that wait longest, all are full: bids for the
+            # remaining jobs are not requested in this round.
             if without_bids >= MAX_WITHOUT_BIDS:
                 break
 
     def _due_jobs(self, leader: PartitionLeader, average: timedelta, now: datetime) -> list[str]:
-        """Return the jobs that have waited for long enough (definition 5), the longest first.
+        """Return the ids of the jobs that have waited for long enough, the longest first.
 
-        Those that nobody bid for lately go behind the rest: what waits longest may fit nowhere,
-        and what waits behind it may.
+        Definition 5 decides what is long enough. Jobs for which no partition bid recently come
+        last, as the job that waits longest may fit nowhere while others do.
         """
         operator = self._context.operator
         waits: dict[str, timedelta] = {}
         for item in leader.queue.pending():
             since = leader.aging.queued_since(item.job.id)
-            # A job that has just come cools down first, whatever the average, so that it can't go
-            # to and fro.
+            # A job that has just arrived stays for a cool-down period, whatever the average, so
+            # that it doesn't move back and forth.
             if since is not None and now - since >= operator.cool_down:
                 waits[item.job.id] = now - since
         due = [
-            name
-            for name, wait in waits.items()
+            job_id
+            for job_id, wait in waits.items()
             if casa.relative_delay(wait, average) >= operator.mu
         ]
         self._no_bids_at = {
-            name: at for name, at in self._no_bids_at.items() if now - at < FORGET_NO_BIDS
+            job_id: at for job_id, at in self._no_bids_at.items() if now - at < NO_BIDS_RETENTION
         }
-        due.sort(key=lambda name: (self._no_bids_at.get(name, clock.ORIGIN), -waits[name]))
+        due.sort(key=lambda job_id: (self._no_bids_at.get(job_id, clock.ORIGIN), -waits[job_id]))
         return due
 
     def _may_reschedule(self, leader: PartitionLeader, job: Job) -> bool:
         if job.spec.zone is not None or self._leaders.get(leader.partition) is not leader:
             return False
-        # The shares of a gang with anti-affinity are released together instead.
+        # A gang with anti-affinity is released as a whole instead.
         return not apart_gangs.is_apart(job)
 
     async def _reschedule(
         self, leader: PartitionLeader, responder: Responder, job: Job, average: timedelta
     ) -> RescheduleOutcome:
-        """Ask for bids on a job's tasks that wait in a partition, and move those that do better.
+        """Request bids on a job's pending tasks in a partition, and move those that start sooner.
 
         `average` is the partition's average queuing time.
         """
         partition = leader.partition
         unplaced = leader.queue.unplaced(job)
-        whole = job.spec.together or job.spec.gang
-        if not unplaced or (whole and unplaced != job.allocation.get(partition)):
+        indivisible = job.spec.together or job.spec.gang
+        if not unplaced or (indivisible and unplaced != job.allocation.get(partition)):
             return RescheduleOutcome.NOT_MOVABLE
         request = BidRequest(
             job=job.id,
@@ -181,10 +183,11 @@
     def _plan_move(
         self, leader: PartitionLeader, responder: Responder, job: Job, bids: Sequence[Bid]
     ) -> _PlannedMove | None:
-        """Draw which waiting tasks go where; None if all stay.
+        """Draw the partitions to which pending tasks move; None if all tasks stay.
 
-        Only tasks not yet placed move. A start of ours in flight would change the shard's mod
-        revision, and that is a condition of the move: no task can both start here and go.
+        Only tasks not yet placed move. The shards' mod revisions are conditions of the move, and a
+        start that this partition records concurrently would change them: no task can both start
+        here and move.
         """
         partition, settings = leader.partition, self._context.settings
         movable = self._movable_tasks(leader, responder, job, bids)
@@ -214,9 +217,9 @@
     def _movable_tasks(
         self, leader: PartitionLeader, responder: Responder, job: Job, bids: Sequence[Bid]
     ) -> Ranges:
-        """Return the waiting tasks but for those that start here before the best bidder has them.
+        """Return the pending tasks except those that start here before the best bidder's start.
 
-        A gang starts with its last task, and goes as a whole.
+        A gang starts with its last task and moves as a whole.
         """
         unplaced = leader.queue.unplaced(job)
         omega = self._context.operator.omega
@@ -228,13 +231,13 @@
         return ranges.minus(unplaced, ranges.first(unplaced, staying))
 
     def _shards_to_move(self, job: Job, tasks: Ranges) -> list[int]:
-        """Return the shards from which tasks move now; the other ones' are offered next time."""
+        """Return the shards from which tasks move now; tasks in others are offered next time."""
         settings = self._context.settings
         width = settings.shard_width
         shards = {
             index // width for low, high in tasks for index in (*range(low, high, width), high - 1)
         }
-        # Each shard is a condition, beside those on the job's record and on the term.
+        # Each shard is a condition, besides those on the job's record and on the term.
         limit = allocation.max_conditions(settings) - 1
         if not job.spec.gang:
             limit = min(limit, MAX_SHARDS)
@@ -243,7 +246,7 @@
     def _conditions(
         self, leader: PartitionLeader, job: Job, shards: Sequence[int]
     ) -> dict[str, int]:
-        """Return the conditions of a move: this leader's term, and the shards as they were read."""
+        """Return the conditions of a move: this leader's term and the shards are unchanged."""
         conditions = {keys.term_key(leader.partition): leader.leadership.mod_revision}
         for shard in shards:
             key = keys.slice_key(leader.partition, job.id, shard)
@@ -252,7 +255,7 @@
 
 
 def _tasks_in_shards(tasks: Ranges, shards: Sequence[int], width: int) -> Ranges:
-    """Return those of the tasks that are in some shards of so many tasks each."""
+    """Return the tasks that are in `shards`, of `width` tasks each."""
     return ranges.normal(
         (max(low, shard * width), min(high, (shard + 1) * width))
         for shard in shards
--- a/roadbend/bidding/scale_out.py
+++ b/roadbend/bidding/scale_out.py
@@ -1,4 +1,4 @@
-"""What a partition could create in the cloud for a job that it is asked to bid for."""
+"""Which machines a partition could create in the cloud for a job for which a bid is requested."""
 
 from collections.abc import Callable, Set
 from datetime import timedelta
@@ -13,12 +13,12 @@
 from roadbend.placement.queue_order import PendingTasks
 from roadbend.store.records import Job
 
-# Machine types, and whether as spot machines, that the cloud refuses in a partition for now.
+# Returns the kinds of machines that can't be created in a partition now.
 UnavailableKinds = Callable[[], set[MachineKind]]
 
 
 class ScaleOutOffer(NamedTuple):
-    """Machines that a partition believes it could create for a job."""
+    """Machines that a partition can probably create for a job."""
 
     machine_type: MachineType
     # How many of the job's tasks fit on as many machines as one request creates.
@@ -30,17 +30,17 @@
         return self.machine_type.startup.total_seconds()
 
 
-class ScaleOut:
-    """Looks for the machines that one partition could create."""
+class ScaleOutEstimator:
+    """Estimates which machines one partition could create for a job, and when they would be up."""
 
     def __init__(self, leader: PartitionLeader, unavailable_kinds: UnavailableKinds) -> None:
         self._leader, self._unavailable_kinds = leader, unavailable_kinds
 
     def expensive_machine_types(self, job: Job, waited: timedelta) -> set[str]:
-        """Return the machine types that a service should not settle on, as long as it can wait.
+        """Return the machine types that are too expensive for a service, as long as it can wait.
 
-        It would hold a machine that costs much more a task than another type does. Other jobs
-        leave their machines again: for these the set is empty.
+        A service would stay for good on a machine that costs much more per task than another type.
+        Other jobs end, so for these the set is empty.
         """
         if not job.spec.service:
             return set()
@@ -56,11 +56,11 @@
         )
 
     def offer(self, job: Job, request: BidRequest, excluded: Set[str]) -> ScaleOutOffer | None:
-        """Return the cheapest machines that could be created, but for the excluded types.
+        """Return the cheapest machines that could be created, except of the excluded types.
 
-        A partition in which only expensive ones can be had leaves a job to those that have cheap
-        ones, as long as the job can wait: the paper's acceptance takes the responder's own
-        preferences into account (section 3). Returns None then, or when nothing can be created.
+        Returns None if none can be created, and also if the available ones are expensive and the
+        job can wait, so that a partition with cheap machines gets it: the paper's acceptance takes
+        the responder's own preferences into account (section 3).
         """
         leader, operator = self._leader, self._leader.context.operator
         machine_types = leader.context.machine_types.values()
@@ -76,18 +76,21 @@
         if option is None:
             return None
         price = machine_options.cost(task, option, leader.partition, request.tasks)
-        least = machine_options.least_cost(task, machine_types, request.tasks)
-        if price is None or least is None:
+        lowest_cost = machine_options.least_cost(task, machine_types, request.tasks)
+        if price is None or lowest_cost is None:
             return None
-        if price > least * operator.dear and request.waited < operator.dear_wait:
+        if price > lowest_cost * operator.dear and request.waited < operator.dear_wait:
             return None
         machine = machine_options.new_machine("", option, leader.partition)
-        # As many as one request creates; where the cloud has fewer it says so, and the type is
-        # closed here.
+        # As many as one request creates. If the cloud creates fewer, the autoscaler doesn't request
+        # this kind of machine again for a while.
         return ScaleOutOffer(option.machine_type, machine.count(job.spec.resources) * MAX_CREATIONS)
 
     def startup_for(self, job: Job) -> float | None:
-        """Return the seconds until the cheapest machine for a job would be up; None for none."""
+        """Return the seconds until the cheapest machine for a job would be up.
+
+        None if no machine for it can be created.
+        """
         leader = self._leader
         options = machine_options.options(
             leader.context.machine_types.values(), leader.partition, self._unavailable_kinds()
--- a/roadbend/bidding/service.py
+++ b/roadbend/bidding/service.py
@@ -1,4 +1,4 @@
-"""Puts the parts of the bidding together for one controller."""
+"""Assembles the bidding components of one controller."""
 
 import random
 from collections.abc import Mapping
@@ -15,12 +15,12 @@
 from roadbend.placement.context import ControllerContext
 from roadbend.placement.leader import PartitionLeader
 
-# How many jobs are allocated at the same time.
-WORKERS = 4
+# How many jobs are allocated concurrently.
+ALLOCATION_WORKERS = 4
 
 
 class Bidding:
-    """CASA in one controller: requester and responder, and the rescheduling of what waits."""
+    """CASA in one controller: requester, responder and the rescheduling of pending tasks."""
 
     def __init__(
         self,
@@ -49,5 +49,5 @@
         """Start the loops, which run until the nursery is cancelled."""
         nursery.start_soon(self.requester.run_rebid)
         nursery.start_soon(self.rescheduler.run)
-        for _ in range(WORKERS):
+        for _ in range(ALLOCATION_WORKERS):
             nursery.start_soon(self.requester.run_worker)
--- a/roadbend/bidding/test_casa.py
+++ b/roadbend/bidding/test_casa.py
@@ -1,4 +1,4 @@
-"""The paper's functions, and where the design asks for more."""
+"""Tests of the paper's definitions and algorithms, and of where the design extends them."""
 
 import random
 from collections import Counter
@@ -28,7 +28,7 @@
     )
 
 
-def made(**changes) -> Job:
+def make_job(**changes) -> Job:
     name, spec = read_submission(job(1, **changes))
     return Job(name, spec, clock.wall())
 
@@ -45,14 +45,14 @@
 def test_a_partition_that_can_start_now_wins_over_a_faster_promise():
     for seed in range(50):
         shares = casa.allocate(
-            made(legs=1), [bid("a", 1), bid("b", 500, now=1)], 1.0, random.Random(seed)
+            make_job(legs=1), [bid("a", 1), bid("b", 500, now=1)], 1.0, random.Random(seed)
         )
         assert shares == {"b": ((0, 1),)}
 
 
 def test_arrays_go_out_in_slices_that_fit_the_free_room():
     shares = casa.allocate(
-        made(legs=6), [bid("a", 10, now=2), bid("b", 10, now=3)], 1.0, random.Random(3)
+        make_job(legs=6), [bid("a", 10, now=2), bid("b", 10, now=3)], 1.0, random.Random(3)
     )
     assert sum(ranges.size(r) for r in shares.values()) == 6
     assert ranges.size(shares["a"]) >= 2 and ranges.size(shares["b"]) >= 3
@@ -62,20 +62,23 @@
     for seed in range(50):
         for tasks in (1, 2, 3, 9):
             bids = [bid("a", 1, now=9), bid("b", 100), bid("c", 100)]
-            shares = casa.allocate(made(legs=tasks, apart=True), bids, 1.0, random.Random(seed))
+            shares = casa.allocate(make_job(legs=tasks, apart=True), bids, 1.0, random.Random(seed))
             assert all(ranges.size(r) <= (tasks + 1) // 2 for r in shares.values())
-    # With one zone bidding the other half waits.
-    shares = casa.allocate(made(legs=9, apart=True), [bid("a", 1, now=9)], 1.0, random.Random(1))
+    # With bids from one zone only, the other half stays unassigned.
+    shares = casa.allocate(
+        make_job(legs=9, apart=True), [bid("a", 1, now=9)], 1.0, random.Random(1)
+    )
     assert ranges.size(shares["a"]) == 5
 
 
 def test_a_job_that_is_to_be_together_goes_whole_or_not_at_all():
     rng = random.Random(2)
     assert (
-        casa.allocate(made(legs=4, together=True), [bid("a", 1, now=3, capacity=3)], 1.0, rng) == {}
+        casa.allocate(make_job(legs=4, together=True), [bid("a", 1, now=3, capacity=3)], 1.0, rng)
+        == {}
     )
     shares = casa.allocate(
-        made(legs=4, together=True),
+        make_job(legs=4, together=True),
         [bid("a", 1, now=3, capacity=3), bid("b", 9, capacity=4)],
         1.0,
         rng,
@@ -84,16 +87,16 @@
 
 
 def test_promises_count_by_requests_sent_and_expire_by_themselves():
-    shadow, now = Promises(timedelta(seconds=2), max_promises=3), clock.ORIGIN
-    shadow.add("x", 90.0, 3, now)
-    shadow.add("y", 60.0, 3, now)
-    assert shadow.load(now) == 50.0
-    shadow.revoke("y")
-    assert shadow.load(now) == 30.0
-    assert shadow.load(now + 3 * S) == 0.0
+    promises, now = Promises(timedelta(seconds=2), max_promises=3), clock.ORIGIN
+    promises.add("x", 90.0, 3, now)
+    promises.add("y", 60.0, 3, now)
+    assert promises.load(now) == 50.0
+    promises.revoke("y")
+    assert promises.load(now) == 30.0
+    assert promises.load(now + 3 * S) == 0.0
     for n in range(9):
-        shadow.add(str(n), 3.0, 3, now)
-    assert shadow.load(now) == 3.0
+        promises.add(str(n), 3.0, 3, now)
+    assert promises.load(now) == 3.0
 
 
 def test_both_tests_of_rescheduling():
@@ -112,7 +115,7 @@
 
 def test_frames_of_the_bidding_come_back_as_they_went():
     _, spec = read_submission(job(1, rigs=["g2", "ümlaut"], yard="east", due=None))
-    for ask in (
+    for request in (
         messages.BidRequest(job="run-1", requests=3, tasks=7, spec=spec),
         messages.BidRequest(
             job="run-1",
@@ -125,7 +128,7 @@
             waited=9 * S,
         ),
     ):
-        assert messages.BidRequest.unpack(ask.pack()) == ask
+        assert messages.BidRequest.unpack(request.pack()) == request
     bids = [bid("a", 1.5, now=2), bid("b", 0)]
     assert messages.unpack_bids(messages.pack_bids(bids)) == bids
     assignment = messages.Assignment("run-1", b"xyz", 9)
