--- a/roadbend/autoscaler/__init__.py
+++ b/roadbend/autoscaler/__init__.py
@@ -1,1 +1,1 @@
-"""Autoscaling: which machines there are, which to create, and which to delete."""
+"""Autoscaling: the cloud's machines and machine types, scale-out, scale-in and the warm pool."""
--- a/roadbend/autoscaler/booting_machines.py
+++ b/roadbend/autoscaler/booting_machines.py
@@ -11,13 +11,13 @@
 from roadbend.placement.leader import PartitionLeader
 from roadbend.placement.machine_options import MachineOption
 
-# After so many times its usual boot time a machine may still come, but others are created in its
-# place.
+# After this many times its type's usual boot time a machine no longer counts as capacity, so that
+# another one is created in its place; it may still register.
 MAX_STARTUP_RATIO = 1.8
-# A machine that is up a little late counts as up this soon, in seconds.
+# A machine whose boot takes longer than usual is expected to be up in this many seconds.
 MIN_READY_IN = 1.0
-# How long a machine of a type that the catalog lacks may boot.
-UNKNOWN_TYPE_PATIENCE = timedelta(seconds=120)
+# How long a machine may take to register if the catalog lacks its type.
+UNKNOWN_TYPE_TIMEOUT = timedelta(seconds=120)
 
 
 @dataclass
@@ -27,8 +27,8 @@
     id: str
     kind: MachineKind
     since: datetime
-    # First seen in the list, as running: it may as well be gone, or send its heartbeats elsewhere.
-    # It counts as no capacity yet.
+    # The cloud's list showed it as running before this controller knew it. By now it may be deleted,
+    # or send its heartbeats to another controller, so it does not count as capacity yet.
     orphaned: bool = False
 
 
@@ -37,77 +37,78 @@
 
     def __init__(self, context: ControllerContext) -> None:
         self._context = context
-        # By partition and id.
+        # By partition and machine id.
         self._machines: dict[str, dict[str, BootingMachine]] = {}
 
     def note_created(
         self, partition: str, machines: Iterable[str], kind: MachineKind, now: datetime
     ) -> None:
-        """Note machines that the cloud has just created."""
-        for machine in machines:
-            self._of(partition)[machine] = BootingMachine(machine, kind, now)
+        """Record machines that the cloud has just created."""
+        for machine_id in machines:
+            self._in_partition(partition)[machine_id] = BootingMachine(machine_id, kind, now)
 
-    def note_listed(self, listed: ListedMachine, now: datetime) -> None:
-        """Note a machine that its leader does not know, if it boots or runs.
+    def record_listed(self, listed: ListedMachine, now: datetime) -> None:
+        """Record a listed machine that its leader does not know, if it boots or runs.
 
-        It is used when it registers, and deleted when it never does.
+        It is used once it registers, and deleted if it never does.
         """
-        machines = self._of(listed.zone)
+        machines = self._in_partition(listed.zone)
         running = listed.status == MachineStatus.RUNNING
         if (running or listed.status == MachineStatus.BOOTING) and listed.id not in machines:
             kind = MachineKind(listed.machine_type, listed.spot)
             machines[listed.id] = BootingMachine(listed.id, kind, now - listed.age, running)
 
-    def forget_registered(self, leader: PartitionLeader) -> None:
-        """Forget the machines that have registered with the partition's leader."""
-        machines = self._of(leader.partition)
-        for machine in [machine for machine in machines if machine in leader.machines]:
-            del machines[machine]
+    def remove_registered(self, leader: PartitionLeader) -> None:
+        """Remove the machines that have registered with the partition's leader."""
+        machines = self._in_partition(leader.partition)
+        for machine_id in [machine_id for machine_id in machines if machine_id in leader.machines]:
+            del machines[machine_id]
 
-    def forget(self, partition: str, machines: Iterable[str]) -> None:
-        """Forget machines that were deleted."""
-        for machine in machines:
-            self._of(partition).pop(machine, None)
+    def remove(self, partition: str, machines: Iterable[str]) -> None:
+        """Remove machines that were deleted."""
+        for machine_id in machines:
+            self._in_partition(partition).pop(machine_id, None)
 
     def capacities(self, leader: PartitionLeader, now: datetime) -> list[FreeCapacity]:
-        """Return the capacity of the machines of a partition that should be up before long."""
+        """Return the capacity of a partition's machines that are expected to be up soon."""
         found = []
-        for boot in self._of(leader.partition).values():
-            machine_type = self._context.machine_types.get(boot.kind.machine_type)
-            if machine_type is None or boot.orphaned or boot.id in leader.machines:
+        for machine in self._in_partition(leader.partition).values():
+            machine_type = self._context.machine_types.get(machine.kind.machine_type)
+            if machine_type is None or machine.orphaned or machine.id in leader.machines:
                 continue
-            age = now - boot.since
+            age = now - machine.since
             if age > machine_type.startup * MAX_STARTUP_RATIO:
                 continue
-            price = machine_type.spot_price if boot.kind.spot else machine_type.price
-            option = MachineOption(machine_type, boot.kind.spot, price)
-            capacity = machine_options.new_machine(boot.id, option, leader.partition)
+            price = machine_type.spot_price if machine.kind.spot else machine_type.price
+            option = MachineOption(machine_type, machine.kind.spot, price)
+            capacity = machine_options.new_machine(machine.id, option, leader.partition)
             capacity.ready_in = max(MIN_READY_IN, (machine_type.startup - age).total_seconds())
             found.append(capacity)
         return found
 
     def never_registered(self, leader: PartitionLeader, now: datetime) -> list[str]:
-        """Return the machines of a partition that have not registered for too long.
+        """Return the ids of a partition's machines that failed to register in time.
 
-        What was created in an earlier term may long be up, and send heartbeats here only now: the
-        time counts from when the partition was acquired.
+        The time counts from the acquisition of the partition at the earliest: a machine that was
+        created in an earlier term may be up already, but sends heartbeats to this leader only since
+        then.
         """
         late, recorded = [], leader.records.attempts_by_machine()
-        for boot in self._of(leader.partition).values():
-            since = max(boot.since, leader.leadership.acquired_at)
-            unheard = boot.id not in leader.machines and boot.id not in recorded
-            if unheard and now - since > self._patience(boot):
-                late.append(boot.id)
+        for machine in self._in_partition(leader.partition).values():
+            since = max(machine.since, leader.leadership.acquired_at)
+            is_unknown = machine.id not in leader.machines and machine.id not in recorded
+            if is_unknown and now - since > self._registration_timeout(machine):
+                late.append(machine.id)
         return late
 
-    def _patience(self, boot: BootingMachine) -> timedelta:
-        """Return how long a machine may take until it registers."""
+    def _registration_timeout(self, machine: BootingMachine) -> timedelta:
+        """Return how long a machine may take to register."""
         operator = self._context.operator
-        machine_type = self._context.machine_types.get(boot.kind.machine_type)
-        patience = UNKNOWN_TYPE_PATIENCE
+        machine_type = self._context.machine_types.get(machine.kind.machine_type)
+        timeout = UNKNOWN_TYPE_TIMEOUT
         if machine_type is not None:
-            patience = operator.boot_patience * machine_type.startup
-        return min(patience, operator.find_owner) if boot.orphaned else patience
+            timeout = operator.boot_patience * machine_type.startup
+        return min(timeout, operator.find_owner) if machine.orphaned else timeout
 
-    def _of(self, partition: str) -> dict[str, BootingMachine]:
+    def _in_partition(self, partition: str) -> dict[str, BootingMachine]:
         return self._machines.setdefault(partition, {})
--- a/roadbend/autoscaler/capacity_refusals.py
+++ b/roadbend/autoscaler/capacity_refusals.py
@@ -1,4 +1,4 @@
-"""What the cloud has no capacity for, and how long it is not asked again."""
+"""Kinds of machines for which the cloud lacks capacity, and when they are requested again."""
 
 import random
 from dataclasses import dataclass
@@ -15,21 +15,21 @@
 
 @dataclass
 class CapacityRefusal:
-    """Until when a zone and kind is not asked for again, and the pause that this came from."""
+    """Until when a kind is not requested again in a zone, and the pause before jitter."""
 
     until: datetime
     pause: timedelta
 
 
 class CapacityRefusals:
-    """The kinds of machines that the cloud refused, by zone; pauses double up to a bound."""
+    """The kinds of machines that the cloud refused, by zone, with exponential backoff."""
 
     def __init__(self, operator: OperatorSettings, rng: random.Random) -> None:
         self._operator, self._rng = operator, rng
         self._refusals: dict[tuple[str, MachineKind], CapacityRefusal] = {}
 
-    def refuse(self, zone: str, kind: MachineKind) -> None:
-        """Note that the cloud had too few machines of a kind."""
+    def record_refusal(self, zone: str, kind: MachineKind) -> None:
+        """Record that the cloud created fewer machines of a kind than requested."""
         operator, last = self._operator, self._refusals.get((zone, kind))
         pause = operator.refusal_pause
         if last is not None:
@@ -45,11 +45,11 @@
         )
 
     def clear(self, zone: str, kind: MachineKind) -> None:
-        """Note that the cloud had all machines that were asked for."""
+        """Remove the refusal of a kind: the cloud created all machines that were requested."""
         self._refusals.pop((zone, kind), None)
 
-    def refused(self, zone: str, now: datetime) -> set[MachineKind]:
-        """Return the kinds that are not asked for in a zone now."""
+    def refused_kinds(self, zone: str, now: datetime) -> set[MachineKind]:
+        """Return the kinds that are not to be requested in a zone now."""
         return {
             kind
             for (refused_zone, kind), refusal in self._refusals.items()
--- a/roadbend/autoscaler/catalog.py
+++ b/roadbend/autoscaler/catalog.py
@@ -1,4 +1,4 @@
-"""The catalog of machine types: read from the cloud, kept in the records."""
+"""The catalog of machine types: read from the cloud and stored in the records."""
 
 from datetime import timedelta
 
@@ -19,22 +19,23 @@
 
 log = Log("autoscaler")
 READ_INTERVAL = timedelta(seconds=20)
-# Until the catalog is in the records, a controller that starts in a cloud outage would not know it.
+# Used while the records lack the catalog: a controller that started in a cloud outage would have no
+# machine types.
 READ_INTERVAL_UNRECORDED = timedelta(seconds=1)
 RETRY_INTERVAL = timedelta(seconds=4)
-# Without any catalog nothing can be placed.
+# Used while no machine types are known at all: without them no task can be placed.
 RETRY_INTERVAL_UNKNOWN = timedelta(seconds=1)
 RECORD_TIMEOUT = timedelta(seconds=3)
 
 
 class Catalog:
-    """Keeps the context's machine types up to date, once a controller."""
+    """Keeps the context's machine types up to date; one instance runs in each controller."""
 
     def __init__(self, context: ControllerContext, cloud: Cloud) -> None:
         self._context, self._cloud = context, cloud
 
     async def run(self) -> None:
-        """Read the catalog again and again."""
+        """Read the catalog from the cloud periodically, for ever."""
         while True:
             self._load_recorded()
             try:
@@ -49,7 +50,7 @@
                 await clock.pause(RETRY_INTERVAL if known else RETRY_INTERVAL_UNKNOWN)
 
     def _load_recorded(self) -> None:
-        """Take what any controller saw last, for a start while the cloud is out."""
+        """Use the recorded catalog, in case this controller starts during a cloud outage."""
         recorded = self._context.view.catalog
         if self._context.machine_types or recorded is None:
             return
@@ -60,7 +61,7 @@
             log.error("record-unreadable", key=keys.CATALOG_KEY, error=error)
 
     async def _record(self, machine_types: dict[str, MachineType]) -> None:
-        """Write the catalog into the records if it has changed but for prices of spot machines."""
+        """Record the catalog if anything but the prices of spot machines has changed."""
         view = self._context.view
         if not view.loaded:
             return
@@ -73,5 +74,5 @@
             revision = await commit(self._context.state, conditions, changes, within=RECORD_TIMEOUT)
             view.applied(changes, revision)
         except (ConflictError, LeaseEndedError, UnavailableError):
-            # Another controller wrote it, or the next round will.
+            # Another controller has written it, or the next round tries again.
             pass
--- a/roadbend/autoscaler/inventory_loop.py
+++ b/roadbend/autoscaler/inventory_loop.py
@@ -1,4 +1,4 @@
-"""Reads the cloud's list of machines, once a controller."""
+"""Reads the cloud's list of machines; one loop runs in each controller."""
 
 from collections.abc import Mapping
 from datetime import timedelta
@@ -14,13 +14,13 @@
 from roadbend.placement.leader import PartitionLeader
 
 log = Log("autoscaler")
-# How often a controller without a partition looks whether it leads one: soon after it has acquired
-# one, its machines are to be known.
+# How often a controller that leads no partition checks whether it has acquired one, so that the
+# list is read soon after an acquisition.
 IDLE_INTERVAL = timedelta(milliseconds=300)
 
 
 class InventoryLoop:
-    """Keeps the cloud inventory up to date, and finds orphaned machines in it."""
+    """Keeps the cloud inventory up to date and finds orphaned machines in it."""
 
     def __init__(
         self,
@@ -34,7 +34,7 @@
         self._leaders, self._booting = leaders, booting
 
     async def run(self) -> None:
-        """Read the list again and again, as long as this controller leads a partition."""
+        """Read the list periodically while this controller leads a partition, for ever."""
         while True:
             if not self._leaders:
                 await clock.pause(IDLE_INTERVAL)
@@ -42,22 +42,22 @@
             try:
                 machines = await self._cloud.list_machines()
                 self._inventory.take(machines)
-                self._note_unknown(machines)
+                self._record_unknown(machines)
             except (NoAnswerError, CloudBusyError, NoCapacityError) as error:
                 log.debug("machine-list-unavailable", error=str(error)[:60])
             except Exception:
-                # Whatever a list shows, the next one must be read.
+                # An unexpected error with one list must not stop the loop.
                 log.crash("machine-list-failed")
             await clock.pause(self._cloud.list_interval(len(self._inventory.rows)))
 
-    def _note_unknown(self, machines: list[ListedMachine]) -> None:
-        """Note the machines of our partitions that their leaders don't know."""
+    def _record_unknown(self, machines: list[ListedMachine]) -> None:
+        """Record the machines of this controller's partitions that their leaders don't know."""
         now = clock.now()
         for listed in machines:
             leader = self._leaders.get(listed.zone)
             if leader is None or listed.id in leader.machines:
                 continue
             if listed.id in self._context.deleted_machines.ids:
-                # The list lags: what was deleted still appears in it, and is not orphaned.
+                # The list lags behind and still shows deleted machines; these are not orphaned.
                 continue
-            self._booting.note_listed(listed, now)
+            self._booting.record_listed(listed, now)
--- a/roadbend/autoscaler/machine_creation.py
+++ b/roadbend/autoscaler/machine_creation.py
@@ -15,19 +15,19 @@
 from roadbend.retry import Backoff
 
 log = Log("autoscaler")
-# Requests for machines of one kind in a round; after these the queue is looked at anew.
+# How many requests for machines of one kind a round sends at most; the next round plans anew.
 MAX_REQUESTS = 8
-# Tries of one request that gets no answer, and the pauses between them.
+# How often a request without an answer is tried, and the bounds of the pauses between tries.
 MAX_TRIES = 6
 FIRST_RETRY_PAUSE = timedelta(milliseconds=300)
 MAX_RETRY_PAUSE = timedelta(seconds=10)
 
 
 def while_leading(context: ControllerContext, leader: PartitionLeader) -> Precondition:
-    """Return the precondition that a partition is still led under the leader's term.
+    """Return the precondition that the leader's term still holds and it may start tasks.
 
-    Machines are created and deleted for a partition only then: a new leader may have put work on
-    what was found empty before this process paused.
+    It is required to create and delete a partition's machines: after a process pause, a new leader
+    may have started tasks on machines that this one found empty before.
     """
     election = context.election
     return lambda: (
@@ -52,11 +52,12 @@
         self._requests = 0
 
     async def create_all(self, leader: PartitionLeader, kind: MachineKind, count: int) -> None:
-        """Create so many machines of a kind, as long as the cloud has what is asked for.
+        """Create `count` machines of a kind, or fewer if the cloud lacks capacity.
 
-        More than one request creates takes several at once: with one a round, and rounds that take
-        longer the more machines there are, a partition of a thousand machines was minutes late.
-        Raises as `Cloud.create_machines`, but for NoCapacityError.
+        Sends several requests in a round if one does not suffice: with one request a round, a
+        partition of a thousand machines got its machines minutes late, since rounds take longer the
+        more machines there are. Raises the errors of `Cloud.create_machines` except
+        `NoCapacityError`.
         """
         for _ in range(MAX_REQUESTS):
             requested = min(count, MAX_CREATIONS)
@@ -66,15 +67,15 @@
                 return
 
     async def _create(self, leader: PartitionLeader, kind: MachineKind, count: int) -> int:
-        """Create machines with one request; return how many the cloud had."""
+        """Create machines with one request; return how many the cloud created."""
         partition = leader.partition
         self._requests += 1
-        # Never used again: the term is ours alone, and the number grows within it.
+        # Unique: no other leader has this term, and the request number increases within it.
         name = f"{partition}-{leader.leadership.term}-{self._requests}"
         try:
             created = await self._request(leader, CreationRequest(name, kind, partition, count))
         except NoCapacityError:
-            self._refusals.refuse(partition, kind)
+            self._refusals.record_refusal(partition, kind)
             return 0
         self._booting.note_created(partition, created, kind, clock.now())
         for machine in created:
@@ -90,23 +91,23 @@
             machines=",".join(created),
         )
         if len(created) < count:
-            self._refusals.refuse(partition, kind)
+            self._refusals.record_refusal(partition, kind)
         else:
             self._refusals.clear(partition, kind)
         return len(created)
 
     async def _request(self, leader: PartitionLeader, request: CreationRequest) -> list[str]:
-        """Send a request until it is answered.
+        """Send a request until it is answered, and return the ids of the created machines.
 
-        Without an answer it may have been carried out; the same name tells which machines it
-        created.
+        A request without an answer may have been carried out. Retries use the same request name, so
+        that the cloud returns the machines that the first one created.
         """
-        waits = Backoff(FIRST_RETRY_PAUSE, MAX_RETRY_PAUSE, self._rng)
+        backoff = Backoff(FIRST_RETRY_PAUSE, MAX_RETRY_PAUSE, self._rng)
         for _ in range(MAX_TRIES):
             try:
                 return await self._cloud.create_machines(
                     request, while_leading(self._context, leader)
                 )
             except NoAnswerError:
-                await clock.pause(waits.next_wait())
+                await clock.pause(backoff.next_wait())
         raise NoAnswerError("creation of machines")
--- a/roadbend/autoscaler/scale_in.py
+++ b/roadbend/autoscaler/scale_in.py
@@ -1,4 +1,4 @@
-"""Deletes machines that are not needed: empty ones, and those on which tasks keep failing."""
+"""Deletes machines that are not needed: idle ones, and those on which tasks keep failing."""
 
 from datetime import datetime, timedelta
 from typing import NamedTuple
@@ -14,13 +14,13 @@
 from roadbend.store.records import Job
 
 log = Log("autoscaler")
-# Deletions are gathered for this long, or until there are this many.
-GATHER_INTERVAL = timedelta(seconds=2)
-GATHERED_DELETIONS = MAX_DELETIONS // 4
+# Deletions are batched: for this long, or until there are this many.
+DELETION_BATCH_INTERVAL = timedelta(seconds=2)
+MIN_DELETION_BATCH = MAX_DELETIONS // 4
 
 
 class IdleMachine(NamedTuple):
-    """A machine with no work on it, and how many tasks of the warm pool's service it takes."""
+    """A machine without tasks, and how many tasks of the warm pool's service fit on it."""
 
     id: str
     empty_since: datetime
@@ -28,11 +28,11 @@
 
 
 class ScaleIn:
-    """Deletes the machines that a partition does not need."""
+    """Deletes the machines that partitions do not need."""
 
     def __init__(self, context: ControllerContext, cloud: Cloud) -> None:
         self._context, self._cloud = context, cloud
-        # When machines of each partition were last deleted.
+        # When machines were last deleted, by partition.
         self._deleted_at: dict[str, datetime] = {}
 
     async def delete_unneeded(
@@ -43,53 +43,62 @@
         warm_surplus: int,
         precondition: Precondition,
     ) -> None:
-        """Delete what a partition does not need now, some at a time.
+        """Delete machines that a partition does not need now, in batches.
 
-        `warm_service` is the service that the warm pool is for; places for `warm_surplus` of its
-        tasks may go. `precondition` is asked right before the request goes out. Raises as
-        `Cloud.delete_machines`.
+        `warm_service` is the service that the warm pool is for; capacity for `warm_surplus` of its
+        tasks may be deleted. `precondition` is checked right before the request is sent. Raises the
+        errors of `Cloud.delete_machines`.
         """
-        names = self._faulty(leader) + self._unneeded(leader, now, warm_service, warm_surplus)
-        if not names or not self._is_worth_a_request(leader, names, now):
+        machine_ids = self._drained(leader) + self._unneeded(
+            leader, now, warm_service, warm_surplus
+        )
+        if not machine_ids or not self._is_worth_a_request(leader, machine_ids, now):
             return
-        names = names[:MAX_DELETIONS]
+        machine_ids = machine_ids[:MAX_DELETIONS]
         self._deleted_at[leader.partition] = now
-        for name in names:
-            # Marked before the request: nothing is started on it while the answer is out.
-            if leader.machines[name].lifecycle.draining is None:
-                leader.machines[name].lifecycle.draining = "returned"
-        names = [name for name in names if name not in leader.records.attempts_by_machine()]
-        if not names:
+        for machine_id in machine_ids:
+            # Marked before the request is sent, so that no task starts on it meanwhile.
+            if leader.machines[machine_id].lifecycle.draining is None:
+                leader.machines[machine_id].lifecycle.draining = "returned"
+        machine_ids = [
+            machine_id
+            for machine_id in machine_ids
+            if machine_id not in leader.records.attempts_by_machine()
+        ]
+        if not machine_ids:
             return
-        await self._cloud.delete_machines(names, precondition=precondition)
+        await self._cloud.delete_machines(machine_ids, precondition=precondition)
         log.info(
             "machines-deleted",
             partition=leader.partition,
-            count=len(names),
-            machines=",".join(names),
+            count=len(machine_ids),
+            machines=",".join(machine_ids),
         )
-        for name in names:
-            leader.terminate_attempts(name, TerminationEvidence.DELETED)
+        for machine_id in machine_ids:
+            leader.terminate_attempts(machine_id, TerminationEvidence.DELETED)
 
-    def _is_worth_a_request(self, leader: PartitionLeader, names: list[str], now: datetime) -> bool:
-        """Return whether to delete now: a few at a time would take a request each."""
+    def _is_worth_a_request(
+        self, leader: PartitionLeader, machine_ids: list[str], now: datetime
+    ) -> bool:
+        """Return whether to delete now or to wait for a larger batch, which saves requests."""
         last = self._deleted_at.get(leader.partition, clock.ORIGIN)
-        return len(names) >= GATHERED_DELETIONS or now - last >= GATHER_INTERVAL
+        return len(machine_ids) >= MIN_DELETION_BATCH or now - last >= DELETION_BATCH_INTERVAL
 
-    def _faulty(self, leader: PartitionLeader) -> list[str]:
-        """Return the machines that are being drained and hold nothing any more.
+    def _drained(self, leader: PartitionLeader) -> list[str]:
+        """Return the ids of the draining machines that have no tasks left.
 
-        Those on which the tasks of several jobs failed are drained from here on.
+        Quarantines machines on which the tasks of several jobs failed: they are drained from now
+        on.
         """
-        names = []
+        machine_ids = []
         for machine in leader.machines.values():
             failed = len(machine.failures) >= self._context.operator.error_limit
             if failed and machine.lifecycle.draining is None:
                 machine.lifecycle.draining = "sick"
                 log.info("machine-quarantined", partition=leader.partition, machine=machine.id)
             if machine.lifecycle.draining is not None and not _is_busy(leader, machine):
-                names.append(machine.id)
-        return names
+                machine_ids.append(machine.id)
+        return machine_ids
 
     def _unneeded(
         self,
@@ -98,9 +107,9 @@
         warm_service: Job | None,
         warm_surplus: int,
     ) -> list[str]:
-        """Return the machines that have been empty for long enough.
+        """Return the ids of the machines that have been idle for long enough.
 
-        Those that the warm pool or a gang that waits needs are kept.
+        Machines that the warm pool or a pending gang needs are kept.
         """
         idle = [
             IdleMachine(
@@ -123,15 +132,15 @@
     def _warm_tasks(
         self, leader: PartitionLeader, machine: Machine, warm_service: Job | None
     ) -> int:
-        """Return how many tasks of the warm pool's service an empty machine takes."""
+        """Return how many tasks of the warm pool's service fit on an empty machine."""
         if warm_service is None or not free_capacity.allowed(
             warm_service, machine.machine_type, machine.zone, machine.spot
         ):
             return 0
-        return self._places(leader, machine, warm_service)
+        return self._fitting_tasks(leader, machine, warm_service)
 
-    def _places(self, leader: PartitionLeader, machine: Machine, job: Job) -> int:
-        """Return how many of a job's tasks an empty machine takes."""
+    def _fitting_tasks(self, leader: PartitionLeader, machine: Machine, job: Job) -> int:
+        """Return how many of a job's tasks fit on an empty machine."""
         machine_type = self._context.machine_types.get(machine.machine_type)
         if machine_type is None:
             return 0
@@ -140,18 +149,18 @@
         return empty.count(job.spec.resources)
 
     def _kept_for_gangs(self, leader: PartitionLeader, idle: list[str]) -> set[str]:
-        """Return the empty machines that a waiting gang needs.
+        """Return the ids of the idle machines that pending gangs need.
 
-        It starts when the last one is up, and those that came up before would be deleted
-        meanwhile, again and again.
+        A gang starts once the last of its machines is up; the earlier ones would be deleted as idle
+        before that, again and again.
         """
         kept: set[str] = set()
         for item in leader.queue.not_placed:
-            places = item.count if item.job.spec.gang else 0
-            for name in idle:
-                if places <= 0:
+            unplaced_count = item.count if item.job.spec.gang else 0
+            for machine_id in idle:
+                if unplaced_count <= 0:
                     break
-                machine = leader.machines[name]
+                machine = leader.machines[machine_id]
                 if (
                     machine.machine_type not in self._context.machine_types
                     or not free_capacity.allowed(
@@ -159,13 +168,13 @@
                     )
                 ):
                     continue
-                places -= self._places(leader, machine, item.job)
-                kept.add(name)
+                unplaced_count -= self._fitting_tasks(leader, machine, item.job)
+                kept.add(machine_id)
         return kept
 
 
 def _is_busy(leader: PartitionLeader, machine: Machine) -> bool:
-    """Return whether a machine holds work, or may, or is being deleted."""
+    """Return whether a machine has tasks, may have some, or is being fenced."""
     return bool(
         machine.id in leader.records.attempts_by_machine()
         or machine.unrecorded_tasks
@@ -175,15 +184,15 @@
 
 
 def machines_to_delete(
-    idle: list[IdleMachine], now: datetime, after: timedelta, warm_surplus: int
+    idle: list[IdleMachine], now: datetime, idle_time: timedelta, warm_surplus: int
 ) -> list[str]:
-    """Return the ids of the machines that have been idle for `after`, the longest idle first.
+    """Return the ids of the machines that have been idle for `idle_time`, the longest idle first.
 
-    The warm pool keeps what it needs: places for only `warm_surplus` of its tasks may go.
+    The warm pool keeps what it needs: capacity for only `warm_surplus` of its tasks may be deleted.
     """
     chosen = []
     for machine in sorted(idle, key=lambda machine: machine.empty_since):
-        if now - machine.empty_since < after or machine.warm_tasks > max(0, warm_surplus):
+        if now - machine.empty_since < idle_time or machine.warm_tasks > max(0, warm_surplus):
             continue
         warm_surplus -= machine.warm_tasks
         chosen.append(machine.id)
--- a/roadbend/autoscaler/scale_out_planner.py
+++ b/roadbend/autoscaler/scale_out_planner.py
@@ -1,4 +1,4 @@
-"""Plans what a partition's round of autoscaling creates."""
+"""Plans which machines to create in a partition's autoscaling round."""
 
 from collections.abc import Set
 from dataclasses import replace
@@ -20,14 +20,18 @@
 from roadbend.placement.quotas import within
 from roadbend.store.records import Job
 
-# For the later deadlines, which are the last chance, more time is kept: this many times the run,
-# and this many times the longest boot.
-LAST_CHANCE_RUN_FACTOR = 1.3
-LAST_CHANCE_BOOTS = 0.5
+# For a job's later deadlines, the last that count, more time is reserved: the time for the run is
+# multiplied by the former, and the longest boot time is added, multiplied by the latter.
+LATER_DEADLINES_RUN_FACTOR = 1.3
+LATER_DEADLINES_BOOTS = 0.5
 
 
 class ScalingPlan(NamedTuple):
-    """What to create, the service that the warm pool is for, and its tasks' surplus of places."""
+    """The machines to create, the service that the warm pool is for, and the pool's surplus.
+
+    `warm_surplus` is for how many tasks of the service there is more capacity than the pool's
+    target; negative if there is less.
+    """
 
     machines: dict[MachineKind, int]
     warm_service: Job | None
@@ -43,19 +47,21 @@
         self._context, self._booting, self._warm_pool = context, booting, warm_pool
 
     def plan(
-        self, leader: PartitionLeader, now: datetime, refused: Set[MachineKind]
+        self, leader: PartitionLeader, now: datetime, unavailable_kinds: Set[MachineKind]
     ) -> ScalingPlan:
-        """Return the plan for a partition, but for the kinds that can't be created now.
+        """Return the plan for a partition, without the kinds that can't be created now.
 
-        Sets the capacity that boots for the leader.
+        Also updates the leader's booting capacity.
         """
         partition = leader.partition
-        self._booting.forget_registered(leader)
+        self._booting.remove_registered(leader)
         booting = self._booting.capacities(leader, now)
         leader.registry.note_booting(booting)
-        queue = self._timed(leader, self._within_quotas(leader, leader.queue.pending()))
-        choices = machine_options.options(self._context.machine_types.values(), partition, refused)
-        machines = self._for_queue(leader, queue, choices, booting)
+        queue = self._timed_queue(leader, self._within_quotas(leader, leader.queue.pending()))
+        choices = machine_options.options(
+            self._context.machine_types.values(), partition, unavailable_kinds
+        )
+        machines = self._machines_for_queue(leader, queue, choices, booting)
         service, target = self._warm_pool.target(partition)
         available = 0
         if service is not None:
@@ -66,7 +72,7 @@
                 )
         return ScalingPlan(machines, service, available - target)
 
-    def _for_queue(
+    def _machines_for_queue(
         self,
         leader: PartitionLeader,
         queue: list[TimedTasks],
@@ -75,7 +81,7 @@
     ) -> dict[MachineKind, int]:
         # The forecast changes the capacities that it is given.
         timelines = leader.projections.timelines([replace(capacity) for capacity in booting])
-        # Of a gang the last task counts, however wide it is.
+        # A gang starts with its last task, so all of it is forecast, however wide it is.
         widest_gang = max(
             (timed.item.count for timed in queue if timed.item.job.spec.gang), default=0
         )
@@ -99,10 +105,11 @@
         target: int,
         missing: int,
     ) -> None:
-        """Add the machines that the warm pool lacks, unless ordinary ones of that type come anyway.
+        """Add the machines that the warm pool lacks.
 
-        `target` is how many of the service's tasks the pool should have room for, `missing` how
-        many of them it has no room for.
+        Adds none if regular (not spot) machines of the chosen type are already planned for the
+        queue. `target` is the number of the service's tasks for which the pool should have
+        capacity, `missing` the number of those for which it has none.
         """
         expensive = machine_options.expensive_machine_types(
             service, self._context.machine_types.values(), self._context.operator.dear, partition
@@ -113,34 +120,36 @@
         if option is None or MachineKind(option.machine_type.name, False) in machines:
             return
         machine = machine_options.new_machine("", option, partition)
-        places = machine.count(service.spec.resources)
-        machines[option.kind] = -(-missing // places)
+        tasks_per_machine = machine.count(service.spec.resources)
+        machines[option.kind] = -(-missing // tasks_per_machine)
 
-    def _timed(self, leader: PartitionLeader, queue: list[PendingTasks]) -> list[TimedTasks]:
+    def _timed_queue(self, leader: PartitionLeader, queue: list[PendingTasks]) -> list[TimedTasks]:
         longest_startup = max(
             (machine_type.startup for machine_type in self._context.machine_types.values()),
             default=clock.ZERO,
         )
         longest_boot, wall = longest_startup.total_seconds(), clock.wall()
-        return [self._time(leader, item, wall, longest_boot) for item in queue]
+        return [self._timed_tasks(leader, item, wall, longest_boot) for item in queue]
 
-    def _time(
+    def _timed_tasks(
         self, leader: PartitionLeader, item: PendingTasks, wall: datetime, longest_boot: float
     ) -> TimedTasks:
-        """Work out when tasks must start; the last of them decides."""
+        """Compute when a job's pending tasks must start; the last of them decides."""
         spec = item.job.spec
-        run = leader.projections.run_seconds(item.job)
+        run_seconds = leader.projections.run_seconds(item.job)
         waited = (wall - item.job.submitted_at).total_seconds()
-        # Estimates are often wrong: the time kept for the run is longer than the likely one.
-        kept = 0.0 if spec.service else run * self._context.operator.caution
-        kept_at_last = kept * LAST_CHANCE_RUN_FACTOR + LAST_CHANCE_BOOTS * longest_boot
+        # As estimates are often wrong, more time is reserved for the run than it probably takes.
+        run_reserve = 0.0 if spec.service else run_seconds * self._context.operator.caution
+        later_run_reserve = (
+            run_reserve * LATER_DEADLINES_RUN_FACTOR + LATER_DEADLINES_BOOTS * longest_boot
+        )
         first, *later = self._context.objectives.deadline_factors(spec)
-        later_slacks = [forecast.slack(item, waited, kept_at_last, factor) for factor in later]
+        later_slacks = [forecast.slack(item, waited, later_run_reserve, factor) for factor in later]
         machine_types = self._context.machine_types.values()
         return TimedTasks(
             item=item,
-            run=run,
-            slack=forecast.slack(item, waited, kept, first),
+            run_seconds=run_seconds,
+            slack=forecast.slack(item, waited, run_reserve, first),
             image_gb=spec.image_gb,
             excluded_types=leader.exclusions.withheld_types(item.job.id),
             later_slacks=tuple(later_slacks),
@@ -154,7 +163,7 @@
     def _within_quotas(
         self, leader: PartitionLeader, queue: list[PendingTasks]
     ) -> list[PendingTasks]:
-        """Leave out the tasks that their team's quota keeps waiting anyway."""
+        """Return the queue without tasks that their team's quota doesn't allow to start."""
         allowance = QuotaAllowance(
             lambda team: self._context.fair_share.quota_left(team, leader.partition)
         )
--- a/roadbend/autoscaler/scale_out_policy.py
+++ b/roadbend/autoscaler/scale_out_policy.py
@@ -1,8 +1,8 @@
-"""How many machines to create for the queue, just in time.
+"""How many machines to create for the pending queue, just in time.
 
-Waiting tasks are assigned to the machines in their order, as these come free. A task that would
-start too late, and that a new machine would start sooner, calls for that machine; those behind it
-may share it. Pure: everything comes as an argument; times are in seconds from now.
+Pending tasks are assigned in queue order to the machines as these become free. For a task that
+would start too late, a machine is created if the task would start sooner on it; later tasks may
+share that machine. Pure functions; times are in seconds from now.
 """
 
 from dataclasses import dataclass
@@ -26,38 +26,38 @@
 from roadbend.placement.queue_order import PendingTasks
 from roadbend.store.records import Resources
 
-# How much a task may cost on a machine that is created for it though it would be late on any, as a
-# multiple of what it costs at the least.
+# For a task that would be late on any machine, a new machine may cost at most this multiple of the
+# minimum cost.
 MAX_COST_RATIO_IF_LATE = 1.6
-# Up to this multiple of the least cost, work that has missed a deadline is hurried all the same:
-# late work holds up what comes behind it.
-MAX_COST_RATIO_TO_HURRY_LATE = 3.0
-# A new machine must start a task sooner than what there is by this much.
+# Up to this multiple of the minimum cost, tasks that have missed a deadline still aim at it: late
+# tasks delay those behind them in the queue.
+MAX_COST_RATIO_TO_EXPEDITE_LATE = 3.0
+# A new machine must start a task sooner than existing ones by at least this much.
 MIN_GAIN_SECONDS = 1.0
 
 
 @dataclass(frozen=True)
 class TimedTasks:
-    """Waiting tasks of one job, and when they must start."""
+    """Pending tasks of one job, and when they must start."""
 
     item: PendingTasks
-    run: float
-    # How long from now they may start and be in time for the first deadline that counts.
+    run_seconds: float
+    # The latest start, from now, with which they meet the first deadline that counts.
     slack: float
     image_gb: float = 0.0
     excluded_types: frozenset[str] = frozenset()
-    # The slack to the later deadlines at which the job's objectives count, and what a task costs at
-    # the least, in any zone and whether it can be had or not.
+    # The slacks of the later deadlines in the job's objectives, and the minimum cost of a task, in
+    # any zone, whether such a machine is available or not.
     later_slacks: tuple[float, ...] = ()
     least_cost: float | None = None
 
 
 class Target(NamedTuple):
-    """The start that new machines are created for."""
+    """The latest start that new machines are to meet."""
 
     slack: float
-    # Whether a new machine could still be in time for it.
-    in_reach: bool
+    # Whether a new machine could still meet it.
+    is_attainable: bool
 
 
 def machines_to_create(
@@ -68,9 +68,9 @@
     boot_factor: float,
     max_tasks: int = UNLIMITED_TASKS,
 ) -> dict[MachineKind, int]:
-    """Return how many machines of which kind to create for the first `max_tasks` tasks.
+    """Return how many machines of each kind to create for the first `max_tasks` tasks.
 
-    Changes the timelines. Machines take `boot_factor` times as long to boot as their type says.
+    Changes the timelines. Machines take `boot_factor` times as long to boot as their type states.
     """
     plan = _CreationPlan(queue, timelines, choices, partition, boot_factor)
     for timed in queue:
@@ -81,7 +81,7 @@
 
 
 class _CreationPlan:
-    """The queue as it is assigned to the machines, and what is created for it."""
+    """The assignment of the queue to machines, and the machines to create for it."""
 
     def __init__(
         self,
@@ -94,37 +94,39 @@
         self._choices, self._partition, self._boot_factor = choices, partition, boot_factor
         smallest = min_resources(timed.item.job.spec.resources for timed in queue)
         self._schedule = ScheduleProjection(timelines, smallest)
-        # How many tasks that need the same are still to be assigned.
-        self._alike: dict[Resources, int] = {}
+        # How many tasks that need the same resources are not assigned yet.
+        self._similar_counts: dict[Resources, int] = {}
         for timed in queue:
             resources = timed.item.job.spec.resources
-            self._alike[resources] = self._alike.get(resources, 0) + timed.item.count
+            self._similar_counts[resources] = (
+                self._similar_counts.get(resources, 0) + timed.item.count
+            )
         self.machines: dict[MachineKind, int] = {}
 
     def add(self, timed: TimedTasks, max_tasks: int) -> int:
-        """Assign at most so many tasks of an item; return how many more may be assigned."""
+        """Assign at most `max_tasks` tasks of an item; return how many more may be assigned."""
         item, spec = timed.item, timed.item.job.spec
         candidates = StartCandidates(item.job, self._schedule, timed.excluded_types)
         chooser = _MachineChooser(timed, self._choices, self._partition, self._boot_factor)
         option: MachineOption | None = None
-        alike = self._alike[spec.resources]
-        self._alike[spec.resources] = alike - item.count
+        similar_count = self._similar_counts[spec.resources]
+        self._similar_counts[spec.resources] = similar_count - item.count
         for position in range(item.count):
             if max_tasks <= 0:
                 break
             max_tasks -= 1
             run_at, created = candidates.next_run(), False
             if run_at > chooser.target.slack:
-                # Of a gang the last task counts: machines are created for all of it.
+                # A gang starts with its last task: machines are created for all of its tasks.
                 if position == 0 or option is not None or spec.gang:
-                    option = chooser.choose(alike)
+                    option = chooser.choose(similar_count)
                 if option is not None:
                     created = self._create_if_sooner(option, timed, candidates, run_at)
-            alike -= 1
+            similar_count -= 1
             if run_at == NEVER and not created:
-                # Nothing can be had for it, nor for those beside it.
+                # No machine can run it, nor the item's other tasks.
                 break
-            candidates.assign(timed.run)
+            candidates.assign(timed.run_seconds)
         return max_tasks
 
     def _create_if_sooner(
@@ -148,7 +150,7 @@
 
 
 class _MachineChooser:
-    """Chooses the machine to create for tasks that would start too late on what there is."""
+    """Chooses the machine to create for tasks that would start too late on existing ones."""
 
     def __init__(
         self,
@@ -160,30 +162,30 @@
         self._timed, self._partition, self._boot_factor = timed, partition, boot_factor
         self._choices = choices
         self.target = self._find_target()
-        # How many tasks are alike makes a difference only where a machine takes more.
+        # The number of similar tasks matters only up to the number that fits on a machine.
         resources = timed.item.job.spec.resources
-        self._max_alike = max(
+        self._max_similar_count = max(
             (new_machine("", option, partition).count(resources) for option in choices), default=0
         )
         self._chosen: dict[int, MachineOption | None] = {}
 
-    def choose(self, alike: int) -> MachineOption | None:
-        """Return the best machine where so many tasks that need the same still wait."""
-        alike = min(alike, self._max_alike)
-        if alike not in self._chosen:
-            self._chosen[alike] = self._find(alike)
-        return self._chosen[alike]
+    def choose(self, similar_count: int) -> MachineOption | None:
+        """Return the best machine if `similar_count` tasks with the same needs are unassigned."""
+        similar_count = min(similar_count, self._max_similar_count)
+        if similar_count not in self._chosen:
+            self._chosen[similar_count] = self._find_option(similar_count)
+        return self._chosen[similar_count]
 
     def _find_target(self) -> Target:
-        """Find the next deadline that a new machine could still meet.
+        """Return the first deadline that a new machine could still meet.
 
-        What has missed a deadline no longer hurries for it: expensive machines that are created
-        then would be early for nothing.
+        Tasks that have missed a deadline aim at the next one: an expensive machine for the missed
+        one would gain nothing.
         """
         timed = self._timed
         if timed.least_cost is not None:
             costs = self._costs(self._choices, timed.item.count)
-            if min(costs, default=0.0) <= timed.least_cost * MAX_COST_RATIO_TO_HURRY_LATE:
+            if min(costs, default=0.0) <= timed.least_cost * MAX_COST_RATIO_TO_EXPEDITE_LATE:
                 return Target(timed.slack, True)
         soonest = min((self._ready_after(option) for option in self._choices), default=0.0)
         for slack in (timed.slack, *timed.later_slacks):
@@ -191,45 +193,50 @@
                 return Target(slack, True)
         return Target(timed.slack, not timed.later_slacks)
 
-    def _find(self, alike: int) -> MachineOption | None:
+    def _find_option(self, similar_count: int) -> MachineOption | None:
         timed = self._timed
         usable = [
             option
             for option in self._choices
             if option.machine_type.name not in timed.excluded_types
         ]
-        if not self.target.in_reach and timed.least_cost is not None:
-            # Too late for every objective: it takes what is cheap, and else the next place that
-            # comes free; being the oldest, it is the first to get one.
-            usable = self._within(usable, timed.least_cost * MAX_COST_RATIO_IF_LATE, alike)
-        # Those that would be in time, if any; a slow boot or fetch may cost more than it saves.
+        if not self.target.is_attainable and timed.least_cost is not None:
+            # Too late for every objective: only a cheap machine is created. Without one the task
+            # waits for free capacity, and as the oldest task gets it first.
+            usable = self._options_up_to(
+                usable, timed.least_cost * MAX_COST_RATIO_IF_LATE, similar_count
+            )
+        # Prefers options that would be in time: the delay by a slow boot or fetch may cost more
+        # than a cheaper machine saves.
         in_time = [option for option in usable if self._ready_after(option) <= self.target.slack]
         if not in_time and usable:
-            # Late anyway: the sooner the better, within reason.
-            least = min(self._costs(usable, alike), default=0.0)
-            fair = self._within(usable, least * MAX_COST_RATIO_IF_LATE, alike)
-            in_time = sorted(fair, key=self._ready_after)[:1]
-        return cheapest(timed.item, in_time or usable, self._partition, alike)
+            # Late on any machine: the fastest one up to a cost limit.
+            lowest_cost = min(self._costs(usable, similar_count), default=0.0)
+            affordable = self._options_up_to(
+                usable, lowest_cost * MAX_COST_RATIO_IF_LATE, similar_count
+            )
+            in_time = sorted(affordable, key=self._ready_after)[:1]
+        return cheapest(timed.item, in_time or usable, self._partition, similar_count)
 
     def _ready_after(self, option: MachineOption) -> float:
         return ready_after(option, self._timed.image_gb, self._boot_factor)
 
-    def _costs(self, choices: list[MachineOption], alike: int) -> list[float]:
-        """Return the costs of those options on which the job can run."""
+    def _costs(self, choices: list[MachineOption], similar_count: int) -> list[float]:
+        """Return the costs of the options on which the job can run."""
         item, partition = self._timed.item, self._partition
         return [
             price
             for option in choices
-            if (price := cost(item, option, partition, alike)) is not None
+            if (price := cost(item, option, partition, similar_count)) is not None
         ]
 
-    def _within(
-        self, choices: list[MachineOption], max_cost: float, alike: int
+    def _options_up_to(
+        self, choices: list[MachineOption], max_cost: float, similar_count: int
     ) -> list[MachineOption]:
-        """Return the options that cost no more than so much."""
+        """Return the options that cost at most `max_cost`."""
         found = []
         for option in choices:
-            price = cost(self._timed.item, option, self._partition, alike)
+            price = cost(self._timed.item, option, self._partition, similar_count)
             if price is not None and price <= max_cost:
                 found.append(option)
         return found
--- a/roadbend/autoscaler/service.py
+++ b/roadbend/autoscaler/service.py
@@ -22,17 +22,17 @@
 from roadbend.placement.leader import PartitionLeader
 
 log = Log("autoscaler")
-# The pause between a partition's rounds at the least, and the one after a failed round.
+# The minimum pause between a partition's rounds, and the pause after a failed round.
 ROUND_INTERVAL = timedelta(milliseconds=900)
 RETRY_PAUSE = timedelta(seconds=1)
-# Most machines that one log line names of those that never registered.
+# How many of the machines that never registered one log line names at most.
 MAX_LOGGED = 5
 
 
 class Autoscaler:
-    """Scales out for the queues, and scales in what is not needed.
+    """Scales out for the pending queues, and scales in machines that are not needed.
 
-    `catalog` and `inventory` each run once a controller, `run` once a partition.
+    `catalog` and `inventory` each run once for the controller, `run` once for each partition.
     """
 
     def __init__(
@@ -53,7 +53,7 @@
         self.inventory = InventoryLoop(context, cloud, fleet.inventory, leaders, self._booting)
 
     async def run(self, leader: PartitionLeader) -> None:
-        """Scale one partition, round by round, until its leader's term is over."""
+        """Scale one partition, round by round, until its leader loses leadership."""
         partition, pause = leader.partition, ROUND_INTERVAL
         while self._context.election.leadership(partition) == leader.leadership:
             await clock.pause(pause)
@@ -62,28 +62,28 @@
                 now = clock.now()
                 if self._context.election.may_start(now) and self._context.machine_types:
                     plan = self._planner.plan(leader, now, self.unavailable_kinds(partition, now))
-                    # Where planning takes long, it is done less often.
-                    took = clock.now() - now
-                    pause = max(ROUND_INTERVAL, self._context.reuse_window(took))
+                    # If planning takes long, it is done less often.
+                    planning_time = clock.now() - now
+                    pause = max(ROUND_INTERVAL, self._context.reuse_window(planning_time))
                     await self._carry_out(leader, now, plan)
             except (NoAnswerError, CloudBusyError) as error:
                 log.debug("cloud-unavailable", partition=partition, error=str(error)[:60])
                 await clock.pause(RETRY_PAUSE)
             except Exception:
-                # Whatever goes wrong in a round, the partition must be scaled in the next.
+                # An unexpected error in one round must not end the autoscaling of the partition.
                 log.crash("autoscaling-failed", partition=partition)
                 await clock.pause(RETRY_PAUSE)
 
     def unavailable_kinds(self, partition: str, now: datetime) -> set[MachineKind]:
         """Return the kinds of machines that can't be created in a partition now."""
         if self._fleet.reachability.is_cut(partition, now):
-            # What is created behind a network partition comes up unheard.
+            # The heartbeats of machines created behind a network partition would not be received.
             return {
                 MachineKind(machine_type, spot)
                 for machine_type in self._context.machine_types
                 for spot in (True, False)
             }
-        return self._refusals.refused(partition, now)
+        return self._refusals.refused_kinds(partition, now)
 
     async def _carry_out(self, leader: PartitionLeader, now: datetime, plan: ScalingPlan) -> None:
         for kind, count in plan.machines.items():
@@ -109,6 +109,6 @@
             count=len(late),
         )
         await self._cloud.delete_machines(late, precondition=while_leading(self._context, leader))
-        self._booting.forget(partition, late)
+        self._booting.remove(partition, late)
         for machine in late:
             leader.terminate_attempts(machine, TerminationEvidence.DELETED)
--- a/roadbend/autoscaler/test_autoscaler.py
+++ b/roadbend/autoscaler/test_autoscaler.py
@@ -1,4 +1,4 @@
-"""What is created, kept and deleted."""
+"""Tests of which machines the autoscaler creates, keeps and deletes."""
 
 from datetime import timedelta
 
@@ -78,7 +78,7 @@
         machine_options.expensive_machine_types(service, MACHINE_TYPES.values(), 2.0, "east")
         == set()
     )
-    # Spread over zones, half of it must go where the cheap type is not to be had.
+    # With anti-affinity, half of the tasks must run in the zone without the cheap type.
     far = read_machine_types([{**MACHINE_TYPE, "yards": ["west"]}, SMALL]).values()
     spread = pending(shape="daemon", loaners=False, dueS=None, legs=2, apart=True).job
     assert (
@@ -91,7 +91,7 @@
 def test_warm_room_follows_measured_arrivals():
     assert tasks_to_keep([], 40 * S, 300 * S, 3, 99) == 0
     assert tasks_to_keep([1] * 6, 40 * S, 300 * S, 3, 99) == 1
-    # As many replicas in wide services come less evenly.
+    # The same number of tasks arrives less evenly in services with many tasks.
     assert tasks_to_keep([1] * 120, 40 * S, 300 * S, 3, 99) == 7
     assert tasks_to_keep([12] * 10, 40 * S, 300 * S, 3, 99) == 10
     assert tasks_to_keep([12] * 10, 40 * S, 300 * S, 3, 4) == 4
@@ -119,23 +119,27 @@
 
 
 async def test_more_machines_than_a_request_rents_take_several_in_one_round():
-    """One request a round once kept a partition of more than a thousand machines waiting.
+    """Guards against one request a round, with which a partition got its machines minutes late.
 
-    It waited for minutes, since rounds grow with the machines.
+    Rounds take longer the more machines there are; this partition had more than a thousand.
     """
 
-    async def requests(count: int, *there: int) -> list[int]:
-        creation, left, asked = MachineCreation.__new__(MachineCreation), list(there), []
+    async def requests(count: int, *available: int) -> list[int]:
+        creation, remaining, requested = (
+            MachineCreation.__new__(MachineCreation),
+            list(available),
+            [],
+        )
 
         async def create(_leader, _kind, count: int) -> int:
-            asked.append(count)
-            return min(count, left.pop(0))
+            requested.append(count)
+            return min(count, remaining.pop(0))
 
         creation._create = create
         await creation.create_all(None, MachineKind("g2", False), count)
-        return asked
+        return requested
 
     assert await requests(120, 50, 50, 50) == [50, 50, 20]
-    # Where the cloud has fewer, it is not asked again at once.
+    # If the cloud creates fewer than requested, no further request follows in the round.
     assert await requests(120, 50, 30, 50) == [50, 50]
     assert await requests(10_000, *[50] * MAX_REQUESTS) == [50] * MAX_REQUESTS
--- a/roadbend/autoscaler/warm_pool.py
+++ b/roadbend/autoscaler/warm_pool.py
@@ -12,19 +12,19 @@
 from roadbend.placement.machine_options import expensive_machine_types
 from roadbend.store.records import Job
 
-# Boots take up to half as long again as they nominally do.
+# The longest boot time as a multiple of the nominal one.
 MAX_STARTUP_RATIO = 1.5
 
 
 class WarmPoolTarget(NamedTuple):
-    """The service to keep capacity for, and for how many of its tasks; None and 0 for none."""
+    """The service to keep capacity for, and for how many of its tasks; None and 0 if for none."""
 
     service: Job | None
     tasks: int
 
 
 class Arrivals(NamedTuple):
-    """Services that the warm pool is for: the newest, and the tasks of each that came lately."""
+    """Services that the warm pool is for: the newest, and the task count of each recent one."""
 
     newest: Job | None
     task_counts: list[int]
@@ -34,16 +34,16 @@
 
 
 class WarmPool:
-    """Says how much capacity a partition should keep free, and how much it has."""
+    """Computes how much capacity a partition should keep free, and how much it has."""
 
     def __init__(self, context: ControllerContext) -> None:
         self._context = context
 
     def target(self, partition: str) -> WarmPoolTarget:
-        """Return what a partition's warm pool should have room for.
+        """Return for what a partition's warm pool should have capacity.
 
-        For classes whose objective is a start sooner than a machine boots, as much as measured
-        arrivals justify.
+        The warm pool is for job classes whose objective is a start sooner than a machine boots; its
+        size follows from the measured arrivals.
         """
         operator = self._context.operator
         startup = max(
@@ -66,9 +66,10 @@
         return WarmPoolTarget(arrivals.newest, tasks)
 
     def available(self, leader: PartitionLeader, service: Job, booting: list[FreeCapacity]) -> int:
-        """Return how many tasks of the service have room, less the services' tasks that wait.
+        """Return how many of the service's tasks fit, minus the pending tasks of services.
 
-        Room is what is free, boots, or is held by work that may be preempted for the service.
+        Counts free capacity, booting machines, and the capacity that lower-priority attempts hold,
+        as these may be preempted.
         """
         attempts, count = leader.records.attempts_by_machine(), 0
         expensive = expensive_machine_types(
@@ -92,7 +93,7 @@
         return count - sum(item.count for item in waiting)
 
     def _arrivals(self, startup: timedelta) -> Arrivals:
-        """Find the services that must start sooner than a machine boots."""
+        """Return the services that must start sooner than a machine boots."""
         window, wall = self._context.operator.spare_window, clock.wall()
         newest: Job | None = None
         task_counts: list[int] = []
@@ -107,12 +108,14 @@
         return Arrivals(newest, task_counts)
 
     def _zones_for(self, service: Job) -> set[str]:
-        """Return the zones that can host a service cheaply: only these keep capacity for it."""
+        """Return the zones with cheap machines for a service: only these keep capacity for it."""
         machine_types = self._context.machine_types
         max_cost_ratio = self._context.operator.dear
         expensive = {
             zone: expensive_machine_types(service, machine_types.values(), max_cost_ratio, zone)
-            for zone in {zone for row in machine_types.values() for zone in row.zones}
+            for zone in {
+                zone for machine_type in machine_types.values() for zone in machine_type.zones
+            }
         }
         return {
             zone
@@ -127,9 +130,9 @@
 ) -> int:
     """Return for how many tasks each partition's warm pool keeps capacity.
 
-    What arrives on average while a machine boots, and one standard deviation more, over the
-    partitions. `arrivals` are the tasks of each service that came within the window; wide services
-    make the deviation larger. Zero when none arrive.
+    That is the mean of the tasks that arrive while a machine boots, plus one standard deviation,
+    divided among the partitions. `arrivals` are the task counts of the services that arrived within
+    the window; services with many tasks increase the deviation. Zero if none arrived.
     """
     if not arrivals:
         return 0
