--- a/roadbend/bidding/service.py
+++ b/roadbend/bidding/service.py
@@ -1,4 +1,4 @@
-"""Puts the parts of the bidding together for one controller."""
+"""Assembles the bidding components of one controller."""
 
 import random
 from collections.abc import Mapping
@@ -7,7 +7,7 @@
 
 from roadbend.bidding.allocation import AllocationRecorder
 from roadbend.bidding.bid_collector import BidCollector
-from roadbend.bidding.bid_service import BidService, ClosedTypesAt
+from roadbend.bidding.bid_service import BidService, UnavailableKindsAt
 from roadbend.bidding.gang_release import GangReleaser
 from roadbend.bidding.requester import Requester
 from roadbend.bidding.rescheduler import Rescheduler
@@ -15,22 +15,22 @@
 from roadbend.placement.context import ControllerContext
 from roadbend.placement.leader import PartitionLeader
 
-# How many jobs are allocated at the same time.
-WORKERS = 4
+# How many jobs are allocated concurrently.
+ALLOCATION_WORKERS = 4
 
 
 class Bidding:
-    """CASA in one controller: requester and responder, and the rescheduling of what waits."""
+    """CASA in one controller: requester, responder and the rescheduling of pending tasks."""
 
     def __init__(
         self,
         context: ControllerContext,
         peers: Peers,
         leaders: Mapping[str, PartitionLeader],
-        closed_types: ClosedTypesAt,
+        unavailable_kinds: UnavailableKindsAt,
         rng: random.Random,
     ) -> None:
-        bid_service = BidService(context, leaders, closed_types)
+        bid_service = BidService(context, leaders, unavailable_kinds)
         bid_service.register(peers)
         collector = BidCollector(context, peers, bid_service)
         recorder = AllocationRecorder(context, peers, leaders, bid_service)
@@ -49,5 +49,5 @@
         """Start the loops, which run until the nursery is cancelled."""
         nursery.start_soon(self.requester.run_rebid)
         nursery.start_soon(self.rescheduler.run)
-        for _ in range(WORKERS):
+        for _ in range(ALLOCATION_WORKERS):
             nursery.start_soon(self.requester.run_worker)
