--- a/roadbend/autoscaler/scale_out_planner.py
+++ b/roadbend/autoscaler/scale_out_planner.py
@@ -20,8 +20,8 @@
 from roadbend.placement.quotas import within
 from roadbend.store.records import Job
 
-# For a job's later deadlines, the last that count, more time is reserved: the time for the run is
-# multiplied by the former, and the longest boot time is added, multiplied by the latter.
+# For a job's later deadlines, the last chance to meet its objectives, more time is reserved: the
+# time for the run times the first factor, plus the longest boot time times the second.
 LATER_DEADLINES_RUN_FACTOR = 1.3
 LATER_DEADLINES_BOOTS = 0.5
 
--- a/roadbend/bidding/bid_service.py
+++ b/roadbend/bidding/bid_service.py
@@ -133,8 +133,8 @@
             key = keys.job_key(assignment.job)
             try:
                 view.put(key, cbor2.loads(assignment.value), assignment.mod_revision)
-            except Exception as error:  # cbor2 raises many kinds on hostile input
-                raise FrameError("assign") from error
+            except Exception as error:  # cbor2 raises various errors on hostile input
+                raise FrameError("malformed job record in an assignment") from error
         for leader in self._leaders.values():
             leader.steps.request()
         return b""
--- a/roadbend/bidding/casa.py
+++ b/roadbend/bidding/casa.py
@@ -70,7 +70,7 @@
 
 
 def response_time(bid: Bid, omega: float) -> timedelta:
-    """Return a bid's response time, in which `omega` weighs the shadow load (definition 3)."""
+    """Return a bid's response time, in which `omega` weights the shadow load (definition 3)."""
     return bid.job_time + bid.queue_time + bid.shadow_time * omega
 
 
--- a/roadbend/bidding/requester.py
+++ b/roadbend/bidding/requester.py
@@ -25,7 +25,7 @@
 
 # How many jobs are queued for allocation at most.
 MAX_QUEUED = 2048
-# How often bids for a job are collected while its record changes between collection and write.
+# How often an allocation is tried if the job's record changes concurrently.
 MAX_TRIES = 3
 # In rebid intervals: after how long any controller allocates a job that has unassigned tasks, and
 # the longest wait between two tries.
--- a/roadbend/bidding/rescheduler.py
+++ b/roadbend/bidding/rescheduler.py
@@ -30,7 +30,7 @@
 # without a bid the round ends.
 MAX_RESCHEDULED = 12
 MAX_WITHOUT_BIDS = 3
-# For how long a job for which no partition bid is considered after the others.
+# For how long a job that got no bids is considered after the others.
 NO_BIDS_RETENTION = timedelta(seconds=60)
 # From how many shards of one job tasks move at once; each is a condition of the transaction.
 MAX_SHARDS = 16
