--- a/roadbend/placement/free_capacity.py
+++ b/roadbend/placement/free_capacity.py
@@ -1,6 +1,6 @@
-"""What is free on a machine, and which machines a job allows.
+"""Free capacity of machines, and which machines a job allows.
 
-Pure: everything comes as an argument.
+Pure functions: all state is passed in.
 """
 
 from collections.abc import Collection, Iterable
@@ -8,20 +8,20 @@
 
 from roadbend.store.records import Job, Resources
 
-# Amounts of CPUs, GPUs and GB of memory that differ by less than this count as equal: they are sums
-# of decimal numbers, and taking and giving back the same amounts must not leave a task without
-# room.
+# Amounts of CPUs, GPUs and GB of memory that differ by less than this count as equal. They are sums
+# of decimal fractions, and rounding errors from allocating and releasing the same amounts must not
+# keep a task from fitting.
 RESOURCE_TOLERANCE = 1e-6
-# More tasks than any machine takes: the count for a task that needs nothing.
+# More tasks than any machine runs; returned for a task that requests no resources.
 UNLIMITED_TASKS = 1_000_000
 
 
 @dataclass(slots=True)
 class FreeCapacity:
-    """A machine with what is free on it; `allocate` and `release` change it in place.
+    """A machine and its free capacity; `allocate` and `release` change it in place.
 
-    `cpus`, `gpus` and `memory` (GB) are what is free, `total` all that the machine has. `ready_in`
-    is in seconds, and above zero while the machine boots. `price` is per hour.
+    `cpus`, `gpus` and `memory` (GB) are the free amounts, `total` the capacity of the whole
+    machine. `ready_in` is in seconds, and above zero while the machine boots. `price` is per hour.
     """
 
     id: str
@@ -35,11 +35,11 @@
     total: Resources = field(default_factory=lambda: Resources(0, 0, 0))
     ready_in: float = 0.0
     price: float = 0.0
-    # How fast the machine fetches images, in GB per second; 0: not known.
+    # How fast the machine fetches images, in GB per second; 0 if unknown.
     fetch_gb_per_s: float = 0.0
 
     def image_fetch_seconds(self, image: str, gb: float) -> float:
-        """Return the seconds until an image of so many GB is on the machine."""
+        """Return the seconds until an image of the given size is on the machine; 0 if unknown."""
         return 0.0 if image in self.images or self.fetch_gb_per_s <= 0 else gb / self.fetch_gb_per_s
 
     def fits(self, resources: Resources) -> bool:
@@ -76,7 +76,7 @@
         return count
 
     def leftover_share(self, resources: Resources) -> float:
-        """Return the share of the machine that one more task would leave free.
+        """Return the fraction of the machine that would be free with one more task on it.
 
         The mean over those of CPUs, GPUs and memory that the machine has.
         """
@@ -93,7 +93,7 @@
 
 
 def allowed(job: Job, machine_type: str, zone: str, spot: bool) -> bool:
-    """Return whether a job's owner allows its tasks on such machines."""
+    """Return whether a job's specification allows its tasks on such machines."""
     spec = job.spec
     return (
         (spec.machine_types is None or machine_type in spec.machine_types)
@@ -103,9 +103,9 @@
 
 
 def min_resources(needs: Iterable[Resources]) -> Resources:
-    """Return the minimum of each resource over some needs; zeros if there are none.
+    """Return the minimum of each resource over several requests; zeros if there are none.
 
-    A machine on which this does not fit takes none of them.
+    On a machine on which this does not fit, none of the requests fits.
     """
     needs = list(needs)
     return Resources(
--- a/roadbend/placement/gang_attempts.py
+++ b/roadbend/placement/gang_attempts.py
@@ -1,4 +1,4 @@
-"""What a partition's leader remembers of the attempts of gangs, beside the records."""
+"""In-memory state of gang attempts that a partition's leader keeps besides the records."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -6,7 +6,7 @@
 
 @dataclass(slots=True)
 class _LostMachines:
-    """The machines that an attempt of a gang has lost."""
+    """The machines on which an attempt of a gang has lost tasks."""
 
     attempt: int
     machines: set[str] = field(default_factory=set)
@@ -16,73 +16,80 @@
     """The attempts of gangs in one partition."""
 
     def __init__(self) -> None:
-        # Attempts of which a part is recorded, and the rest still to be.
-        self._filling: dict[str, int] = {}
-        # Gangs with anti-affinity: the last attempt of which this partition started its share.
+        # By gang: the attempt of which some tasks are recorded and others are still to be.
+        self._partly_recorded: dict[str, int] = {}
+        # By gang with anti-affinity: the last attempt of which this partition started its share.
         self._joined: dict[str, int] = {}
-        # Such gangs whose attempt is over: all shares are to be bid for anew.
+        # Gangs with anti-affinity whose attempt was abandoned: all shares go back to bidding.
         self._to_release: set[str] = set()
-        # Where an attempt that goes on elsewhere has lost tasks before all of them had begun.
-        self._lost_on: dict[str, _LostMachines] = {}
+        # By gang: where an attempt that continues has lost tasks before all of its tasks had begun.
+        self._lost_machines: dict[str, _LostMachines] = {}
 
-    def note_filling(self, job: str, attempt: int) -> None:
-        """Remember that the rest of an attempt is still to be recorded."""
-        self._filling[job] = attempt
+    def mark_partly_recorded(self, job: str, attempt: int) -> None:
+        """Record that some tasks of an attempt are still to be recorded."""
+        self._partly_recorded[job] = attempt
 
-    def filling(self, job: str) -> int | None:
-        """Return the attempt of a gang of which the rest is still to be recorded."""
-        return self._filling.get(job)
+    def partly_recorded_attempt(self, job: str) -> int | None:
+        """Return the attempt of a gang of which some tasks are still to be recorded."""
+        return self._partly_recorded.get(job)
 
-    def note_joined(self, job: str, attempt: int) -> None:
-        """Remember that this partition has started its share of an attempt."""
+    def mark_joined(self, job: str, attempt: int) -> None:
+        """Record that this partition has started its share of an attempt."""
         self._joined[job] = attempt
 
     def has_joined(self, job: str, attempt: int) -> bool:
-        """Whether this partition has started its share of an attempt."""
+        """Return whether this partition has started its share of an attempt."""
         return self._joined.get(job) == attempt
 
-    def note_over(self, job: str) -> None:
-        """Remember that all shares of a gang are to be bid for anew."""
+    def mark_for_release(self, job: str) -> None:
+        """Record that all shares of a gang must be released and bid for again."""
         self._to_release.add(job)
 
     def needs_release(self, job: str) -> bool:
-        """Whether all shares of a gang are to be bid for anew."""
+        """Return whether all shares of a gang must be released and bid for again."""
         return job in self._to_release
 
     def mark_released(self, job: str) -> None:
-        """All shares of a gang were given back."""
+        """Record that all shares of a gang were released."""
         self._to_release.discard(job)
 
     def record_lost_machine(self, job: str, attempt: int, machine: str) -> None:
-        """Remember a machine on which an attempt has lost a task."""
-        lost = self._lost_on.get(job)
+        """Record a machine on which an attempt has lost a task."""
+        lost = self._lost_machines.get(job)
         if lost is None or lost.attempt != attempt:
-            lost = self._lost_on[job] = _LostMachines(attempt)
+            lost = self._lost_machines[job] = _LostMachines(attempt)
         lost.machines.add(machine)
 
     def lost_machines(self, job: str) -> set[str]:
         """Return the machines on which a gang's attempt has lost tasks.
 
-        A machine ignores an order for an attempt that it still holds, ended ones too.
+        Its tasks must not start there again: a machine ignores a start order for an attempt that it
+        still holds, even for one that has ended.
         """
-        lost = self._lost_on.get(job)
+        lost = self._lost_machines.get(job)
         return lost.machines if lost is not None else set()
 
     def has_lost_machines(self) -> bool:
-        """Whether any attempt has lost a task and goes on."""
-        return bool(self._lost_on)
+        """Return whether any attempt continues after losing a task."""
+        return bool(self._lost_machines)
 
-    def drop_over(
+    def drop_obsolete(
         self,
         is_live: Callable[[str], bool],
-        is_filled: Callable[[str, int], bool],
+        is_fully_recorded: Callable[[str, int], bool],
         recorded_number: Callable[[str], int | None],
     ) -> None:
-        """Forget what no longer matters by the records, which the arguments look up."""
+        """Drop entries that the records make obsolete; the arguments look the records up."""
         for job in [job for job in self._joined if not is_live(job)]:
             del self._joined[job]
         self._to_release = {job for job in self._to_release if is_live(job)}
-        for job in [job for job, attempt in self._filling.items() if is_filled(job, attempt)]:
-            del self._filling[job]
-        for job in [j for j, lost in self._lost_on.items() if recorded_number(j) != lost.attempt]:
-            del self._lost_on[job]
+        for job in [
+            job for job, attempt in self._partly_recorded.items() if is_fully_recorded(job, attempt)
+        ]:
+            del self._partly_recorded[job]
+        for job in [
+            job_id
+            for job_id, lost in self._lost_machines.items()
+            if recorded_number(job_id) != lost.attempt
+        ]:
+            del self._lost_machines[job]
--- a/roadbend/placement/gang_end.py
+++ b/roadbend/placement/gang_end.py
@@ -1,4 +1,4 @@
-"""Ends a gang in the records once one of its tasks is done."""
+"""Ends a gang in the records once one of its tasks has completed."""
 
 from roadbend.placement.transaction import TransactionBuilder
 from roadbend.store import keys
@@ -8,30 +8,33 @@
 def end_gang(
     transaction: TransactionBuilder,
     job: Job,
-    touched: dict[int, SliceShard],
-    others: list[SliceShard],
+    changed_shards: dict[int, SliceShard],
+    other_shards: list[SliceShard],
 ) -> set[int] | None:
-    """End a gang of which a task is done: then all are, and the job is, whoever reports first.
+    """End a gang of which a task has completed: all tasks and the job then count as completed.
 
-    What of it may still be on machines stays in the slices until it is certainly terminated, as
-    with a cancelled job. Return the touched shards that are written with it; a gang wider than one
-    transaction leaves the rest for the next. None: not even the job's end has room now.
+    Attempts that may still be on machines stay in the job slice until they have certainly
+    terminated, as with a cancelled job. Return the numbers of the changed shards that are written
+    in this transaction; a gang wider than one transaction leaves the rest to the next. None if the
+    transaction has no space even for the end of the job.
     """
     end_keys = (keys.job_key(job.id), keys.job_end_key(job.id), keys.gang_key(job.id))
-    all_fits = transaction.has_space_for(*end_keys, *(shard.key for shard in touched.values()))
-    if not all_fits and (transaction.changes or not transaction.has_space_for(*end_keys)):
+    has_space_for_all = transaction.has_space_for(
+        *end_keys, *(shard.key for shard in changed_shards.values())
+    )
+    if not has_space_for_all and (transaction.changes or not transaction.has_space_for(*end_keys)):
         return None
     transaction.end_job(job, "done", job.spec.task_count)
-    written: set[int] = set()
-    for n, shard in touched.items():
+    written_shards: set[int] = set()
+    for shard_number, shard in changed_shards.items():
         if not transaction.has_space_for(shard.key):
             break
-        written.add(n)
+        written_shards.add(shard_number)
         if shard.attempts:
             transaction.set_shard(shard)
         else:
             transaction.delete_shard(shard)
-    for shard in others:
+    for shard in other_shards:
         if not shard.attempts and transaction.has_space_for(shard.key):
             transaction.delete_shard(shard)
-    return written
+    return written_shards
--- a/roadbend/placement/gang_reservations.py
+++ b/roadbend/placement/gang_reservations.py
@@ -1,8 +1,8 @@
-"""Room for gangs that wait behind a steady stream.
+"""Reserves machines for gangs that would starve behind a steady stream of smaller jobs.
 
-What comes free goes to smaller work at once, so a wide gang might never find enough of it at one
-moment. After a while room is kept for one gang at a time, for less long than any other job may be
-kept from room that fits it.
+Free capacity goes to smaller jobs at once, so a wide gang might never find enough of it at one
+time. After a while machines are reserved for one gang at a time, for less than the time for which
+any other job may be kept from capacity that fits it.
 """
 
 from datetime import datetime, timedelta
@@ -16,16 +16,18 @@
 from roadbend.placement.usable_machines import UsableMachines
 
 log = Log("placement")
-# How long a gang waits before room is kept for it, how long that is, and for how long then not.
-PATIENCE = timedelta(seconds=45)
-KEEP = timedelta(seconds=42)
-PAUSE = timedelta(seconds=45)
-# Not all of what runs there ends while room is kept: machines for so many times the gang.
-SPARE = 1.5
+# How long a gang is pending before machines are reserved for it, how long they stay reserved, and
+# the pause after that before the next reservation.
+MIN_WAIT = timedelta(seconds=45)
+RESERVATION_LIFETIME = timedelta(seconds=42)
+PAUSE_AFTER_RESERVATION = timedelta(seconds=45)
+# Machines are reserved for this many times the gang's tasks, since not all tasks that run on them
+# end while the reservation lasts.
+OVERPROVISIONING_FACTOR = 1.5
 
 
 class GangReservations:
-    """Keeps machines of one partition for gangs."""
+    """Reserves machines of one partition for gangs."""
 
     def __init__(self, state: PartitionState, usable_machines: UsableMachines) -> None:
         self._records = state.records
@@ -34,18 +36,18 @@
         self._partition = state.records.partition
         self._usable_machines = usable_machines
 
-    def keep_for_gangs(self, not_placed: list[PendingTasks], now: datetime) -> None:
-        """Reserve machines for the first of the gangs that have waited for long.
+    def reserve_for_gangs(self, not_placed: list[PendingTasks], now: datetime) -> None:
+        """Reserve machines for the first gang that has been pending for long.
 
-        It must be able to begin on them once what runs there has ended.
+        The whole gang must fit on them once the tasks that run there have ended.
         """
         gangs = [item for item in not_placed if item.job.spec.gang]
-        if not gangs or self._reservations.gangs_paused(now):
+        if not gangs or self._reservations.are_gang_reservations_paused(now):
             return
         for item in gangs:
-            if self._aging.waited(item.job.id, now) < PATIENCE:
+            if self._aging.waited(item.job.id, now) < MIN_WAIT:
                 continue
-            machines = self.machines_for(item)
+            machines = self.choose_machines(item)
             if not machines:
                 continue
             log.info(
@@ -54,52 +56,52 @@
                 job=item.job.id,
                 machines=len(machines),
             )
-            until = now + KEEP
-            self._reservations.reserve(machines, item.job.id, until, ReservationReason.GANG)
-            self._reservations.pause_gangs(until + PAUSE)
+            expires_at = now + RESERVATION_LIFETIME
+            self._reservations.reserve(machines, item.job.id, expires_at, ReservationReason.GANG)
+            self._reservations.pause_gang_reservations(expires_at + PAUSE_AFTER_RESERVATION)
             return
 
     def excluded_machines(self, item: PendingTasks) -> set[str]:
-        """Return the machines that an item keeps off for the sake of a gang.
+        """Return the machines on which an item must not start because a gang has them reserved.
 
-        Work of higher priority does not wait for one.
+        An item of higher priority than the gang may use them.
         """
-        out = set()
-        for machine, row in self._reservations.for_gangs.items():
-            gang = self._records.live_job(row.job)
+        excluded = set()
+        for machine, reservation in self._reservations.for_gangs.items():
+            gang = self._records.live_job(reservation.job)
             if (
-                row.job != item.job.id
+                reservation.job != item.job.id
                 and gang is not None
                 and gang.spec.priority >= item.job.spec.priority
             ):
-                out.add(machine)
-        return out
+                excluded.add(machine)
+        return excluded
 
-    def machines_for(self, item: PendingTasks) -> list[str]:
-        """Return the machines with the most room for the gang; none if all of them are too few.
+    def choose_machines(self, item: PendingTasks) -> list[str]:
+        """Return the machines with the most capacity for the gang; none if not all of it fits.
 
-        What will end by itself counts as free.
+        Capacity used by tasks that will end by themselves counts as free.
         """
-        chosen, places = [], 0
-        rows = [
-            (self.places_on(item, capacity), capacity.id)
+        chosen, fitting_tasks = [], 0
+        counts = [
+            (self.fitting_tasks_on(item, capacity), capacity.id)
             for capacity in self._usable_machines.capacities()
         ]
-        for count, machine in sorted(rows, key=lambda row: (-row[0], row[1])):
-            if count == 0 or places >= item.count * SPARE:
+        for count, machine in sorted(counts, key=lambda entry: (-entry[0], entry[1])):
+            if count == 0 or fitting_tasks >= item.count * OVERPROVISIONING_FACTOR:
                 break
             if machine in self._reservations:
                 continue
             chosen.append(machine)
-            places += count
-        return chosen if places >= item.count else []
+            fitting_tasks += count
+        return chosen if fitting_tasks >= item.count else []
 
-    def places_on(self, item: PendingTasks, capacity: FreeCapacity) -> int:
-        """Return how many tasks of a gang fit on a machine once what ends by itself has ended."""
+    def fitting_tasks_on(self, item: PendingTasks, capacity: FreeCapacity) -> int:
+        """Return how many tasks of a gang fit on a machine once all but its services have ended."""
         job = item.job
         if not free_capacity.allowed(job, capacity.machine_type, capacity.zone, capacity.spot):
             return 0
-        trial = FreeCapacity(
+        drained_capacity = FreeCapacity(
             capacity.id,
             capacity.machine_type,
             capacity.zone,
@@ -111,5 +113,5 @@
         for key, (job_slice, _) in self._records.attempts_by_machine().get(capacity.id, {}).items():
             other = self._records.live_job(key[0])
             if other is None or not other.spec.service:
-                trial.release(job_slice.resources)
-        return trial.count(job.spec.resources)
+                drained_capacity.release(job_slice.resources)
+        return drained_capacity.count(job.spec.resources)
--- a/roadbend/placement/leader.py
+++ b/roadbend/placement/leader.py
@@ -1,8 +1,8 @@
-"""A leader's work on its partition, for one term: queue, placement, records, silent machines.
+"""The leader of one partition for one term: runs the scheduling steps.
 
-The truth about attempts is in the slice records as the view shows them. What is kept here besides
-is what can be lost: what machines last showed, the terminations not yet recorded, stops that were
-decided.
+The records of the job slices, as the record view shows them, are authoritative for attempts. The
+state kept in memory may be lost: what machines last reported, terminations that are not recorded
+yet, and stop orders.
 """
 
 import threading
@@ -47,18 +47,18 @@
 from roadbend.store.records import Attempt
 
 log = Log("placement")
-# A transaction gathers what comes within this time.
-STEP_GAP = timedelta(milliseconds=90)
-# For how many times as long as a step took to work out the next one waits at the least, and how
-# long that may be: where steps take long, heartbeats are to be answered between them.
-STEP_REST_FACTOR = 2
-MAX_STEP_REST = timedelta(seconds=1)
-# Sends a machine its starts, for a leader.
+# Delay before a step, so that one transaction covers all that arrives in the meantime.
+MIN_STEP_DELAY = timedelta(milliseconds=90)
+# The delay is at least this many times the computing time of the last step, up to a maximum: where
+# steps take long, heartbeats must be answered between them.
+STEP_DELAY_FACTOR = 2
+MAX_STEP_DELAY = timedelta(seconds=1)
+# Sends a machine its starts on behalf of a leader.
 SendLeaderStarts = Callable[["PartitionLeader", str, list[tuple[TaskKey, Attempt]]], None]
 
 
 class PartitionLeader:
-    """A leader's work on one partition for one term."""
+    """The leader of one partition for one term."""
 
     def __init__(
         self,
@@ -69,7 +69,7 @@
         send = partial(send_starts, self) if send_starts else None
         self.lock = threading.RLock()
         self.state = state = PartitionState.create(context, leadership, send)
-        # The registered machines by id; kept here, for others look into them in long loops.
+        # The registered machines by id; an attribute because others read it in long loops.
         self.machines: Mapping[str, Machine] = state.registry.by_id
         self.usable_machines = UsableMachines(state.records, state.registry)
         self.steps = StepSignal()
@@ -82,12 +82,12 @@
         self.queue = PendingQueue(state, self.gangs)
         self.projections = QueueProjections(state, self.usable_machines, self.queue)
         self.heartbeats = HeartbeatHandler(state, self.gangs, self.steps, self.lock)
-        self._recorder = TerminationRecorder(state)
-        self._scheduler = self._make_scheduler()
-        # Asked before the records are acted on; answers otherwise where recovery is switched on.
+        self._termination_recorder = TerminationRecorder(state)
+        self._scheduler = self._create_scheduler()
+        # Consulted before acting on the records; replaced by `use_recovery` if recovery is on.
         self.recovery = PartitionRecovery()
 
-    def _make_scheduler(self) -> StartScheduler:
+    def _create_scheduler(self) -> StartScheduler:
         gang_reservations = GangReservations(self.state, self.usable_machines)
         return StartScheduler(
             self.state,
@@ -101,14 +101,14 @@
         )
 
     def use_recovery(self, recovery: PartitionRecovery) -> None:
-        """Ask this before the records are acted on."""
+        """Consult these hooks before acting on the records."""
         self.recovery = self.queue.recovery = self.heartbeats.recovery = recovery
 
-    # What others read, of the objects of the state.
+    # Read access to the objects of the state.
 
     @property
     def context(self) -> ControllerContext:
-        """What all partitions of the controller share."""
+        """The context that all partitions of the controller share."""
         return self.state.records.context
 
     @property
@@ -128,7 +128,7 @@
 
     @property
     def registry(self) -> MachineRegistry:
-        """The partition's machines, and those that are to become so."""
+        """The partition's machines, including those that are still being created or booting."""
         return self.state.registry
 
     @property
@@ -138,119 +138,123 @@
 
     @property
     def starts_in_doubt(self) -> StartsInDoubt:
-        """The starts that were sent and may still be carried out."""
+        """The starts in doubt: sent, and possibly still to be carried out."""
         return self.state.starts_in_doubt
 
     @property
     def unheld(self) -> UnheldAttempts:
-        """The recorded attempts that their machines have not shown to hold."""
+        """The recorded attempts that their machines have not reported as held."""
         return self.state.unheld
 
     @property
     def stops(self) -> StopOrders:
-        """The tasks that are to be stopped."""
+        """The stop orders."""
         return self.state.stops
 
     @property
     def aging(self) -> JobAging:
-        """How long jobs have waited."""
+        """How long jobs have been pending."""
         return self.state.aging
 
     @property
     def exclusions(self) -> PlacementExclusions:
-        """What jobs are kept from."""
+        """The machines and machine types excluded for jobs."""
         return self.state.exclusions
 
     @property
     def reservations(self) -> Reservations:
-        """The machines that are kept for jobs."""
+        """The machines reserved for jobs."""
         return self.state.reservations
 
     @property
     def gang_attempts(self) -> GangAttempts:
-        """The attempts of gangs."""
+        """The state of gang attempts."""
         return self.state.gang_attempts
 
-    # The loop.
+    # The scheduling loop.
 
     async def run(self) -> None:
-        """Carry steps out, as they are called for, until the leadership ends."""
+        """Run steps as they are requested until the leadership ends."""
         while self.records.is_leading():
             with trio.move_on_after(0.5):
                 await self.steps.requested()
-            again = True
-            while again and self.records.is_leading():
-                # Together with what comes in the next moment: fewer and fuller transactions.
+            run_again = True
+            while run_again and self.records.is_leading():
+                # Waits for further changes: fewer and fuller transactions.
                 await clock.pause(
-                    max(STEP_GAP, min(MAX_STEP_REST, self.steps.last_duration * STEP_REST_FACTOR))
+                    max(
+                        MIN_STEP_DELAY,
+                        min(MAX_STEP_DELAY, self.steps.last_duration * STEP_DELAY_FACTOR),
+                    )
                 )
                 self.steps.begin()
                 try:
-                    again = await self.step()
+                    run_again = await self.step()
                 except UnavailableError:
-                    # Whether it was carried out shows in the records; every later write is
-                    # conditional.
+                    # The records will show whether the transaction was committed; every later write
+                    # is conditional.
                     await clock.pause(timedelta(milliseconds=200))
-                    again = False
+                    run_again = False
                 except Exception:
                     log.crash("scheduling-step-failed", partition=self.partition)
                     await clock.pause(timedelta(seconds=1))
-                    again = False
+                    run_again = False
                 finally:
                     self.steps.end()
 
     async def step(self) -> bool:
-        """Carry one step out: one transaction at most.
+        """Run one step: at most one transaction.
 
-        Return whether the next one is to come at once.
+        Return whether the next step should follow at once.
         """
         if not self.context.election.may_start(clock.now()):
             return False
         if self.transactions.in_doubt and not await self.transactions.resolve_in_doubt():
             return False
-        # The budget comes first: what waits for it then goes out in one transaction, not in many.
+        # Waits for the request budget first, so that all that arrives meanwhile goes into one
+        # transaction instead of several.
         await self.context.state.ready()
         now = clock.now()
         if not self.context.election.may_start(now):
             return False
         with self.lock:
             self.stops.order_all_cancelled(now)
-            self.gangs.keep_whole(now)
-            self._tidy(now)
+            self.gangs.abandon_incomplete_attempts(now)
+            self._drop_obsolete(now)
             transaction = self.transactions.new_transaction()
-            more = self._recorder.record(transaction, now)
-            more = self.recovery.adopt(transaction, now) or more
-            more = self._scheduler.start(transaction, now) or more
+            has_more = self._termination_recorder.record(transaction, now)
+            has_more = self.recovery.adopt(transaction, now) or has_more
+            has_more = self._scheduler.start(transaction, now) or has_more
             self.quotas.reserve(self.queue.pending(), transaction, now)
             self.steps.note_duration(clock.now() - now)
         if not transaction.changes:
             return False
-        return await self.transactions.send(transaction, more)
+        return await self.transactions.send(transaction, has_more)
 
-    def _tidy(self, now: datetime) -> None:
-        """Drop what no longer matters by the records and the time."""
+    def _drop_obsolete(self, now: datetime) -> None:
+        """Drop state that is obsolete according to the records or has expired."""
         recorded = self.records.recorded_attempt
         self.terminations.keep_only(
-            # The tasks of a gang are replaced under one number, so that the machine counts too.
+            # A gang's task is replaced under the same attempt number, so compare the machine, too.
             lambda key, end: recorded(key) == Attempt(end.attempt, end.machine)
         )
         self.stops.drop_unrecorded()
-        self.starts_in_doubt.tidy(now)
-        self.unheld.tidy(now)
-        self.gang_attempts.drop_over(
+        self.starts_in_doubt.drop_obsolete(now)
+        self.unheld.drop_obsolete(now)
+        self.gang_attempts.drop_obsolete(
             lambda job: self.records.live_job(job) is not None,
-            self.gangs.filled,
-            self.gangs.number,
+            self.gangs.is_fully_recorded,
+            self.gangs.recorded_number,
         )
         self.exclusions.drop_expired(now)
-        self.reservations.drop_stale({item.job.id for item in self.queue.not_placed}, now)
+        self.reservations.drop_obsolete({item.job.id for item in self.queue.not_placed}, now)
         self.state.backoff.drop_expired(now)
 
     def mark_attempts_terminated(self, machine: str, evidence: TerminationEvidence) -> None:
-        """Note as terminated all that is recorded on a machine.
+        """Mark all attempts recorded on a machine as terminated.
 
-        The evidence is from outside a heartbeat: the cloud's answer to a deletion, or a worker
-        lease that ran out.
+        The evidence does not come from a heartbeat: it is the cloud's answer to a deletion, or an
+        expired worker lease.
         """
         with self.lock:
             for key, (_, attempt) in self.records.attempts_by_machine().get(machine, {}).items():
--- a/roadbend/placement/partition_state.py
+++ b/roadbend/placement/partition_state.py
@@ -1,4 +1,4 @@
-"""What a partition's leader keeps for one term, beside the records."""
+"""The in-memory state of a partition's leader for one term, besides the records."""
 
 from dataclasses import dataclass, field
 
@@ -21,9 +21,9 @@
 
 @dataclass(slots=True)
 class PartitionState:
-    """The state of one partition, an object for each concern that alone changes its own.
+    """The state of one partition: one object per concern, each the only one to modify its data.
 
-    What schedules work takes from here the objects that it uses.
+    The components of the leader take the objects that they use from here.
     """
 
     records: PartitionRecords
@@ -47,7 +47,7 @@
         leadership: Leadership,
         send_starts: SendStarts | None = None,
     ) -> "PartitionState":
-        """Return the state with which a leadership begins."""
+        """Return the initial state of a leadership."""
         records = PartitionRecords(context, leadership)
         registry = MachineRegistry(leadership.partition)
         return cls(
--- a/roadbend/placement/preemption.py
+++ b/roadbend/placement/preemption.py
@@ -1,4 +1,4 @@
-"""Room that is made by stopping lesser work."""
+"""Preemption: stops lower-priority tasks to free capacity for pending ones."""
 
 from collections.abc import Iterable
 from dataclasses import replace
@@ -22,14 +22,14 @@
 from roadbend.store.records import Attempt, Job
 
 log = Log("placement")
-# How long room that is being made is kept for the task that it is made for.
+# How long a machine stays reserved for the job for which tasks on it are being stopped.
 RESERVATION_LIFETIME = timedelta(seconds=15)
-# Most tasks stopped for others in one step.
+# Limit per step on the machines on which tasks are preempted.
 MAX_PREEMPTED = 24
 
 
 class Preemption:
-    """Stops lesser work of one partition for what waits."""
+    """Stops lower-priority tasks of one partition for its pending tasks."""
 
     def __init__(
         self, state: PartitionState, usable_machines: UsableMachines, gangs: Gangs
@@ -43,105 +43,117 @@
         self._partition = state.records.partition
         self._usable_machines = usable_machines
         self._gangs = gangs
-        self._heard_machines = ConfirmedMachines(state)
+        self._confirmed_machines = ConfirmedMachines(state)
 
     def preempt(
         self,
         not_placed: list[PendingTasks],
         transaction: TransactionBuilder,
         capacities: list[FreeCapacity],
-        all_of_them: bool,
+        are_all_machines: bool,
         now: datetime,
     ) -> None:
-        """Stop lesser work for what found no place, and reserve the machines for it.
+        """Stop lower-priority tasks for items that were not placed; reserve the machines for them.
 
-        `capacities`: the machines that were looked at; `all_of_them`: whether these are all.
+        `capacities`: the machines that placement examined; `are_all_machines`: whether these are
+        all usable machines of the partition.
         """
-        waiting = [item for item in not_placed if item.job.spec.priority > 0 or item.guaranteed]
-        if not waiting or not self._heard_machines.are_complete(now):
+        eligible = [item for item in not_placed if item.job.spec.priority > 0 or item.guaranteed]
+        if not eligible or not self._confirmed_machines.are_complete(now):
             return
-        if not all_of_them:
-            capacities = self._with_the_rest(capacities, transaction)
-        running = self.stoppable(waiting, now)
-        schedule = PreemptionOptions(
+        if not are_all_machines:
+            capacities = self._with_remaining_machines(capacities, transaction)
+        victims_by_machine = self.preemptible_tasks(eligible, now)
+        options = PreemptionOptions(
             self._exclusions,
-            [capacity for capacity in capacities if capacity.id in running],
-            running,
+            [capacity for capacity in capacities if capacity.id in victims_by_machine],
+            victims_by_machine,
         )
-        most = MAX_PREEMPTED
-        for item in waiting:
-            made = self._reservations.preemptions_for(item.job.id)
+        remaining_preemptions = MAX_PREEMPTED
+        for item in eligible:
+            active_preemptions = self._reservations.preemption_count(item.job.id)
             if item.job.spec.gang:
-                if not made:
-                    names = self.preempt_whole(item, capacities, schedule, now)
-                    schedule.taken |= names
-                    most -= len(names)
+                if not active_preemptions:
+                    machine_ids = self.preempt_for_gang(item, capacities, options, now)
+                    options.used_machines |= machine_ids
+                    remaining_preemptions -= len(machine_ids)
                 continue
-            for capacity, chosen in islice(schedule.of(item), max(0, min(most, item.count - made))):
-                self.stop_for(item, capacity, chosen, now)
+            for capacity, chosen in islice(
+                options.of(item),
+                max(0, min(remaining_preemptions, item.count - active_preemptions)),
+            ):
+                self.stop_victims(item, capacity, chosen, now)
                 self.reserve([capacity.id], item.job, now)
-                schedule.taken.add(capacity.id)
-                most -= 1
-            if most <= 0:
+                options.used_machines.add(capacity.id)
+                remaining_preemptions -= 1
+            if remaining_preemptions <= 0:
                 return
 
-    def _with_the_rest(
+    def _with_remaining_machines(
         self, capacities: list[FreeCapacity], transaction: TransactionBuilder
     ) -> list[FreeCapacity]:
-        """Return all usable machines, those that were looked at as they are now."""
-        known = {capacity.id: capacity for capacity in capacities}
+        """Return all usable machines; those already examined with their present free capacity."""
+        examined = {capacity.id: capacity for capacity in capacities}
         return [
-            known.get(capacity.id, capacity)
+            examined.get(capacity.id, capacity)
             for capacity in self._usable_machines.capacities(transaction.ended_attempts)
         ]
 
-    def stoppable(self, waiting: list[PendingTasks], now: datetime) -> dict[str, list[Victim]]:
-        """Return what runs and may be stopped for something that waits, by machine."""
-        over, sure = self.teams_beyond(), self._context.fair_share.guaranteed_jobs()
-        running: dict[str, list[Victim]] = {}
+    def preemptible_tasks(
+        self, eligible: list[PendingTasks], now: datetime
+    ) -> dict[str, list[Victim]]:
+        """Return the running tasks that may be stopped for some pending item, by machine."""
+        teams_over, guaranteed_jobs = (
+            self.teams_over_guarantee(),
+            self._context.fair_share.guaranteed_jobs(),
+        )
+        victims_by_machine: dict[str, list[Victim]] = {}
         losses: dict[str, float] = {}
-        top = max(item.job.spec.priority for item in waiting)
-        for machine, rows in self._records.attempts_by_machine().items():
+        max_priority = max(item.job.spec.priority for item in eligible)
+        for machine, attempts in self._records.attempts_by_machine().items():
             if machine in self._reservations.for_preemption:
                 continue
-            for key, (job_slice, attempt) in rows.items():
+            for key, (job_slice, attempt) in attempts.items():
                 job = self._records.live_job(key[0])
                 if job is None or key in self._stops:
                     continue
-                beyond = over.get(job_slice.team, False) and job.id not in sure
-                if job.spec.priority >= top and not beyond:
+                over_guarantee = (
+                    teams_over.get(job_slice.team, False) and job.id not in guaranteed_jobs
+                )
+                if job.spec.priority >= max_priority and not over_guarantee:
                     continue
                 if job.spec.gang:
-                    # Stopped as a whole or not at all, and judged by what all of it would lose.
+                    # A gang is stopped as a whole or not at all, so each task counts with the loss
+                    # of the whole gang.
                     loss = losses.get(job.id)
                     if loss is None:
-                        rows_of = self._records.job_slices()[job.id].attempts.items()
+                        gang_attempts = self._records.job_slices()[job.id].attempts.items()
                         loss = sum(
-                            self.work_lost(TaskKey(job.id, task_index), other, job, now)
-                            for task_index, other in rows_of
+                            self.work_lost(TaskKey(job.id, task_index), member, job, now)
+                            for task_index, member in gang_attempts
                         )
                         losses[job.id] = loss
                 else:
                     loss = self.work_lost(TaskKey(*key), attempt, job, now)
-                row = Victim(
+                victim = Victim(
                     job_slice.resources,
                     job.spec.priority,
-                    beyond,
+                    over_guarantee,
                     job_slice.team,
                     loss,
                     RunningTask(TaskKey(*key), attempt, job),
                 )
-                running.setdefault(machine, []).append(row)
-        return running
+                victims_by_machine.setdefault(machine, []).append(victim)
+        return victims_by_machine
 
-    def stop_for(
+    def stop_victims(
         self,
         item: PendingTasks,
         capacity: FreeCapacity,
         chosen: list[Victim],
         now: datetime,
     ) -> None:
-        """Stop what was chosen on a machine for an item."""
+        """Stop the victims that were chosen on a machine for an item."""
         for victim in chosen:
             key, attempt, job = victim.task
             log.info(
@@ -154,94 +166,103 @@
             if job.spec.gang:
                 self._gangs.stop_gang(job, "preempted", now)
                 continue
-            saves = job.spec.checkpoint > clock.ZERO
-            grace = job.spec.save + timedelta(seconds=1) if saves else clock.ZERO
+            has_checkpoints = job.spec.checkpoint > clock.ZERO
+            grace = job.spec.save + timedelta(seconds=1) if has_checkpoints else clock.ZERO
             self._stops.order(key, attempt, grace, "preempted", now)
 
-    def preempt_whole(
+    def preempt_for_gang(
         self,
         item: PendingTasks,
         capacities: list[FreeCapacity],
-        schedule: PreemptionOptions,
+        options: PreemptionOptions,
         now: datetime,
     ) -> set[str]:
-        """Make room for all of a gang, or stop nothing for it; return the machines it gets.
+        """Free capacity for a whole gang, or stop nothing; return the machines reserved for it.
 
-        What it needs is reserved for it together, free room too.
+        All that the gang needs is reserved at once, including capacity that is free already.
         """
         resources = item.job.spec.resources
-        capacities = [capacity for capacity in capacities if capacity.id not in schedule.taken]
-        free = {
-            r.id: r.count(resources)
-            for r in capacities
-            if r.id not in self._reservations.for_preemption
+        capacities = [
+            capacity for capacity in capacities if capacity.id not in options.used_machines
+        ]
+        free_counts = {
+            capacity.id: capacity.count(resources)
+            for capacity in capacities
+            if capacity.id not in self._reservations.for_preemption
         }
         allowed = {
-            r.id
-            for r in capacities
-            if free_capacity.allowed(item.job, r.machine_type, r.zone, r.spot)
+            capacity.id
+            for capacity in capacities
+            if free_capacity.allowed(item.job, capacity.machine_type, capacity.zone, capacity.spot)
         }
-        places = sum(count for name, count in free.items() if name in allowed)
-        plan = self._plan_whole(item, places, free, schedule)
-        if plan is None:
+        fitting_tasks = sum(
+            count for machine_id, count in free_counts.items() if machine_id in allowed
+        )
+        chosen_options = self._plan_for_gang(item, fitting_tasks, free_counts, options)
+        if chosen_options is None:
             return set()
-        for capacity, chosen in plan:
-            self.stop_for(item, capacity, chosen, now)
-        names = {capacity.id for capacity, _ in plan}
-        spare = item.count - len(plan)
-        for name in sorted(allowed - names, key=lambda name: -free.get(name, 0)):
-            if spare <= 0 or not free.get(name, 0):
+        for capacity, chosen in chosen_options:
+            self.stop_victims(item, capacity, chosen, now)
+        machine_ids = {capacity.id for capacity, _ in chosen_options}
+        missing_tasks = item.count - len(chosen_options)
+        for machine_id in sorted(
+            allowed - machine_ids, key=lambda machine_id: -free_counts.get(machine_id, 0)
+        ):
+            if missing_tasks <= 0 or not free_counts.get(machine_id, 0):
                 break
-            spare -= free[name]
-            names.add(name)
-        self.reserve(names, item.job, now)
-        return names
+            missing_tasks -= free_counts[machine_id]
+            machine_ids.add(machine_id)
+        self.reserve(machine_ids, item.job, now)
+        return machine_ids
 
-    def _plan_whole(
+    def _plan_for_gang(
         self,
         item: PendingTasks,
-        places: int,
-        free: dict[str, int],
-        schedule: PreemptionOptions,
+        fitting_tasks: int,
+        free_counts: dict[str, int],
+        options: PreemptionOptions,
     ) -> list[PreemptionOption] | None:
-        """Return what to stop so that a gang finds enough places; None if that is too few.
+        """Return what to stop so that all tasks of a gang fit; None if they don't even then.
 
-        `places`: how many it finds without. `free`: how many each machine has.
+        `fitting_tasks`: how many of its tasks fit without preemption. `free_counts`: how many of
+        them fit on each machine.
         """
         resources = item.job.spec.resources
-        plan: list[PreemptionOption] = []
-        for capacity, chosen in islice(schedule.of(item), MAX_PREEMPTED):
-            if places >= item.count:
+        chosen_options: list[PreemptionOption] = []
+        for capacity, chosen in islice(options.of(item), MAX_PREEMPTED):
+            if fitting_tasks >= item.count:
                 break
-            trial = replace(capacity)
+            capacity_after = replace(capacity)
             for victim in chosen:
-                trial.release(victim.resources)
-            places += max(1, trial.count(resources)) - free.get(capacity.id, 0)
-            plan.append(PreemptionOption(capacity, chosen))
-        return plan if places >= item.count else None
+                capacity_after.release(victim.resources)
+            fitting_tasks += max(1, capacity_after.count(resources)) - free_counts.get(
+                capacity.id, 0
+            )
+            chosen_options.append(PreemptionOption(capacity, chosen))
+        return chosen_options if fitting_tasks >= item.count else None
 
     def reserve(self, machines: Iterable[str], job: Job, now: datetime) -> None:
-        """Keep machines for the job for which lesser work on them is being stopped."""
+        """Reserve machines for the job for which tasks on them are being stopped."""
         self._reservations.reserve(
             machines, job.id, now + RESERVATION_LIFETIME, ReservationReason.PREEMPTION
         )
 
-    def teams_beyond(self) -> dict[str, bool]:
-        """Return of each team whether it uses more than its guarantee."""
-        out = {}
+    def teams_over_guarantee(self) -> dict[str, bool]:
+        """Return for each team whether it uses more than its guarantee."""
+        over_guarantee_by_team = {}
         for team in self._context.settings.teams.values():
             cpus, gpus = self._context.view.used_by(team.name)
-            out[team.name] = (team.gpus > 0 and gpus > team.gpus + RESOURCE_TOLERANCE) or (
-                team.cpus > 0 and cpus > team.cpus + RESOURCE_TOLERANCE
-            )
-        return out
+            over_guarantee_by_team[team.name] = (
+                team.gpus > 0 and gpus > team.gpus + RESOURCE_TOLERANCE
+            ) or (team.cpus > 0 and cpus > team.cpus + RESOURCE_TOLERANCE)
+        return over_guarantee_by_team
 
     def work_lost(self, key: TaskKey, attempt: Attempt, job: Job, now: datetime) -> float:
         """Return the seconds of work that stopping a task now would waste."""
         machine = self._machines.get(attempt.machine)
-        seen = machine.tasks.get(key) if machine else None
-        if seen is None or seen.running_since is None:
+        observed = machine.tasks.get(key) if machine else None
+        if observed is None or observed.running_since is None:
             return 0.0
         if job.spec.checkpoint > clock.ZERO:
             return job.spec.save.total_seconds() + 1.0
-        return (now - seen.running_since).total_seconds()
+        return (now - observed.running_since).total_seconds()
--- a/roadbend/placement/preemption_options.py
+++ b/roadbend/placement/preemption_options.py
@@ -1,4 +1,4 @@
-"""The machines on which room can be made by stopping lesser work, for all that waits in a step."""
+"""Where preemption can free capacity, for all pending tasks of one scheduling step."""
 
 from collections.abc import Iterator
 from typing import NamedTuple
@@ -11,8 +11,8 @@
 from roadbend.placement.queue_order import PendingTasks
 
 
-class _Kind(NamedTuple):
-    """All that decides where room can be made for a task."""
+class _RequestKey(NamedTuple):
+    """All properties of a task that determine its preemption options."""
 
     shape: TaskShape
     image: str
@@ -24,7 +24,7 @@
 
 
 class PreemptionOptions:
-    """Where room can be made in one step; work that is alike looks at the machines once."""
+    """The preemption options of one step, computed once for items with the same `_RequestKey`."""
 
     def __init__(
         self,
@@ -33,50 +33,56 @@
         running: dict[str, list[Victim]],
     ) -> None:
         self._exclusions, self._capacities, self._running = exclusions, capacities, running
-        self._known: dict[_Kind, list[PreemptionOption]] = {}
-        # The lowest priority on each machine, and the teams that are beyond their guarantees there.
-        self._lowest = {name: min(row.priority for row in rows) for name, rows in running.items()}
-        self._beyond = {
-            name: {victim.team for victim in victims if victim.over_guarantee}
-            for name, victims in running.items()
+        self._options_by_request: dict[_RequestKey, list[PreemptionOption]] = {}
+        # The lowest priority among each machine's victims, and the teams over their guarantees
+        # there.
+        self._min_priorities = {
+            machine: min(victim.priority for victim in victims)
+            for machine, victims in running.items()
         }
-        # Machines that are taken already.
-        self.taken: set[str] = set()
+        self._teams_over_guarantee = {
+            machine: {victim.team for victim in victims if victim.over_guarantee}
+            for machine, victims in running.items()
+        }
+        # Machines on which tasks were preempted in this step already.
+        self.used_machines: set[str] = set()
 
     def of(self, item: PendingTasks) -> Iterator[PreemptionOption]:
-        """Return the machines on which room for the item can still be made, the best first."""
+        """Return the remaining options for an item, best first."""
         spec = item.job.spec
-        kept_from = self._exclusions.excluded_types(item.job.id)
+        excluded_types = self._exclusions.excluded_types(item.job.id)
         machines_without_image = self._exclusions.machines_without_image(item.job.id)
-        kind = _Kind(
+        request_key = _RequestKey(
             shape=TaskShape(spec.resources, spec.machine_types, spec.zone, spec.spot),
             image=spec.image,
             priority=spec.priority,
             team=spec.team,
             guaranteed=item.guaranteed,
-            excluded_types=kept_from,
+            excluded_types=excluded_types,
             machines_without_image=machines_without_image,
         )
-        found = self._known.get(kind)
-        if found is None:
-            open_to = [
+        options = self._options_by_request.get(request_key)
+        if options is None:
+            candidates = [
                 capacity
                 for capacity in self._capacities
-                if self._may_clear(item, capacity.id)
-                and capacity.machine_type not in kept_from
+                if self._may_preempt_any(item, capacity.id)
+                and capacity.machine_type not in excluded_types
                 and capacity.id not in machines_without_image
             ]
-            found = self._known[kind] = preemption_policy.preemption_options(
-                item, open_to, self._running
+            options = self._options_by_request[request_key] = preemption_policy.preemption_options(
+                item, candidates, self._running
             )
-        return (row for row in found if row[0].id not in self.taken)
+        return (option for option in options if option[0].id not in self.used_machines)
 
-    def _may_clear(self, item: PendingTasks, machine: str) -> bool:
-        """Whether anything on a machine may be stopped for an item.
+    def _may_preempt_any(self, item: PendingTasks, machine: str) -> bool:
+        """Return whether any task on a machine may be stopped for an item.
 
-        `preemption_policy.may_preempt` for all that runs there at once.
+        The same rule as `preemption_policy.may_preempt`, for all victims of the machine at once.
         """
         spec = item.job.spec
-        if self._lowest[machine] < spec.priority:
+        if self._min_priorities[machine] < spec.priority:
             return True
-        return item.guaranteed and any(team != spec.team for team in self._beyond[machine])
+        return item.guaranteed and any(
+            team != spec.team for team in self._teams_over_guarantee[machine]
+        )
--- a/roadbend/placement/preemption_policy.py
+++ b/roadbend/placement/preemption_policy.py
@@ -1,6 +1,6 @@
-"""Which work may be stopped to make room for other work, and where.
+"""Preemption policy: which tasks may be stopped for which others, and on which machines.
 
-Pure: everything comes as an argument.
+Pure functions: all state is passed in.
 """
 
 from collections.abc import Iterable, Mapping
@@ -14,7 +14,7 @@
 
 
 class RunningTask(NamedTuple):
-    """An attempt that is on a machine."""
+    """A task with its recorded attempt and its job."""
 
     key: TaskKey
     attempt: Attempt
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Victim:
-    """A running task, as preemption sees it."""
+    """A running task that may be preempted."""
 
     resources: Resources
     priority: int
@@ -36,7 +36,7 @@
 
 
 class PreemptionOption(NamedTuple):
-    """A machine on which room can be made, and what is stopped there."""
+    """A machine on which preemption can free capacity, and the tasks to stop there."""
 
     capacity: FreeCapacity
     victims: list[Victim]
@@ -45,8 +45,8 @@
 def may_preempt(item: PendingTasks, victim: Victim) -> bool:
     """Return whether a task may be stopped for an item.
 
-    The protocol ("Preemption") permits it for work of lower priority, or, for work within its
-    team's guarantee, for what another team runs beyond its own.
+    The protocol ("Preemption") permits stopping tasks of lower priority. An item within its team's
+    guarantee may also preempt tasks of another team that are over that team's guarantee.
     """
     spec = item.job.spec
     return victim.priority < spec.priority or (
@@ -59,20 +59,21 @@
     capacities: Iterable[FreeCapacity],
     running: Mapping[str, list[Victim]],
 ) -> list[PreemptionOption]:
-    """Return the machines on which room for one task of the item can be made, best first.
+    """Return the machines on which preemption makes one task of the item fit, best first.
 
-    The best has the image, then loses the least work, then the fewest tasks. `running` gives what
-    may run on a machine, by its id. All machines are found at once: a wide job takes many of them,
-    and none of them changes by what is stopped on another.
+    Machines that have the image come first, then those where the least work is lost, then those
+    where the fewest tasks are stopped. `running` holds the candidate victims by machine id. All
+    machines are evaluated at once: a job with many tasks uses many of them, and stopping tasks on
+    one machine does not affect another.
     """
     image = item.job.spec.image
 
-    def preference(clearing: PreemptionOption) -> tuple[bool, float, int, str]:
-        capacity, victims = clearing
+    def preference(option: PreemptionOption) -> tuple[bool, float, int, str]:
+        capacity, victims = option
         loss = sum(victim.loss for victim in victims)
         return image not in capacity.images, loss, len(victims), capacity.id
 
-    found = []
+    options = []
     for capacity in capacities:
         candidates = running.get(capacity.id)
         if (
@@ -83,33 +84,33 @@
             continue
         victims = _cheapest_victims(item, capacity, candidates)
         if victims:
-            found.append(PreemptionOption(capacity, victims))
-    found.sort(key=preference)
-    return found
+            options.append(PreemptionOption(capacity, victims))
+    options.sort(key=preference)
+    return options
 
 
 def _cheapest_victims(
     item: PendingTasks, capacity: FreeCapacity, candidates: list[Victim]
 ) -> list[Victim]:
-    """Return what to stop on a machine so that a task of the item fits.
+    """Return the tasks to stop on a machine so that a task of the item fits.
 
-    Empty if that can't be had, or need not be.
+    Empty if it can't be made to fit, or fits without stopping any.
     """
     resources = item.job.spec.resources
     cpus = capacity.cpus + RESOURCE_TOLERANCE
     gpus = capacity.gpus + RESOURCE_TOLERANCE
     memory = capacity.memory + RESOURCE_TOLERANCE
-    chosen: list[Victim] = []
+    victims: list[Victim] = []
     permitted = [victim for victim in candidates if may_preempt(item, victim)]
     for victim in sorted(permitted, key=_loss):
         if resources.cpus <= cpus and resources.gpus <= gpus and resources.memory <= memory:
-            return chosen
+            return victims
         cpus += victim.resources.cpus
         gpus += victim.resources.gpus
         memory += victim.resources.memory
-        chosen.append(victim)
+        victims.append(victim)
     fits = resources.cpus <= cpus and resources.gpus <= gpus and resources.memory <= memory
-    return chosen if fits else []
+    return victims if fits else []
 
 
 def _loss(victim: Victim) -> float:
--- a/roadbend/placement/shard_split.py
+++ b/roadbend/placement/shard_split.py
@@ -1,4 +1,4 @@
-"""Splits shards that a version with larger values wrote, and that are too large today."""
+"""Splits shards that a version with a larger value limit wrote and that are too large now."""
 
 from dataclasses import replace
 
@@ -10,36 +10,39 @@
 def split(
     transaction: TransactionBuilder, job_slice: JobSlice, shard: SliceShard, width: int
 ) -> list[SliceShard]:
-    """Split a shard that is larger than values may be now; return the pieces.
+    """Split a shard that exceeds the value limit; return all shards to write, or none.
 
-    `width`: how many tasks a shard holds today.
+    `width`: the number of tasks per shard under the present limit.
 
-    One transaction takes them all. Its attempts go where they would be written today, so a task
-    is in one record before and after. The one that gives comes first: a version that keeps a
-    task where it read it first would otherwise lose it. Empty where that can't be done yet.
+    All shards are written in one transaction, and attempts move to the shards that hold their tasks
+    under the present limit, so each task is in one record before and after. The source shard comes
+    first: a version that assigns a task to the record in which it read it first would otherwise
+    lose the task. Returns an empty list if the split is not possible yet.
     """
-    homes: dict[int, dict[int, Attempt]] = {}
+    attempts_by_shard: dict[int, dict[int, Attempt]] = {}
     for task_index, attempt in shard.attempts.items():
-        homes.setdefault(task_index // width, {})[task_index] = attempt
-    kept, pieces = dict(shard.attempts), []
-    for n, attempts in sorted(homes.items(), key=lambda home: -len(home[1])):
-        if transaction.fits(replace(shard, attempts=kept)):
+        attempts_by_shard.setdefault(task_index // width, {})[task_index] = attempt
+    remaining, shards = dict(shard.attempts), []
+    for shard_number, attempts in sorted(
+        attempts_by_shard.items(), key=lambda entry: -len(entry[1])
+    ):
+        if transaction.fits(replace(shard, attempts=remaining)):
             break
-        if n == shard.shard:
+        if shard_number == shard.shard:
             continue
-        other = transaction.shard(job_slice.job, job_slice.team, job_slice.resources, n)
-        other = replace(other, attempts={**other.attempts, **attempts})
-        if transaction.fits(other):
-            pieces.append(other)
-            kept = {
+        target = transaction.shard(job_slice.job, job_slice.team, job_slice.resources, shard_number)
+        target = replace(target, attempts={**target.attempts, **attempts})
+        if transaction.fits(target):
+            shards.append(target)
+            remaining = {
                 task_index: attempt
-                for task_index, attempt in kept.items()
+                for task_index, attempt in remaining.items()
                 if task_index not in attempts
             }
-    giving = replace(shard, attempts=kept)
-    pieces.insert(0, giving)
+    source = replace(shard, attempts=remaining)
+    shards.insert(0, source)
     return (
-        pieces
-        if transaction.fits(giving) and transaction.has_space_for(*(row.key for row in pieces))
+        shards
+        if transaction.fits(source) and transaction.has_space_for(*(row.key for row in shards))
         else []
     )
--- a/roadbend/placement/start_recorder.py
+++ b/roadbend/placement/start_recorder.py
@@ -1,7 +1,7 @@
 """Records starts before they are ordered.
 
-The order to start goes out with the answer to a heartbeat, or directly, only once the state store
-has carried the transaction out.
+A start order is sent, with the answer to a heartbeat or directly, only after the state store has
+committed the transaction that records the start.
 """
 
 from collections.abc import Iterable
@@ -23,7 +23,7 @@
 from roadbend.store.records import Attempt, Job, SliceShard
 
 log = Log("placement")
-# The group of a gang's tasks, which stay together whatever shards they are in.
+# Takes the shard's place in the key of a gang's group: its tasks stay together across shards.
 WHOLE_GANG = -1
 
 
@@ -48,7 +48,7 @@
         )
 
     def _grouped(self, placed: Iterable[Placement]) -> list[list[Placement]]:
-        """Group what was placed by job and shard; the tasks of a gang stay together."""
+        """Group placements by job and shard; the tasks of a gang stay together."""
         groups: dict[tuple[str, int], list[Placement]] = {}
         for placement in placed:
             job = placement.item.job
@@ -59,20 +59,24 @@
         return list(groups.values())
 
     def _shard_of(self, task_index: int, job_slice: JobSlice | None) -> int:
-        """Return the shard whose record names a task, or would."""
-        width = self._records.shard_width
-        return task_index // width if job_slice is None else job_slice.shard_of(task_index, width)
+        """Return the shard whose record contains a task, or will contain it."""
+        shard_width = self._records.shard_width
+        return (
+            task_index // shard_width
+            if job_slice is None
+            else job_slice.shard_of(task_index, shard_width)
+        )
 
     def _record_group(
         self, group: list[Placement], transaction: TransactionBuilder, now: datetime
     ) -> bool:
         """Put the starts of one group into the transaction; False if not all of them fit."""
         job = group[0].item.job
-        share = self._gangs.first_share(transaction, group) if job.spec.gang else group
-        if not share:
+        batch = self._gangs.first_batch(transaction, group) if job.spec.gang else group
+        if not batch:
             return False
-        shards = self._fill(transaction, job, share)
-        # Of its team's quota all of a gang is reserved with the first of its tasks.
+        shards = self._add_attempts(transaction, job, batch)
+        # The quota for a whole gang is reserved with its first batch.
         if not self._quotas.reserve_quota(
             transaction,
             job.spec.team,
@@ -83,41 +87,45 @@
             return False
         if not all(transaction.fits(shard) for shard in shards):
             log.error(
-                "shard-record-oversized", partition=self._partition, job=job.id, tasks=len(share)
+                "shard-record-oversized", partition=self._partition, job=job.id, tasks=len(batch)
             )
             return True
-        self._write(transaction, job, shards)
-        transaction.charge(job.spec.team, job.spec.resources, len(share))
+        self._write_shards(transaction, job, shards)
+        transaction.charge(job.spec.team, job.spec.resources, len(batch))
         self._aging.note_start(job.id, now)
-        if len(share) < len(group):
-            transaction.on_commit.append(partial(self._gangs.note_filling, shards[0]))
-        self._tell_once_recorded(transaction, job, shards, share)
-        return len(share) == len(group)
+        if len(batch) < len(group):
+            transaction.on_commit.append(partial(self._gangs.mark_partly_recorded, shards[0]))
+        self._notify_on_commit(transaction, job, shards, batch)
+        return len(batch) == len(group)
 
-    def _write(self, transaction: TransactionBuilder, job: Job, shards: list[SliceShard]) -> None:
-        """Put the shards into the transaction, with the conditions of a start."""
+    def _write_shards(
+        self, transaction: TransactionBuilder, job: Job, shards: list[SliceShard]
+    ) -> None:
+        """Write the shards in the transaction, with the conditions for a start."""
         for shard in shards:
             transaction.set_shard(shard)
         transaction.require_job(job)
         if apart_gangs.is_apart(job):
             self._apart_gangs.add_conditions(transaction, job)
             number = next(iter(shards[0].attempts.values())).number
-            transaction.on_commit.append(partial(self._gang_attempts.note_joined, job.id, number))
+            transaction.on_commit.append(partial(self._gang_attempts.mark_joined, job.id, number))
 
-    def _tell_once_recorded(
+    def _notify_on_commit(
         self,
         transaction: TransactionBuilder,
         job: Job,
         shards: list[SliceShard],
-        share: list[Placement],
+        batch: list[Placement],
     ) -> None:
-        """Tell the machines, where they must not wait for their heartbeats, and the observer."""
+        """After the commit, send direct starts where the job needs them; notify the observer."""
         if job.spec.gang or self._context.objectives.start_within(job.spec) is not None:
-            indexes = {placement.task_index for placement in share}
+            indexes = {placement.task_index for placement in batch}
             transaction.on_commit.append(partial(self._start_directly, shards, indexes))
-        in_order = [placement.task_index for placement in share]
-        transaction.on_commit.append(partial(self._tell_observer, job, shards, in_order))
-        for _, task_index, capacity in share:
+        indexes_in_order = [placement.task_index for placement in batch]
+        transaction.on_commit.append(
+            partial(self._report_to_observer, job, shards, indexes_in_order)
+        )
+        for _, task_index, capacity in batch:
             log.debug(
                 "attempt-started",
                 partition=self._partition,
@@ -127,19 +135,21 @@
                 cached=job.spec.image in capacity.images,
             )
 
-    def _fill(
-        self, transaction: TransactionBuilder, job: Job, share: list[Placement]
+    def _add_attempts(
+        self, transaction: TransactionBuilder, job: Job, batch: list[Placement]
     ) -> list[SliceShard]:
-        """Return the shards with the new attempts; a gang's tasks have one attempt number."""
+        """Return the shards with the new attempts added; a gang's tasks share one number."""
         job_slice = self._records.job_slices().get(job.id)
         shards: dict[int, SliceShard] = {}
-        common = self._gangs.attempt_number(job) if job.spec.gang else None
-        for _, task_index, capacity in share:
-            n = self._shard_of(task_index, job_slice)
-            shard = shards.get(n) or transaction.shard(job.id, job.spec.team, job.spec.resources, n)
-            number = self._attempt_numbers.next() if common is None else common
+        gang_number = self._gangs.attempt_number(job) if job.spec.gang else None
+        for _, task_index, capacity in batch:
+            shard_number = self._shard_of(task_index, job_slice)
+            shard = shards.get(shard_number) or transaction.shard(
+                job.id, job.spec.team, job.spec.resources, shard_number
+            )
+            number = self._attempt_numbers.next() if gang_number is None else gang_number
             attempt = Attempt(number, capacity.id)
-            shards[n] = replace(shard, attempts={**shard.attempts, task_index: attempt})
+            shards[shard_number] = replace(shard, attempts={**shard.attempts, task_index: attempt})
         return list(shards.values())
 
     def _start_directly(self, shards: list[SliceShard], indexes: set[int]) -> None:
@@ -147,7 +157,7 @@
             for task_index in indexes & shard.attempts.keys():
                 self._direct_starts.add(TaskKey(shard.job, task_index), shard.attempts[task_index])
 
-    def _tell_observer(self, job: Job, shards: list[SliceShard], indexes: list[int]) -> None:
+    def _report_to_observer(self, job: Job, shards: list[SliceShard], indexes: list[int]) -> None:
         observer = self._context.observer
         for shard in shards:
             for index in indexes:
--- a/roadbend/placement/starts.py
+++ b/roadbend/placement/starts.py
@@ -1,4 +1,4 @@
-"""Which of what waits starts now, and where, within teams' quotas."""
+"""Decides which pending tasks start now, and where, within the teams' quotas."""
 
 from datetime import datetime
 from functools import partial
@@ -24,20 +24,20 @@
     """The pending queue, by whether its items may start now."""
 
     ready: list[PendingTasks]
-    # Shares of gangs that wait for other partitions.
-    early: list[PendingTasks]
+    # Shares of gangs that must wait for other partitions.
+    blocked: list[PendingTasks]
 
 
 class _Capacities(NamedTuple):
-    """The machines that a step looks at."""
+    """The machines that a step examines."""
 
     capacities: list[FreeCapacity]
-    # Whether machines are left out on which nothing that waits fits.
-    only_with_room: bool
+    # Whether machines on which no pending task fits are left out.
+    is_partial: bool
 
 
 class StartScheduler:
-    """Starts what waits in one partition, in each step."""
+    """Starts pending tasks of one partition, in each scheduling step."""
 
     def __init__(
         self,
@@ -60,37 +60,37 @@
     def start(self, transaction: TransactionBuilder, now: datetime) -> bool:
         """Put starts into the transaction; return whether some are left for the next one.
 
-        What finds no place gets machines reserved, or lesser work stopped for it.
+        For items that can't be placed, machines are reserved or lower-priority tasks stopped.
         """
         queue = self._queue.pending()
         self._aging.note_queue((item.job.id for item in queue), now)
         if not queue:
             self._queue.note_not_placed([])
             return False
-        seen = self._find_capacities(queue, transaction)
+        found = self._find_capacities(queue, transaction)
         self._restrictions.hold_back(queue)
-        self._restrictions.image_first(queue, seen.capacities)
-        result = self._place(queue, seen.capacities, transaction, now)
-        more = result.stopped_early
-        more = self._recorder.record(result.placed, transaction, now) or more
-        self._gang_reservations.keep_for_gangs(self._queue.not_placed, now)
-        if self._queue.not_placed and not more:
+        self._restrictions.image_first(queue, found.capacities)
+        result = self._place(queue, found.capacities, transaction, now)
+        has_more = result.stopped_early
+        has_more = self._recorder.record(result.placed, transaction, now) or has_more
+        self._gang_reservations.reserve_for_gangs(self._queue.not_placed, now)
+        if self._queue.not_placed and not has_more:
             self._preemption.preempt(
                 self._queue.not_placed,
                 transaction,
-                seen.capacities,
-                not seen.only_with_room,
+                found.capacities,
+                not found.is_partial,
                 now,
             )
-        return more
+        return has_more
 
     def _find_capacities(
         self, queue: list[PendingTasks], transaction: TransactionBuilder
     ) -> _Capacities:
-        """Return the usable machines.
+        """Return the usable machines that the step must examine.
 
-        Most are full, and only services that must start soon look at those, for what could be
-        cleared there.
+        Most machines are full. Those matter only for services with a start deadline, for which
+        tasks there could be preempted.
         """
         start_within = self._context.objectives.start_within
         if any(start_within(item.job.spec) is not None for item in queue):
@@ -109,13 +109,13 @@
         transaction: TransactionBuilder,
         now: datetime,
     ) -> bin_packing.PlacementResult:
-        """Find a place for what may start, and note what found none."""
+        """Place the items that may start, and record those that could not be placed."""
         starved = self._context.starvation.starved_jobs(now)
         quota = QuotaAllowance(
             partial(self._quotas.team_left, transaction),
             lambda job: self._aging.waited(job, now) < quotas.HOLD,
         )
-        ready, early = self._split(queue)
+        ready, blocked = self._split_by_readiness(queue)
         yielding = {item.job.id for item in ready if self._quotas.yields(item, starved)}
         self._restrictions.note_passed_over(ready, yielding, capacities, now)
         candidates = [
@@ -124,22 +124,24 @@
             if item.job.id not in yielding or self._aging.is_starving(item.job.id, now)
         ]
         result = bin_packing.place(
-            self._gangs.filling_first(candidates),
+            self._gangs.partly_recorded_first(candidates),
             capacities,
             transaction.remaining_changes,
             self._restrictions.exclusions_of(),
             quota,
         )
-        kept = [
-            item for item in early if self._aging.waited(item.job.id, now) < apart_gangs.KEEP_ROOM
+        still_reserving = [
+            item
+            for item in blocked
+            if self._aging.waited(item.job.id, now) < apart_gangs.MAX_BLOCKED_RESERVATION
         ]
-        self._queue.note_not_placed(quotas.within(quota, result.unplaced + kept))
+        self._queue.note_not_placed(quotas.within(quota, result.unplaced + still_reserving))
         return result
 
-    def _split(self, queue: list[PendingTasks]) -> _Candidates:
-        """Split the queue by whether other partitions let its items start."""
+    def _split_by_readiness(self, queue: list[PendingTasks]) -> _Candidates:
+        """Split the queue by whether items have to wait for other partitions."""
         candidates = _Candidates([], [])
         for item in queue:
             may_start = self._gangs.may_start(item.job)
-            (candidates.ready if may_start else candidates.early).append(item)
+            (candidates.ready if may_start else candidates.blocked).append(item)
         return candidates
--- a/roadbend/placement/test_starts_in_doubt.py
+++ b/roadbend/placement/test_starts_in_doubt.py
@@ -1,7 +1,7 @@
-"""What settles a start that was sent, and what finding that out costs.
+"""What settles a start that was sent, and the cost of determining that.
 
-A user may be told of a cancellation only when no start of the job is in doubt any more; a guard
-that is missing here lets a cancelled job begin (tests/scenarios/test_confirmed_cancellations.py).
+A cancellation may be confirmed to the user only when no start of the job is in doubt any more.
+Otherwise a cancelled job may begin (tests/scenarios/test_confirmed_cancellations.py).
 """
 
 from datetime import timedelta
@@ -27,7 +27,7 @@
 KEY = TaskKey(JOB, 0)
 NOW = clock.ORIGIN + timedelta(hours=1)
 SETTINGS = settings_for(0, 1)
-# When a lease that began now, and one that a former leader may have renewed, have expired.
+# When a lease that began at NOW, and one that a former leader may have renewed, have expired.
 LEASE_OVER = NOW + SETTINGS.lease + 3 * S
 FORMER_LEASE_OVER = NOW + SETTINGS.cancel_within + 3 * S
 
@@ -36,7 +36,7 @@
     return SliceShard(job, "east", "red", Resources(1, 0, 1), attempts=attempts, shard=0)
 
 
-class Desk:
+class PartitionFixture:
     """A partition with machine m-1, on which an attempt of a job is recorded."""
 
     def __init__(self, acquired_at=clock.ORIGIN, recorded_before=False):
@@ -55,8 +55,8 @@
         self.now = NOW
 
     def record(self) -> None:
-        row = shard(JOB, {0: Attempt(70, "m-1")})
-        self.view.put(row.key, row.to_value(), 5)
+        shard_record = shard(JOB, {0: Attempt(70, "m-1")})
+        self.view.put(shard_record.key, shard_record.to_value(), 5)
 
     def send_directly(self) -> DirectStart:
         start = DirectStart(70, 1)
@@ -73,36 +73,36 @@
         return self.starts.has_any(job, self.now)
 
 
-def its_answer_comes(desk, start):
+def its_answer_comes(fixture, start):
     start.acknowledged_position = HeartbeatPosition(1, 6)
 
 
-def it_is_refused(desk, start):
+def it_is_refused(fixture, start):
     start.refused = True
 
 
-def its_machine_shows_the_raised_token(desk, start):
-    desk.machine.fence()
-    assert desk.in_doubt(), "it has not shown the token yet"
-    desk.machine.token.confirmed = True
+def its_machine_shows_the_raised_token(fixture, start):
+    fixture.machine.fence()
+    assert fixture.in_doubt(), "it has not confirmed the token yet"
+    fixture.machine.token.confirmed = True
 
 
-def its_epoch_is_over(desk, start):
-    desk.machine.contact.take_in(HeartbeatPosition(2, 1), NOW)
+def its_epoch_is_over(fixture, start):
+    fixture.machine.contact.take_in(HeartbeatPosition(2, 1), NOW)
 
 
-def its_machines_lease_expires(desk, start):
-    desk.now = LEASE_OVER - 4 * S
-    assert desk.in_doubt(), "the lease may last"
-    desk.now = LEASE_OVER
+def its_machines_lease_expires(fixture, start):
+    fixture.now = LEASE_OVER - 4 * S
+    assert fixture.in_doubt(), "the lease may not have expired yet"
+    fixture.now = LEASE_OVER
 
 
-def its_machine_is_deleted(desk, start):
-    desk.machines.clear()
+def its_machine_is_deleted(fixture, start):
+    fixture.machines.clear()
 
 
-def its_end_is_recorded(desk, start):
-    desk.view.drop(shard(JOB, {}).key, 9)
+def its_end_is_recorded(fixture, start):
+    fixture.view.drop(shard(JOB, {}).key, 9)
 
 
 SETTLED_BY = [
@@ -118,142 +118,142 @@
 
 @pytest.mark.parametrize("settle", SETTLED_BY, ids=lambda settle: settle.__name__)
 def test_a_direct_start_is_in_doubt_until(settle):
-    desk = Desk()
-    start = desk.send_directly()
-    assert desk.in_doubt() and not desk.in_doubt(OTHER)
-    settle(desk, start)
-    assert not desk.in_doubt()
+    fixture = PartitionFixture()
+    start = fixture.send_directly()
+    assert fixture.in_doubt() and not fixture.in_doubt(OTHER)
+    settle(fixture, start)
+    assert not fixture.in_doubt()
 
 
 def test_a_newer_heartbeat_of_the_same_epoch_does_not_settle_a_direct_start():
-    desk = Desk()
-    desk.send_directly()
-    desk.machine.contact.take_in(HeartbeatPosition(1, 9), NOW)
-    assert desk.in_doubt()
+    fixture = PartitionFixture()
+    fixture.send_directly()
+    fixture.machine.contact.take_in(HeartbeatPosition(1, 9), NOW)
+    assert fixture.in_doubt()
 
 
 def test_a_direct_start_to_a_machine_that_restarts_is_in_doubt_until_it_shows_the_new_token():
-    """It counts its epochs anew, so the held start could be of its present one."""
-    desk = Desk()
-    desk.send_directly()
-    desk.machine.restart(HeartbeatPosition(1, 1))
-    desk.starts.mark_restarted("m-1")
-    desk.machine.contact.take_in(HeartbeatPosition(2, 1), NOW)
-    assert desk.in_doubt()
-    desk.machine.token.confirmed = True
-    desk.starts.mark_confirmed("m-1")
-    assert not desk.in_doubt()
+    """It numbers its epochs from the beginning, so the start may fall into its present epoch."""
+    fixture = PartitionFixture()
+    fixture.send_directly()
+    fixture.machine.restart(HeartbeatPosition(1, 1))
+    fixture.starts.mark_restarted("m-1")
+    fixture.machine.contact.take_in(HeartbeatPosition(2, 1), NOW)
+    assert fixture.in_doubt()
+    fixture.machine.token.confirmed = True
+    fixture.starts.mark_confirmed("m-1")
+    assert not fixture.in_doubt()
 
 
 def test_an_answered_start_is_in_doubt_until_a_newer_heartbeat_comes():
-    desk = Desk()
-    desk.answer()
-    assert desk.in_doubt() and not desk.in_doubt(OTHER)
-    desk.machine.contact.take_in(HeartbeatPosition(1, 6), NOW)
-    assert not desk.in_doubt()
+    fixture = PartitionFixture()
+    fixture.answer()
+    assert fixture.in_doubt() and not fixture.in_doubt(OTHER)
+    fixture.machine.contact.take_in(HeartbeatPosition(1, 6), NOW)
+    assert not fixture.in_doubt()
 
 
 def test_an_answered_start_is_in_doubt_until_the_worker_has_dropped_the_answer():
-    desk = Desk()
-    desk.answer()
-    desk.now = NOW + WORKER_ANSWER_TIMEOUT
-    assert desk.in_doubt()
-    desk.now += 0.2 * S
-    assert not desk.in_doubt()
+    fixture = PartitionFixture()
+    fixture.answer()
+    fixture.now = NOW + WORKER_ANSWER_TIMEOUT
+    assert fixture.in_doubt()
+    fixture.now += 0.2 * S
+    assert not fixture.in_doubt()
 
 
 @pytest.mark.parametrize("known", [True, False], ids=["registered", "not-registered"])
 def test_what_a_former_leader_may_have_sent_is_in_doubt_until_the_machine_shows_our_token(known):
-    desk = Desk(acquired_at=NOW, recorded_before=True)
+    fixture = PartitionFixture(acquired_at=NOW, recorded_before=True)
     if not known:
-        desk.machines.clear()
-    assert desk.in_doubt() and not desk.in_doubt(OTHER)
-    desk.machines["m-1"] = desk.machine
-    desk.starts.mark_confirmed("m-1")
-    assert not desk.in_doubt()
+        fixture.machines.clear()
+    assert fixture.in_doubt() and not fixture.in_doubt(OTHER)
+    fixture.machines["m-1"] = fixture.machine
+    fixture.starts.mark_confirmed("m-1")
+    assert not fixture.in_doubt()
 
 
 def test_what_a_former_leader_may_have_sent_is_in_doubt_until_its_leases_have_expired():
-    desk = Desk(acquired_at=NOW, recorded_before=True)
-    desk.machines.clear()
-    desk.now = FORMER_LEASE_OVER - 4 * S
-    assert desk.in_doubt()
-    desk.now = FORMER_LEASE_OVER
-    assert not desk.in_doubt()
+    fixture = PartitionFixture(acquired_at=NOW, recorded_before=True)
+    fixture.machines.clear()
+    fixture.now = FORMER_LEASE_OVER - 4 * S
+    assert fixture.in_doubt()
+    fixture.now = FORMER_LEASE_OVER
+    assert not fixture.in_doubt()
 
 
 def test_a_restarted_machine_may_carry_out_what_a_former_leader_sent():
-    desk = Desk(acquired_at=NOW, recorded_before=True)
-    desk.starts.mark_confirmed("m-1")
-    desk.starts.mark_restarted("m-1")
-    assert desk.in_doubt()
+    fixture = PartitionFixture(acquired_at=NOW, recorded_before=True)
+    fixture.starts.mark_confirmed("m-1")
+    fixture.starts.mark_restarted("m-1")
+    assert fixture.in_doubt()
 
 
 def test_what_the_former_leader_reported_as_settled_is_not_in_doubt():
-    """Guards against a cancellation that waits for a machine because its leader has changed."""
-    desk = Desk(acquired_at=NOW, recorded_before=True)
-    desk.starts.inherit(5, (OTHER,))
-    assert not desk.in_doubt()
+    """Guards against a cancellation that waits for a machine only because the leader changed."""
+    fixture = PartitionFixture(acquired_at=NOW, recorded_before=True)
+    fixture.starts.inherit(5, (OTHER,))
+    assert not fixture.in_doubt()
 
 
 @pytest.mark.parametrize(
     "revision, unsettled", [(4, ()), (5, (JOB,))], ids=["recorded-later", "named"]
 )
 def test_what_the_former_leader_did_not_report_as_settled_is_in_doubt(revision, unsettled):
-    """Guards against a start that the former leader sent after its report, or that it named."""
-    desk = Desk(acquired_at=NOW, recorded_before=True)
-    desk.starts.inherit(revision, unsettled)
-    assert desk.in_doubt()
+    """Guards against ignoring starts sent after the former leader's report, or named in it."""
+    fixture = PartitionFixture(acquired_at=NOW, recorded_before=True)
+    fixture.starts.inherit(revision, unsettled)
+    assert fixture.in_doubt()
 
 
 def test_an_inherited_attempt_whose_machine_restarts_is_in_doubt():
-    """Guards against a restarted machine that knows no token yet."""
-    desk = Desk(acquired_at=NOW, recorded_before=True)
-    desk.starts.inherit(5, ())
-    desk.starts.mark_restarted("m-1")
-    assert desk.in_doubt()
-    desk.starts.mark_confirmed("m-1")
-    assert not desk.in_doubt()
+    """Guards against trusting a restarted machine that has no token yet."""
+    fixture = PartitionFixture(acquired_at=NOW, recorded_before=True)
+    fixture.starts.inherit(5, ())
+    fixture.starts.mark_restarted("m-1")
+    assert fixture.in_doubt()
+    fixture.starts.mark_confirmed("m-1")
+    assert not fixture.in_doubt()
 
 
 def test_an_own_start_of_an_inherited_attempt_is_in_doubt():
-    """Guards against a lost attempt that we start anew and call settled."""
-    desk = Desk(acquired_at=NOW, recorded_before=True)
-    desk.starts.inherit(5, ())
-    desk.send_directly()
-    assert desk.in_doubt()
+    """Guards against treating a lost attempt as settled that this leader starts again."""
+    fixture = PartitionFixture(acquired_at=NOW, recorded_before=True)
+    fixture.starts.inherit(5, ())
+    fixture.send_directly()
+    assert fixture.in_doubt()
 
 
 def test_settled_starts_are_dropped_though_nobody_asks():
-    desk = Desk()
-    desk.answer()
-    desk.starts.tidy(NOW)
-    assert desk.starts._by_job
-    desk.starts.tidy(NOW + 10 * S)
-    assert not desk.starts._by_job
+    fixture = PartitionFixture()
+    fixture.answer()
+    fixture.starts.drop_obsolete(NOW)
+    assert fixture.starts._by_job
+    fixture.starts.drop_obsolete(NOW + 10 * S)
+    assert not fixture.starts._by_job
 
 
-def wide(desk: Desk, tasks: int) -> None:
-    """Record so many tasks of a job, each on a machine of its own, and have them started."""
+def record_wide_job(fixture: PartitionFixture, tasks: int) -> None:
+    """Record tasks of a job, each on a machine of its own that has confirmed our token."""
     attempts = {n: Attempt(70 + n, f"m-1{n:04}") for n in range(tasks)}
-    row = shard(OTHER, attempts)
-    desk.view.put(row.key, row.to_value(), 6)
+    shard_record = shard(OTHER, attempts)
+    fixture.view.put(shard_record.key, shard_record.to_value(), 6)
     for attempt in attempts.values():
         machine = Machine(attempt.machine, f"{attempt.machine}:1", "g2", "east", False)
         machine.token.confirmed = True
         machine.contact.take_in(HeartbeatPosition(1, 5), NOW)
-        desk.machines[machine.id] = machine
+        fixture.machines[machine.id] = machine
 
 
 @pytest.mark.parametrize("confirmed", [True, False], ids=["own", "former"])
 def test_it_costs_by_the_starts_in_doubt_not_by_the_job_or_the_fleet(calls, confirmed):
-    """Jobs have thousands of tasks, and users cancel at once."""
+    """Jobs have thousands of tasks, and cancellations must be confirmed quickly."""
     costs = []
     for tasks in (10, 4000):
-        desk = Desk(acquired_at=NOW, recorded_before=not confirmed)
-        wide(desk, tasks)
-        desk.send_directly()
-        costs.append([calls(partial(desk.in_doubt, job)) for job in (JOB, OTHER)])
-        assert desk.in_doubt() and not desk.in_doubt(OTHER)
+        fixture = PartitionFixture(acquired_at=NOW, recorded_before=not confirmed)
+        record_wide_job(fixture, tasks)
+        fixture.send_directly()
+        costs.append([calls(partial(fixture.in_doubt, job)) for job in (JOB, OTHER)])
+        assert fixture.in_doubt() and not fixture.in_doubt(OTHER)
     assert costs[0] == costs[1]
     assert max(costs[1]) < 100
--- a/roadbend/placement/test_unheld_attempts.py
+++ b/roadbend/placement/test_unheld_attempts.py
@@ -1,6 +1,6 @@
-"""Which starts a leader reports as settled, and when it may send one anew.
+"""Which starts a leader reports as settled, and when it may send one again.
 
-A report that is relied on while its sender sends the start anew lets a cancelled job begin
+If a peer relies on a report while its sender sends the start again, a cancelled job may begin
 (tests/scenarios/test_start_reports.py).
 """
 
@@ -27,12 +27,12 @@
 NOW = clock.ORIGIN + timedelta(hours=1)
 JOB, KEY = "run-000001", TaskKey("run-000001", 0)
 ATTEMPT = Attempt(70, "m-1")
-# When a report that was sent now is relied on by nobody any more.
-UNUSED = NOW + (REPORT_LIFETIME + START_FRESHNESS) * 1.01
+# When no peer relies on a report sent at NOW any more.
+REPORT_EXPIRED = NOW + (REPORT_LIFETIME + START_FRESHNESS) * 1.01
 
 
-class Desk:
-    """A partition with attempts on a machine, recorded before the leader began."""
+class PartitionFixture:
+    """A partition with attempts on a machine, recorded before the leadership began."""
 
     def __init__(self, attempts: dict[int, Attempt] | None = None):
         self.view, self.reports = RecordView(), StartReports()
@@ -47,103 +47,105 @@
         self.unheld = UnheldAttempts(records)
 
     def record(self, attempts: dict[int, Attempt], revision: int = 5) -> None:
-        row = SliceShard(JOB, "east", "red", Resources(1, 0, 1), attempts=attempts, shard=0)
-        self.view.put(row.key, row.to_value(), revision)
+        shard_record = SliceShard(
+            JOB, "east", "red", Resources(1, 0, 1), attempts=attempts, shard=0
+        )
+        self.view.put(shard_record.key, shard_record.to_value(), revision)
 
-    def show(self, number: int = 70, machine: str = "m-1") -> None:
-        shown = ObservedTask(number, TaskState.RUNNING, NOW)
-        self.unheld.mark_shown(machine, {KEY: shown})
+    def report_task(self, number: int = 70, machine: str = "m-1") -> None:
+        reported = ObservedTask(number, TaskState.RUNNING, NOW)
+        self.unheld.mark_shown(machine, {KEY: reported})
 
     def may_send(self, now=NOW) -> bool:
         return self.unheld.may_send("m-1", KEY, 70, now)
 
 
 def test_an_attempt_is_unheld_until_its_machine_shows_it():
-    desk = Desk()
-    assert desk.unheld.jobs() == {JOB} and desk.may_send()
-    desk.show(number=69)
-    desk.show(machine="m-2")
-    assert desk.unheld.jobs() == {JOB}
-    desk.show()
-    assert desk.unheld.jobs() == set()
+    fixture = PartitionFixture()
+    assert fixture.unheld.jobs() == {JOB} and fixture.may_send()
+    fixture.report_task(number=69)
+    fixture.report_task(machine="m-2")
+    assert fixture.unheld.jobs() == {JOB}
+    fixture.report_task()
+    assert fixture.unheld.jobs() == set()
 
 
 def test_an_attempt_that_is_recorded_newly_is_unheld():
-    """Guards against a report that names no start that has just been recorded."""
-    desk = Desk({})
-    assert desk.unheld.jobs() == set()
-    desk.view.attempt_listeners.append(
-        lambda _partition, job, index, attempt: desk.unheld.mark_recorded(
+    """Guards against a report that omits a start that has just been recorded."""
+    fixture = PartitionFixture({})
+    assert fixture.unheld.jobs() == set()
+    fixture.view.attempt_listeners.append(
+        lambda _partition, job, index, attempt: fixture.unheld.mark_recorded(
             TaskKey(job, index), attempt
         )
     )
-    desk.record({0: ATTEMPT}, 6)
-    assert desk.unheld.jobs() == {JOB}
-    # Replaced on another machine under the same number, as a task of a gang is.
-    desk.show()
-    desk.record({0: Attempt(70, "m-2")}, 7)
-    assert desk.unheld.jobs() == {JOB}
+    fixture.record({0: ATTEMPT}, 6)
+    assert fixture.unheld.jobs() == {JOB}
+    # Replaced on another machine under the same attempt number, like a task of a gang.
+    fixture.report_task()
+    fixture.record({0: Attempt(70, "m-2")}, 7)
+    assert fixture.unheld.jobs() == {JOB}
 
 
 def test_what_the_records_no_longer_name_is_forgotten():
-    desk = Desk()
-    desk.record({}, 6)
-    assert desk.unheld.jobs() == set() and not desk.unheld._by_machine
+    fixture = PartitionFixture()
+    fixture.record({}, 6)
+    assert fixture.unheld.jobs() == set() and not fixture.unheld._by_machine
 
 
 def test_what_is_over_is_forgotten_also_if_no_peer_asks():
-    """Guards against a set that grows without bound."""
-    desk = Desk()
-    desk.unheld.tidy(NOW)
-    desk.record({}, 6)
-    desk.unheld.tidy(NOW + S)
-    assert desk.unheld._by_machine
-    desk.unheld.tidy(NOW + 6 * S)
-    assert not desk.unheld._by_machine
+    """Guards against unbounded memory use."""
+    fixture = PartitionFixture()
+    fixture.unheld.drop_obsolete(NOW)
+    fixture.record({}, 6)
+    fixture.unheld.drop_obsolete(NOW + S)
+    assert fixture.unheld._by_machine
+    fixture.unheld.drop_obsolete(NOW + 6 * S)
+    assert not fixture.unheld._by_machine
 
 
 def test_a_lost_attempt_is_unheld_again_and_waits_for_the_peers():
-    """Guards against a start that is sent anew while a peer relies on a report."""
-    desk = Desk()
-    desk.show()
-    desk.reports.send("node-1", NOW)
-    assert not desk.may_send() and desk.unheld.jobs() == {JOB}
-    assert not desk.may_send(NOW + REPORT_LIFETIME)
-    assert desk.may_send(UNUSED)
+    """Guards against sending a start again while a peer relies on a report."""
+    fixture = PartitionFixture()
+    fixture.report_task()
+    fixture.reports.send("node-1", NOW)
+    assert not fixture.may_send() and fixture.unheld.jobs() == {JOB}
+    assert not fixture.may_send(NOW + REPORT_LIFETIME)
+    assert fixture.may_send(REPORT_EXPIRED)
 
 
 def test_a_peer_that_has_a_later_report_is_not_waited_for():
-    desk = Desk()
-    desk.show()
-    first = desk.reports.send("node-1", NOW)
-    assert not desk.may_send()
-    desk.reports.acknowledge("node-1", first)
-    assert not desk.may_send()
-    second = desk.reports.send("node-1", NOW + S)
-    assert not desk.may_send()
-    desk.reports.acknowledge("node-1", second)
-    assert desk.may_send()
+    fixture = PartitionFixture()
+    fixture.report_task()
+    first = fixture.reports.send("node-1", NOW)
+    assert not fixture.may_send()
+    fixture.reports.acknowledge("node-1", first)
+    assert not fixture.may_send()
+    second = fixture.reports.send("node-1", NOW + S)
+    assert not fixture.may_send()
+    fixture.reports.acknowledge("node-1", second)
+    assert fixture.may_send()
 
 
 def test_a_peer_that_acknowledges_nothing_is_not_waited_for_anew_with_each_report():
-    """Guards against a lost task that a peer keeps waiting whose requests come, and no answers."""
-    desk = Desk()
-    desk.show()
-    desk.reports.send("node-1", NOW)
-    assert not desk.may_send()
-    desk.reports.send("node-1", UNUSED - S)
-    assert desk.may_send(UNUSED)
+    """Guards against a lost task held up by a peer that sends requests but no acknowledgements."""
+    fixture = PartitionFixture()
+    fixture.report_task()
+    fixture.reports.send("node-1", NOW)
+    assert not fixture.may_send()
+    fixture.reports.send("node-1", REPORT_EXPIRED - S)
+    assert fixture.may_send(REPORT_EXPIRED)
 
 
 def test_every_peer_is_waited_for():
-    """Guards against a leader that asks only one of them."""
-    desk = Desk()
-    desk.show()
+    """Guards against waiting for only one of the peers."""
+    fixture = PartitionFixture()
+    fixture.report_task()
     for peer in ("node-1", "node-2"):
-        desk.reports.send(peer, NOW)
-    assert not desk.may_send()
-    desk.reports.acknowledge("node-1", desk.reports.send("node-1", NOW + S))
-    assert not desk.may_send(NOW + S)
+        fixture.reports.send(peer, NOW)
+    assert not fixture.may_send()
+    fixture.reports.acknowledge("node-1", fixture.reports.send("node-1", NOW + S))
+    assert not fixture.may_send(NOW + S)
 
 
 def test_an_acknowledgement_that_arrives_late_takes_nothing_back():
@@ -158,38 +160,38 @@
 
 
 def test_a_lost_attempt_that_is_shown_after_all_is_held():
-    desk = Desk()
-    desk.show()
-    desk.reports.send("node-1", NOW)
-    assert not desk.may_send()
-    desk.show()
-    assert desk.unheld.jobs() == set()
+    fixture = PartitionFixture()
+    fixture.report_task()
+    fixture.reports.send("node-1", NOW)
+    assert not fixture.may_send()
+    fixture.report_task()
+    assert fixture.unheld.jobs() == set()
 
 
 def test_a_machine_that_restarted_has_lost_what_it_held():
-    """Guards against a restart that a report does not show: a held-up start may yet arrive."""
-    desk = Desk()
-    desk.show()
-    desk.reports.send("node-1", NOW)
-    desk.unheld.mark_lost("m-1", [(KEY, 70)], NOW)
-    assert desk.unheld.jobs() == {JOB} and not desk.may_send()
-    # It does not begin to wait anew with every look.
-    assert desk.may_send(UNUSED)
+    """Guards against a report that ignores a restart: a delayed start may still arrive."""
+    fixture = PartitionFixture()
+    fixture.report_task()
+    fixture.reports.send("node-1", NOW)
+    fixture.unheld.mark_lost("m-1", [(KEY, 70)], NOW)
+    assert fixture.unheld.jobs() == {JOB} and not fixture.may_send()
+    # The wait does not start over with every check.
+    assert fixture.may_send(REPORT_EXPIRED)
 
 
 def test_an_attempt_that_was_never_held_waits_for_nobody():
-    """Guards against starts that are delayed at every machine's restart or lease."""
-    desk = Desk()
-    desk.reports.send("node-1", NOW)
-    desk.unheld.mark_lost("m-1", [(KEY, 70)], NOW)
-    assert desk.may_send()
+    """Guards against delaying starts at every restart or expired lease of a machine."""
+    fixture = PartitionFixture()
+    fixture.reports.send("node-1", NOW)
+    fixture.unheld.mark_lost("m-1", [(KEY, 70)], NOW)
+    assert fixture.may_send()
 
 
 @pytest.mark.parametrize("held", [40, 4000])
 def test_it_costs_by_what_is_unheld_not_by_the_fleet(calls, held):
-    desk = Desk({index: Attempt(index, f"m-{index}") for index in range(held)})
+    fixture = PartitionFixture({index: Attempt(index, f"m-{index}") for index in range(held)})
     for index in range(held - 3):
-        shown = ObservedTask(index, TaskState.RUNNING, NOW)
-        desk.unheld.mark_shown(f"m-{index}", {TaskKey(JOB, index): shown})
-    assert calls(desk.unheld.jobs) < 40
-    assert calls(lambda: desk.unheld.mark_shown("m-0", {})) < 5
+        reported = ObservedTask(index, TaskState.RUNNING, NOW)
+        fixture.unheld.mark_shown(f"m-{index}", {TaskKey(JOB, index): reported})
+    assert calls(fixture.unheld.jobs) < 40
+    assert calls(lambda: fixture.unheld.mark_shown("m-0", {})) < 5
--- a/roadbend/placement/transaction_sender.py
+++ b/roadbend/placement/transaction_sender.py
@@ -1,4 +1,4 @@
-"""Sends a leader's transactions, one at a time, and resolves those without an answer."""
+"""Sends a leader's transactions one at a time, and resolves in-doubt ones."""
 
 from collections.abc import Mapping
 from datetime import timedelta
@@ -14,12 +14,12 @@
 from roadbend.store.client import ConflictError, TooLargeError, UnavailableError, commit, put
 
 log = Log("placement")
-# How long a transaction may take.
+# Time limit for committing a transaction.
 COMMIT_TIMEOUT = timedelta(seconds=3)
-# How long resolving an in-doubt transaction may take, and the write with which it is done.
+# Time limits for resolving an in-doubt transaction, and for the write that resolves it.
 RESOLVE_TIMEOUT_S = 2
 RESOLVE_COMMIT_TIMEOUT = timedelta(seconds=1.5)
-# The fewest changes that transactions are cut down to.
+# Lower bound for the reduced number of changes per transaction.
 MIN_CHANGES = 2
 
 
@@ -31,12 +31,14 @@
     ) -> None:
         self._records, self._context = records, records.context
         self._terminations, self._direct_starts = terminations, direct_starts
-        # The conditions of the last transaction, while nobody knows whether it was, or will be,
-        # carried out.
+        # The conditions of the last transaction while it is in doubt: it is unknown whether it was
+        # or will be committed.
         self._in_doubt: dict[str, int] = {}
-        # Fewer changes than the settings say, once the state store found a transaction too large.
+        # A lower limit than the settings have, once the state store rejected a transaction as too
+        # large.
         self._max_changes: int | None = None
-        # Machines named in the transaction whose answer is out; they must not be deleted meanwhile.
+        # Machines named in the transaction that is being committed; they must not be deleted
+        # meanwhile.
         self.machines_in_flight: frozenset[str] = frozenset()
 
     @property
@@ -54,12 +56,12 @@
             self._max_changes,
         )
 
-    async def send(self, transaction: TransactionBuilder, more: bool) -> bool:
-        """Send a transaction; return whether the next step is to come at once.
+    async def send(self, transaction: TransactionBuilder, has_more: bool) -> bool:
+        """Send a transaction; return whether the next step should follow at once.
 
-        `more`: whether something is left for the next transaction once this one is carried out.
-        Raises `UnavailableError` where nobody knows whether it was carried out, and `TooLargeError`
-        where it certainly was not.
+        `has_more`: whether something is left for the next transaction after this one is committed.
+        Raises `UnavailableError` if it is unknown whether it was committed, and `TooLargeError` if
+        it certainly was not.
         """
         changes = list(transaction.changes.values())
         self._terminations.begin_transaction(transaction.ended_attempts)
@@ -69,7 +71,7 @@
                 self._context.state, transaction.conditions, changes, within=COMMIT_TIMEOUT
             )
         except TooLargeError as error:
-            self._note_too_large(len(changes), error)
+            self._reduce_size(len(changes), error)
             raise
         except UnavailableError:
             self._in_doubt = dict(transaction.conditions)
@@ -80,19 +82,19 @@
                 partition=self._records.partition,
                 failed_keys=conflict.failed,
             )
-            # It may be our own success, of which the answer was lost: until the records have been
-            # read, nobody knows.
+            # The conflict may come from our own commit whose response was lost. The transaction
+            # stays in doubt until the records have been read.
             self._in_doubt = dict(transaction.conditions)
             return await self.resolve_in_doubt()
         else:
             self._context.view.applied(changes, revision)
-            self._finish(transaction)
-            return more
+            self._complete(transaction)
+            return has_more
         finally:
             self.machines_in_flight = frozenset()
 
-    def _note_too_large(self, changes: int, error: TooLargeError) -> None:
-        """Make the next transactions smaller: this one was not carried out, and never would be."""
+    def _reduce_size(self, changes: int, error: TooLargeError) -> None:
+        """Make the next transactions smaller: this one was not and can never be committed."""
         log.error(
             "transaction-oversized",
             partition=self._records.partition,
@@ -102,37 +104,37 @@
         self._max_changes = max(MIN_CHANGES, changes // 2)
         self._terminations.end_transaction()
 
-    def _finish(self, transaction: TransactionBuilder) -> None:
-        """Do what follows once a transaction was carried out and the view shows it."""
+    def _complete(self, transaction: TransactionBuilder) -> None:
+        """Run the actions that follow a committed transaction that the record view shows."""
         self._terminations.end_transaction()
-        for call in transaction.on_commit:
-            call()
-        for job, status in transaction.jobs_over:
+        for callback in transaction.on_commit:
+            callback()
+        for job, status in transaction.ended_jobs:
             self._context.observer.job_over(job, status)
         self._direct_starts.send_all()
 
     async def resolve_in_doubt(self) -> bool:
-        """Find out what became of the in-doubt transaction; return whether that is known now.
+        """Determine the outcome of the in-doubt transaction; return whether it is known now.
 
-        It may be carried out late. Starts are bounded by the quota reservation and not by the quota
-        record, so a late one would come on top of what was started since. Before anything else is
-        written, one of its conditions is made false for good, or the records show that it was
-        carried out.
+        The transaction may still be committed late. Starts are bounded by the quota reservation and
+        not by the quota record, so late starts would come on top of what was started since. Before
+        anything else is written, either one of its conditions is made permanently false, or the
+        records show that it was committed.
         """
         view = self._context.view
         with trio.move_on_after(RESOLVE_TIMEOUT_S):
             await self._context.reader.read_barrier()
-            if any(view.mod_revision(key) != seen for key, seen in self._in_doubt.items()):
-                self._forget_in_doubt()
+            if any(view.mod_revision(key) != expected for key, expected in self._in_doubt.items()):
+                self._clear_in_doubt()
                 return True
-            return await self._falsify_a_condition()
+            return await self._invalidate_condition()
         return False
 
-    async def _falsify_a_condition(self) -> bool:
-        """Make a condition of the in-doubt transaction false for good; return whether that worked.
+    async def _invalidate_condition(self) -> bool:
+        """Make a condition of the in-doubt transaction permanently false; return whether it worked.
 
-        One of its records is written anew, as it is, so that the condition on its revision can't
-        hold any more.
+        Rewrites one of its records with an unchanged value. That raises the mod revision, so the
+        condition on it can't hold any more.
         """
         view, partition = self._context.view, self._records.partition
         term_key = keys.term_key(partition)
@@ -150,11 +152,11 @@
                 return False
             view.applied(changes, revision)
             log.info("in-doubt-transaction-resolved", partition=partition, key=key)
-            self._forget_in_doubt()
+            self._clear_in_doubt()
             return True
         return False
 
-    def _forget_in_doubt(self) -> None:
-        """Forget the last transaction: the records show what became of it."""
+    def _clear_in_doubt(self) -> None:
+        """Clear the in-doubt transaction: its outcome is known from the records."""
         self._in_doubt = {}
         self._terminations.end_transaction()
--- a/roadbend/placement/unheld_attempts.py
+++ b/roadbend/placement/unheld_attempts.py
@@ -1,8 +1,8 @@
-"""Recorded attempts that their machines have not shown to hold.
+"""Unheld attempts: recorded attempts that their machines have not reported as held.
 
 The start of any other recorded attempt is settled: a worker ignores it while it holds the attempt.
-A machine loses what it holds with its lease, or as it restarts; then the attempt is unheld again,
-and its start is sent anew only once peers do not rely on earlier reports any more.
+A machine loses its held attempts when its lease expires or it restarts. Such an attempt is unheld
+again, and its start is sent again only when peers do not rely on earlier start reports any more.
 """
 
 from collections.abc import Iterable, Mapping
@@ -16,16 +16,16 @@
 from roadbend.placement.start_reports import StartReports, Withdrawal
 from roadbend.store.records import Attempt
 
-# How often attempts that are over are looked for.
-TIDY_INTERVAL = timedelta(seconds=5)
+# How often obsolete attempts are dropped.
+CLEANUP_INTERVAL = timedelta(seconds=5)
 
 
 @dataclass
 class _UnheldAttempt:
-    """An attempt that its machine has not shown, or has lost."""
+    """An attempt that its machine has not reported, or has lost."""
 
     number: int
-    # For one that was lost: of the reports that called it held.
+    # For a lost attempt: the withdrawal of the start reports that called it held.
     withdrawal: Withdrawal | None = None
 
 
@@ -35,7 +35,7 @@
     def __init__(self, records: PartitionRecords) -> None:
         self._records = records
         self._by_machine: dict[str, dict[TaskKey, _UnheldAttempt]] = {}
-        self._tidied_at = clock.ORIGIN
+        self._cleaned_at = clock.ORIGIN
         for machine, attempts in records.attempts_by_machine().items():
             for key, (_, attempt) in attempts.items():
                 self.mark_recorded(TaskKey(*key), Attempt(attempt.number, machine))
@@ -44,17 +44,17 @@
         return self._records.context.start_reports
 
     def mark_recorded(self, key: TaskKey, attempt: Attempt) -> None:
-        """Note that the records name an attempt newly."""
+        """Record that an attempt was newly recorded in the state store."""
         unheld = self._by_machine.setdefault(attempt.machine, {})
         unheld[key] = _UnheldAttempt(attempt.number)
 
-    def mark_shown(self, machine: str, shown: Mapping[TaskKey, ObservedTask]) -> None:
-        """Note the recorded attempts that a heartbeat with our token shows."""
+    def mark_shown(self, machine: str, reported: Mapping[TaskKey, ObservedTask]) -> None:
+        """Record the attempts that a heartbeat with our token reports as held."""
         unheld = self._by_machine.get(machine)
         if unheld is None:
             return
-        for key in [key for key in unheld if key in shown]:
-            if shown[key].attempt == unheld[key].number:
+        for key in [key for key in unheld if key in reported]:
+            if reported[key].attempt == unheld[key].number:
                 del unheld[key]
         if not unheld:
             del self._by_machine[machine]
@@ -62,7 +62,7 @@
     def mark_lost(
         self, machine: str, attempts: Iterable[tuple[TaskKey, int]], now: datetime
     ) -> None:
-        """Note attempts that a machine held, and may have lost."""
+        """Record attempts that a machine held and may have lost."""
         withdrawal = self._reports().withdraw(now)
         for key, number in attempts:
             if not self.is_unheld(machine, key, number):
@@ -70,25 +70,25 @@
                 self._by_machine.setdefault(machine, {})[key] = lost
 
     def is_unheld(self, machine: str, key: TaskKey, number: int) -> bool:
-        """Whether a recorded attempt is not known to be held by its machine."""
-        known = self._by_machine.get(machine, {}).get(key)
-        return known is not None and known.number == number
+        """Return whether a recorded attempt is not known to be held by its machine."""
+        unheld = self._by_machine.get(machine, {}).get(key)
+        return unheld is not None and unheld.number == number
 
     def may_send(self, machine: str, key: TaskKey, number: int, now: datetime) -> bool:
-        """Whether the start of an attempt may be sent that its machine does not show now."""
+        """Return whether the start of an attempt that its machine does not report may be sent."""
         if not self.is_unheld(machine, key, number):
             self.mark_lost(machine, [(key, number)], now)
         withdrawal = self._by_machine[machine][key].withdrawal
         return withdrawal is None or self._reports().is_complete(withdrawal, now)
 
-    def tidy(self, now: datetime) -> None:
-        """Forget attempts that are over, every now and then, also if no peer asks for reports."""
-        if now - self._tidied_at >= TIDY_INTERVAL:
-            self._tidied_at = now
+    def drop_obsolete(self, now: datetime) -> None:
+        """Drop obsolete attempts, once per `CLEANUP_INTERVAL`, even if no peer requests reports."""
+        if now - self._cleaned_at >= CLEANUP_INTERVAL:
+            self._cleaned_at = now
             self.jobs()
 
     def jobs(self) -> set[str]:
-        """Return the jobs that have unheld attempts; forget those that are over."""
+        """Return the jobs that have unheld attempts; drop attempts that are not recorded now."""
         jobs: set[str] = set()
         for machine, unheld in list(self._by_machine.items()):
             for key, attempt in list(unheld.items()):
