--- a/roadbend/placement/gangs.py
+++ b/roadbend/placement/gangs.py
@@ -1,9 +1,9 @@
 """Gang scheduling: all tasks of a gang run at the same time, or none does.
 
 One partition holds a whole gang. It starts the tasks under one attempt number, recorded in one
-transaction, and stops them together. The next attempt begins when every task of the last one has
-proven to be terminated. A task that is lost while the others still wait for all tasks to be ready
-is replaced within the same attempt.
+transaction, and stops them together. The next attempt begins when every task of the last one is
+proven to be terminated. On their machines, tasks that have fetched the image wait until all are
+ready (`gathering`); a task that is lost before that is replaced within the same attempt.
 """
 
 from collections.abc import Set
--- a/roadbend/placement/heartbeats.py
+++ b/roadbend/placement/heartbeats.py
@@ -237,7 +237,7 @@
         )
         orders = heartbeat_evaluation.read(machine, heartbeat, self.token(machine), expected, now)
         if shows_our_token:
-            self._unheld.mark_shown(machine.id, machine.tasks)
+            self._unheld.mark_held(machine.id, machine.tasks)
         self.recovery.note_heartbeat(machine, heartbeat, now)
         self._learn(machine, recorded, now)
         return orders
--- a/roadbend/placement/leader.py
+++ b/roadbend/placement/leader.py
@@ -1,4 +1,4 @@
-"""The leader of one partition for one term: runs the scheduling steps.
+"""The leader of one partition for one term: pending queue, placement, records, silent machines.
 
 The records of the job slices, as the record view shows them, are authoritative for attempts. The
 state kept in memory may be lost: what machines last reported, terminations that are not recorded
@@ -180,7 +180,7 @@
                 await self.steps.requested()
             run_again = True
             while run_again and self.records.is_leading():
-                # Waits for further changes: fewer and fuller transactions.
+                # Batches further changes into fewer and larger transactions.
                 await clock.pause(
                     max(
                         MIN_STEP_DELAY,
--- a/roadbend/placement/preemption.py
+++ b/roadbend/placement/preemption.py
@@ -24,7 +24,7 @@
 log = Log("placement")
 # How long a machine stays reserved for the job for which tasks on it are being stopped.
 RESERVATION_LIFETIME = timedelta(seconds=15)
-# Limit per step on the machines on which tasks are preempted.
+# The limit per step for machines on which tasks are preempted.
 MAX_PREEMPTED = 24
 
 
--- a/roadbend/placement/test_gang_end.py
+++ b/roadbend/placement/test_gang_end.py
@@ -216,7 +216,7 @@
 
 
 def test_an_end_that_meets_another_writing_of_the_job_comes_with_the_next_transaction():
-    """Guards against losing a concurrent write of an older version's leader, or never ending."""
+    """Guards against overwriting what an older leader wrote, and a gang that never ends."""
     fixture = in_its_slice()
     assert fixture.step().conditions[keys.job_key(GANG)] == JOB_REVISION
     # The older leader moves the completed tasks into the job's record meanwhile.
--- a/roadbend/placement/test_starts_in_doubt.py
+++ b/roadbend/placement/test_starts_in_doubt.py
@@ -28,8 +28,8 @@
 NOW = clock.ORIGIN + timedelta(hours=1)
 SETTINGS = settings_for(0, 1)
 # When a lease that began at NOW, and one that a former leader may have renewed, have expired.
-LEASE_OVER = NOW + SETTINGS.lease + 3 * S
-FORMER_LEASE_OVER = NOW + SETTINGS.cancel_within + 3 * S
+LEASE_EXPIRED = NOW + SETTINGS.lease + 3 * S
+FORMER_LEASE_EXPIRED = NOW + SETTINGS.cancel_within + 3 * S
 
 
 def shard(job: str, attempts: dict[int, Attempt]) -> SliceShard:
@@ -92,9 +92,9 @@
 
 
 def its_machines_lease_expires(fixture, start):
-    fixture.now = LEASE_OVER - 4 * S
+    fixture.now = LEASE_EXPIRED - 4 * S
     assert fixture.in_doubt(), "the lease may not have expired yet"
-    fixture.now = LEASE_OVER
+    fixture.now = LEASE_EXPIRED
 
 
 def its_machine_is_deleted(fixture, start):
@@ -176,9 +176,9 @@
 def test_what_a_former_leader_may_have_sent_is_in_doubt_until_its_leases_have_expired():
     fixture = PartitionFixture(acquired_at=NOW, recorded_before=True)
     fixture.machines.clear()
-    fixture.now = FORMER_LEASE_OVER - 4 * S
+    fixture.now = FORMER_LEASE_EXPIRED - 4 * S
     assert fixture.in_doubt()
-    fixture.now = FORMER_LEASE_OVER
+    fixture.now = FORMER_LEASE_EXPIRED
     assert not fixture.in_doubt()
 
 
--- a/roadbend/placement/test_unheld_attempts.py
+++ b/roadbend/placement/test_unheld_attempts.py
@@ -54,7 +54,7 @@
 
     def report_task(self, number: int = 70, machine: str = "m-1") -> None:
         reported = ObservedTask(number, TaskState.RUNNING, NOW)
-        self.unheld.mark_shown(machine, {KEY: reported})
+        self.unheld.mark_held(machine, {KEY: reported})
 
     def may_send(self, now=NOW) -> bool:
         return self.unheld.may_send("m-1", KEY, 70, now)
@@ -192,6 +192,6 @@
     fixture = PartitionFixture({index: Attempt(index, f"m-{index}") for index in range(held)})
     for index in range(held - 3):
         reported = ObservedTask(index, TaskState.RUNNING, NOW)
-        fixture.unheld.mark_shown(f"m-{index}", {TaskKey(JOB, index): reported})
+        fixture.unheld.mark_held(f"m-{index}", {TaskKey(JOB, index): reported})
     assert calls(fixture.unheld.jobs) < 40
-    assert calls(lambda: fixture.unheld.mark_shown("m-0", {})) < 5
+    assert calls(lambda: fixture.unheld.mark_held("m-0", {})) < 5
--- a/roadbend/placement/unheld_attempts.py
+++ b/roadbend/placement/unheld_attempts.py
@@ -48,7 +48,7 @@
         unheld = self._by_machine.setdefault(attempt.machine, {})
         unheld[key] = _UnheldAttempt(attempt.number)
 
-    def mark_shown(self, machine: str, reported: Mapping[TaskKey, ObservedTask]) -> None:
+    def mark_held(self, machine: str, reported: Mapping[TaskKey, ObservedTask]) -> None:
         """Record the attempts that a heartbeat with our token reports as held."""
         unheld = self._by_machine.get(machine)
         if unheld is None:
