--- a/roadbend/placement/heartbeats.py
+++ b/roadbend/placement/heartbeats.py
@@ -239,7 +239,7 @@
             machine, heartbeat, self.token(machine), expected, now
         )
         if shows_our_token:
-            self._unheld.mark_shown(machine.id, machine.tasks)
+            self._unheld.mark_held(machine.id, machine.tasks)
         self.recovery.record_heartbeat(machine, heartbeat, now)
         self._learn(machine, recorded, now)
         return orders
