--- a/roadbend/placement/bin_packing.py
+++ b/roadbend/placement/bin_packing.py
@@ -118,7 +118,7 @@
     packing = _Packing(usable, max_jobs, exclusions_of, quota)
     stopped_early = False
     for item in queue:
-        permitted = item if quota is None else quota.cut(item)
+        permitted = item if quota is None else quota.permitted_part(item)
         if permitted is not None and not packing.add(permitted):
             stopped_early = True
             break
--- a/roadbend/placement/fair_share.py
+++ b/roadbend/placement/fair_share.py
@@ -1,4 +1,4 @@
-"""What teams may use, and what is guaranteed to them."""
+"""Teams' quotas, and what is guaranteed to teams."""
 
 from collections.abc import Iterable
 
@@ -7,15 +7,15 @@
 from roadbend.store.record_view import RecordView
 from roadbend.store.records import Job, JobSpec
 
-NOTHING = QuotaAmount(0.0, 0.0)
+ZERO_QUOTA = QuotaAmount(0.0, 0.0)
 
 
 class FairShare:
-    """Teams' quotas and guarantees, and what the records leave of them."""
+    """Teams' quotas and guarantees, and how much of them the records leave."""
 
     def __init__(self, settings: PlatformSettings, view: RecordView) -> None:
         self._settings, self._view = settings, view
-        # Found anew only when a job comes or goes: the view counts that as `membership`.
+        # Computed again only when a job is added or removed: the view counts that as `membership`.
         self._guaranteed: set[str] = set()
         self._guaranteed_at = -1
 
@@ -28,15 +28,17 @@
 
     def quota(self, team: str) -> QuotaAmount | None:
         """Return a team's quota, infinite where it has no limit; None for an unknown team."""
-        row = self._settings.teams.get(team)
-        if row is None:
+        team_settings = self._settings.teams.get(team)
+        if team_settings is None:
             return None
-        return QuotaAmount(row.cpus_max or float("inf"), row.gpus_max or float("inf"))
+        return QuotaAmount(
+            team_settings.cpus_max or float("inf"), team_settings.gpus_max or float("inf")
+        )
 
     def quota_for(self, team: str, partition: str) -> QuotaAmount | None:
-        """Return the most that a partition may use for a team; None for an unknown team.
+        """Return how much a partition may use for a team at most; None for an unknown team.
 
-        The team's quota less what other partitions have reserved of it.
+        That is the team's quota less what other partitions have reserved of it.
         """
         quota = self.quota(team)
         if quota is None:
@@ -53,11 +55,11 @@
         )
 
     def quota_left(self, team: str, partition: str) -> QuotaAmount | None:
-        """Return what a partition may still use for a team; None for an unknown team."""
+        """Return how much more a partition may use for a team; None for an unknown team."""
         quota = self.quota_for(team, partition)
         if quota is None:
             return None
-        cpus, gpus = self._view.usage.get(partition, {}).get(team, NOTHING)
+        cpus, gpus = self._view.usage.get(partition, {}).get(team, ZERO_QUOTA)
         return QuotaAmount(quota.cpus - cpus, quota.gpus - gpus)
 
     def startable_tasks(self, spec: JobSpec, partition: str) -> int:
@@ -78,7 +80,7 @@
         team = settings.teams.get(job.spec.team)
         if team is None:
             continue
-        earlier = totals.get(team.name, NOTHING)
+        earlier = totals.get(team.name, ZERO_QUOTA)
         needs = job.spec.resources.times(job.spec.task_count)
         total = QuotaAmount(earlier.cpus + needs.cpus, earlier.gpus + needs.gpus)
         totals[team.name] = total
@@ -88,7 +90,7 @@
 
 
 def _is_guaranteed(team: Team, total: QuotaAmount) -> bool:
-    """Return whether a team's guarantee covers an amount; 0 in it means that it says nothing."""
+    """Return whether a team's guarantee covers an amount; where it is 0 it sets no bound."""
     if team.cpus <= 0 and team.gpus <= 0:
         return False
     return (team.cpus <= 0 or total.cpus <= team.cpus) and (
--- a/roadbend/placement/machine_registry.py
+++ b/roadbend/placement/machine_registry.py
@@ -17,24 +17,24 @@
     def __init__(self, partition: str) -> None:
         self._partition = partition
         self._machines: dict[str, Machine] = {}
-        # Created in this term, and not registered yet.
+        # Created in this term and not registered yet.
         self._unregistered: set[str] = set()
-        # The registered machines by id, to be read.
+        # The registered machines by id, read-only.
         self.by_id: Mapping[str, Machine] = MappingProxyType(self._machines)
-        # The capacities of machines that boot, as autoscaling last saw them.
+        # The capacities of booting machines, as the autoscaler last reported them.
         self.booting: Sequence[FreeCapacity] = ()
 
     def record_created(self, machine: str) -> None:
-        """Remember that a machine was created in this term, unless it has registered already."""
+        """Record a machine that was created in this term, unless it has registered already."""
         if machine not in self._machines:
             self._unregistered.add(machine)
 
     def update_booting(self, capacities: Sequence[FreeCapacity]) -> None:
-        """Replace the capacities of machines that boot."""
+        """Replace the capacities of booting machines."""
         self.booting = capacities
 
     def register(self, heartbeat: WorkerHeartbeat) -> Machine:
-        """Add a machine with its first heartbeat."""
+        """Add a machine on its first heartbeat."""
         machine = Machine(
             heartbeat.machine,
             heartbeat.address,
@@ -59,12 +59,12 @@
         return machine
 
     def remove(self, machine: str) -> None:
-        """Forget a machine that was deleted."""
+        """Remove a machine that was deleted."""
         self._machines.pop(machine, None)
         self._unregistered.discard(machine)
 
     def invalidate_evaluation(self, machine: str) -> None:
-        """Have a machine's next heartbeat read in full: it may call for orders."""
+        """Have a machine's next heartbeat evaluated in full, since it may require orders."""
         known = self._machines.get(machine)
         if known is not None:
             known.last_evaluation.invalidate()
--- a/roadbend/placement/objectives.py
+++ b/roadbend/placement/objectives.py
@@ -1,4 +1,4 @@
-"""What the platform's service-level objectives ask for single jobs."""
+"""What the platform's service-level objectives require of single jobs."""
 
 from datetime import timedelta
 
@@ -6,27 +6,27 @@
 from roadbend.settings import OperatorSettings, PlatformSettings
 from roadbend.store.records import JobSpec
 
-# Most job classes whose deadlines are remembered.
+# Bound on the job classes whose deadline factors are cached.
 MAX_CLASSES = 256
 # Where no objective says otherwise, a job's own due time is its deadline.
 OWN_DEADLINE_ONLY = (1.0,)
-# A boot may take this many times as long as the machine type says before it costs a service's
-# objective.
+# A boot may take this many times as long as the machine type says without making a service miss
+# its objective.
 STARTUP_MARGIN = 1.1
 
 
 class Objectives:
-    """The service-level objectives, by job."""
+    """The service-level objectives as they apply to jobs."""
 
     def __init__(self, settings: PlatformSettings, operator: OperatorSettings) -> None:
         self._settings, self._operator = settings, operator
-        # By job class; the settings don't change.
+        # Cached by job class, since the settings don't change.
         self._deadline_factors: dict[str, tuple[float, ...]] = {}
 
     def start_within(self, spec: JobSpec) -> timedelta | None:
         """Return how soon a service or gang should start; None if no objective says so.
 
-        That of its job class counts, and that of work within a guarantee.
+        The objectives for its job class count, and those for guaranteed work.
         """
         if not (spec.service or spec.gang):
             return None
@@ -59,7 +59,7 @@
     def max_wait_for_cheaper_type(self, spec: JobSpec, startup: timedelta) -> timedelta:
         """Return how long a service may be kept from machine types on which it is expensive.
 
-        `startup` is how long the slowest machine type boots.
+        `startup` is the startup time of the slowest machine type.
         """
         within = self.start_within(spec)
         spare = (within - startup * STARTUP_MARGIN) / 2 if within is not None else clock.ZERO
--- a/roadbend/placement/queue_order.py
+++ b/roadbend/placement/queue_order.py
@@ -1,7 +1,8 @@
 """The order of the pending queue.
 
-Priority, then starved jobs, then work within its team's guarantee, then what can still be in time,
-then deadline, then age. Pure: everything comes as an argument.
+Tasks are ordered by priority; then starved jobs come first, then work within its team's guarantee,
+then jobs that can still meet their deadlines, then earlier deadlines, then older jobs. Pure
+functions: everything is passed as an argument.
 """
 
 from dataclasses import dataclass
@@ -14,26 +15,27 @@
 
 @dataclass(frozen=True, slots=True)
 class PendingTasks:
-    """Tasks of one job that wait together: they are alike, and stand in the queue side by side."""
+    """Pending tasks of one job, which need the same resources and are adjacent in the queue."""
 
     job: Job
     tasks: Ranges
     guaranteed: bool
-    # A job that has waited for long and has started nothing goes before its peers with one task.
+    # Whether to go ahead of other work of the same priority: the first task of a job that has
+    # waited long and started none, or such a gang.
     starved: bool = False
 
     @property
     def count(self) -> int:
-        """How many tasks these are."""
+        """The number of these tasks."""
         return ranges.size(self.tasks)
 
 
-# Where tasks stand in the queue; smaller positions start first. The parts: negative priority, not
-# overdue, not guaranteed, lateness, without deadline, deadline, instant of submission, job.
-# Lateness comes before the deadline: when there is more work than all machines can do, the order of
-# deadlines alone would make nearly everything a little late. A plain tuple, for it is built and
-# compared for every item of the queue in each step, which takes over twice as long with a named
-# one.
+# The position of tasks in the queue; smaller positions start first. The elements: negative
+# priority, not starved, not guaranteed, lateness, without deadline, deadline, time of submission,
+# job. Lateness comes before the deadline: when there is more work than all machines can do, the
+# order of deadlines alone would make nearly every job a little late. A plain tuple, since one is
+# built and compared for every item of the queue in each step, which takes over twice as long with a
+# named tuple.
 QueuePosition = tuple[int, bool, bool, int, bool, datetime, datetime, str]
 
 
@@ -56,9 +58,9 @@
 def lateness(job: Job, now: datetime, deadline_factors: tuple[float, ...]) -> int:
     """Return how many of a job's deadlines are out of reach.
 
-    The deadlines are its due time multiplied by each of the factors, `now` is the time of day.
-    Nothing is asked but what the job's owner said: every partition that holds a shard of the job
-    judges alike at one moment.
+    The deadlines are its due time multiplied by each of the factors; `now` is the wall-clock time.
+    Only what the user stated is used, so that all partitions that hold a slice of the job come to
+    the same result at the same time.
     """
     if job.spec.due is None:
         return 0
--- a/roadbend/placement/quota_allowance.py
+++ b/roadbend/placement/quota_allowance.py
@@ -1,6 +1,6 @@
-"""What teams' quotas leave for the tasks that are placed in one step.
+"""How much of teams' quotas is left for the tasks that are placed in one step.
 
-Pure: everything comes as an argument.
+Pure functions of their arguments.
 """
 
 from collections.abc import Callable
@@ -14,14 +14,14 @@
 
 
 class QuotaAmount(NamedTuple):
-    """An amount of what quotas count: CPUs and GPUs. Infinite where a team has no limit."""
+    """An amount of the resources that quotas limit. Infinite where a team has no limit."""
 
     cpus: float
     gpus: float
 
 
 class QuotaHold(NamedTuple):
-    """An amount that is held for tasks without a place, against work of lower priority."""
+    """An amount that is withheld from lower-priority work, for tasks that could not be placed."""
 
     priority: int
     cpus: float
@@ -33,12 +33,11 @@
 
 
 class QuotaAllowance:
-    """What teams' quotas leave; it shrinks with what is taken.
+    """How much of teams' quotas is left; reduced by what is taken.
 
-    `remaining` gives what a team's quota leaves at first, None for an unknown team. `holds_quota`
-    says of which jobs (by id) the tasks that found no place hold their team's quota against work
-    of lower priority: for a while, until the machine that was created for them is up, and not for
-    ever.
+    `remaining` returns what a team's quota leaves at first, None for an unknown team. `holds_quota`
+    returns whether quota is withheld from lower-priority work for the unplaced tasks of a job (by
+    id): for a while, until the machine that was created for them is up, but not forever.
     """
 
     def __init__(
@@ -63,7 +62,7 @@
         return tasks_within(remaining, spec.resources)
 
     def hold(self, job: Job, tasks: int) -> None:
-        """Hold quota for so many tasks of a job that found no place, if the job may do so."""
+        """Withhold quota for so many unplaced tasks of a job, if the job may hold it."""
         if tasks and self._holds_quota(job.id):
             resources = job.spec.resources.times(tasks)
             self._holds.setdefault(job.spec.team, []).append(
@@ -73,7 +72,7 @@
     def take(self, spec: JobSpec, tasks: int) -> None:
         """Subtract so many tasks of a job from its team's quota.
 
-        `max_tasks` must have been asked for the job's team before, and must have known it.
+        `max_tasks` must have been called for the job's team before, and must have known it.
         """
         remaining = self._remaining[spec.team]
         assert remaining is not None, "no tasks of a team without a quota are placed"
@@ -82,8 +81,8 @@
             remaining.gpus - tasks * spec.resources.gpus,
         )
 
-    def cut(self, item: PendingTasks) -> PendingTasks | None:
-        """Return as many of an item's tasks as the quota permits; None for none.
+    def permitted_part(self, item: PendingTasks) -> PendingTasks | None:
+        """Return as many of an item's tasks as the quota permits; None if it permits none.
 
         A gang is permitted as a whole or not at all.
         """
--- a/roadbend/placement/quotas.py
+++ b/roadbend/placement/quotas.py
@@ -159,8 +159,8 @@
     """
     permitted = []
     for item in items:
-        cut = limits.cut(item)
-        if cut is not None:
-            limits.take(cut.job.spec, cut.count)
-            permitted.append(cut)
+        part = limits.permitted_part(item)
+        if part is not None:
+            limits.take(part.job.spec, part.count)
+            permitted.append(part)
     return permitted
--- a/roadbend/placement/termination_effects.py
+++ b/roadbend/placement/termination_effects.py
@@ -1,4 +1,4 @@
-"""What follows from a termination once it is recorded."""
+"""The effects of a termination once it is recorded."""
 
 from datetime import datetime, timedelta
 
@@ -8,14 +8,14 @@
 from roadbend.placement.partition_state import PartitionState
 
 log = Log("placement")
-# For how long a job keeps off a machine on which its task failed, and off one that had no room for
-# it or lost it.
+# How long a job is excluded from a machine on which its task failed, and from one that had no free
+# capacity for it or lost it.
 EXCLUSION_AFTER_ERROR = timedelta(seconds=20)
 EXCLUSION = EXCLUSION_AFTER_ERROR / 5
 
 
 class TerminationEffects:
-    """Draws the conclusions from one partition's recorded terminations."""
+    """Applies the effects of one partition's recorded terminations."""
 
     def __init__(self, state: PartitionState) -> None:
         self._records, self._context = state.records, state.records.context
@@ -24,7 +24,7 @@
         self._backoff = state.backoff
 
     def apply(self, key: TaskKey, end: Termination, now: datetime) -> None:
-        """Note a recorded termination: what it says of the job, its gang and the machine."""
+        """Apply the effects of a recorded termination on its job, its gang and the machine."""
         self._context.observer.attempt_ended(self._partition, key.job, key.task_index, end)
         log.debug(
             "attempt-end-recorded",
@@ -38,30 +38,30 @@
             if job is not None and job.spec.gang:
                 self._gang_attempts.note_lost(key.job, end.attempt, end.machine)
         if end.cause == "done":
-            self._note_done(key, end.machine)
+            self._apply_done(key, end.machine)
         elif end.cause == "error":
-            self._note_error(key, end.machine, now)
+            self._apply_error(key, end.machine, now)
         elif end.cause in ("unknown", "no_room", "busy"):
             self._exclusions.exclude(key.job, end.machine, now + EXCLUSION)
 
-    def _note_done(self, key: TaskKey, name: str) -> None:
-        machine = self._machines.get(name)
+    def _apply_done(self, key: TaskKey, machine_id: str) -> None:
+        machine = self._machines.get(machine_id)
         if machine is not None:
             machine.failures.clear()
-            seen, job = machine.tasks.get(key), self._context.view.jobs.get(key.job)
-            if job is not None and seen is not None and seen.running_since is not None:
-                self._context.run_times.record_run(job, seen.since - seen.running_since)
+            reported, job = machine.tasks.get(key), self._context.view.jobs.get(key.job)
+            if job is not None and reported is not None and reported.running_since is not None:
+                self._context.run_times.record_run(job, reported.since - reported.running_since)
         self._backoff.clear(key.job)
 
-    def _note_error(self, key: TaskKey, name: str, now: datetime) -> None:
-        self._exclusions.exclude(key.job, name, now + EXCLUSION_AFTER_ERROR)
-        machine = self._machines.get(name)
+    def _apply_error(self, key: TaskKey, machine_id: str, now: datetime) -> None:
+        self._exclusions.exclude(key.job, machine_id, now + EXCLUSION_AFTER_ERROR)
+        machine = self._machines.get(machine_id)
         if machine is not None:
             machine.failures[key.job] = now
         log.info(
             "task-failed",
             partition=self._partition,
             task=f"{key.job}/{key.task_index}",
-            machine=name,
+            machine=machine_id,
             failures=self._backoff.record_failure(key.job, now),
         )
--- a/roadbend/placement/usable_machines.py
+++ b/roadbend/placement/usable_machines.py
@@ -1,4 +1,4 @@
-"""The machines of a partition that may be given work, with what is free on them."""
+"""The machines of a partition that may be given tasks, with their free capacity."""
 
 from collections.abc import Iterable
 from datetime import datetime, timedelta
@@ -12,12 +12,12 @@
 from roadbend.placement.partition_records import PartitionRecords
 from roadbend.store.records import Resources
 
-# A machine that has not been heard for so many times the heartbeat interval gets no work.
-SILENT_HEARTBEATS = 2.2
+# A machine that was silent for this many heartbeat intervals is given no tasks.
+SILENT_INTERVALS = 2.2
 
 
 class UsableMachines:
-    """Works out the free capacities of one partition."""
+    """Computes the free capacities of one partition's machines."""
 
     def __init__(self, records: PartitionRecords, registry: MachineRegistry) -> None:
         self._records, self._registry, self._context = records, registry, records.context
@@ -25,9 +25,10 @@
     def capacities(
         self, ended: Iterable[TaskKey] = (), at_least: Resources | None = None
     ) -> list[FreeCapacity]:
-        """Return the machines that may be given work, with what the records leave free on them.
+        """Return the machines that may be given tasks, with what the records leave free on them.
 
-        `ended`: attempts that the transaction in the making takes out. `at_least`: leaves out less.
+        `ended`: attempts that the transaction being built removes. `at_least`: machines
+        on which less is free are left out.
         """
         versions = self._context.view.machine_versions.get(self._records.partition, {})
         released = self._released(ended)
@@ -64,9 +65,9 @@
         return capacities
 
     def _usable_with_types(self) -> list[tuple[Machine, MachineType]]:
-        """Return the machines that may be given work, each with its type."""
+        """Return the machines that may be given tasks, each with its type."""
         now, machine_types = clock.now(), self._context.machine_types
-        silent_after = self._context.settings.heartbeat_interval * SILENT_HEARTBEATS
+        silent_after = self._context.settings.heartbeat_interval * SILENT_INTERVALS
         return [
             (machine, machine_type)
             for machine in self._registry.by_id.values()
@@ -75,22 +76,22 @@
         ]
 
     def is_usable(self, machine: Machine, now: datetime, silent_after: timedelta) -> bool:
-        """Whether a machine may be given work."""
+        """Return whether a machine may be given tasks."""
         lifecycle, token = machine.lifecycle, machine.token
         return (
             lifecycle.draining is None
             and lifecycle.reclaim_at is None
             and not lifecycle.fencing
             and machine.unrecorded_tasks == 0
-            # Until a machine has carried our token it may be a late copy of a heartbeat that we
-            # see; one that was created in this term and registers now is no such thing.
+            # Until a machine's heartbeats carry our token, they may be late copies of former
+            # ones; those of a machine created in this term that registers now can't be.
             and (token.confirmed or token.newly_created)
             and machine.contact.fresh(now, silent_after)
             and len(machine.failures) < self._context.operator.error_limit
         )
 
     def _released(self, ended: Iterable[TaskKey]) -> dict[str, list[Resources]]:
-        """Return the resources of attempts that end, by machine."""
+        """Return the resources that ended attempts release, by machine."""
         released: dict[str, list[Resources]] = {}
         job_slices = self._records.job_slices()
         for key in ended:
@@ -100,9 +101,9 @@
                 released.setdefault(attempt.machine, []).append(job_slice.resources)
         return released
 
-    def _left_by_records(self, machine: str, whole: Resources) -> tuple[float, float, float]:
-        """Return what the records leave free of a machine: CPUs, GPUs and memory."""
-        cpus, gpus, memory = whole.cpus, whole.gpus, whole.memory
+    def _left_by_records(self, machine: str, total: Resources) -> tuple[float, float, float]:
+        """Return what the records leave free on a machine: CPUs, GPUs and memory."""
+        cpus, gpus, memory = total.cpus, total.gpus, total.memory
         for job_slice, _ in self._records.attempts_by_machine().get(machine, {}).values():
             cpus -= job_slice.resources.cpus
             gpus -= job_slice.resources.gpus
@@ -113,7 +114,7 @@
 def _with_released(
     cpus: float, gpus: float, memory: float, released: list[Resources]
 ) -> tuple[float, float, float]:
-    """Return what is free of a machine once attempts with these resources have ended."""
+    """Return what is free on a machine once attempts with these resources have ended."""
     for resources in released:
         cpus += resources.cpus
         gpus += resources.gpus
