--- a/roadbend/placement/bin_packing.py
+++ b/roadbend/placement/bin_packing.py
@@ -1,7 +1,8 @@
-"""Bin packing: which waiting task goes on which machine.
+"""Bin packing: which pending task goes on which machine.
 
-Tasks are taken in the order of the queue. Each goes where its image lies (the design's rule), then
-where the least is left over, so that other machines empty. Pure: everything comes as an argument.
+Tasks are taken in the order of the queue. A machine that has the task's image is preferred (the
+design's rule), then the one on which the least is left over, so that others become empty. Pure
+functions: everything is passed as an argument.
 """
 
 from collections.abc import Callable, Container, Iterable
@@ -23,7 +24,7 @@
 
 
 class Placement(NamedTuple):
-    """A task of an item of the queue, and the machine on which it goes."""
+    """A task of an item of the queue, and the machine on which it is placed."""
 
     item: PendingTasks
     task_index: int
@@ -31,16 +32,16 @@
 
 
 class PlacementResult(NamedTuple):
-    """What `place` found, in the order of the queue."""
+    """The result of `place`, in the order of the queue."""
 
     placed: list[Placement]
     unplaced: list[PendingTasks]
-    # Whether it ended before the queue did, after as many jobs as it may place.
+    # Whether the rest of the queue was left out, as no more jobs may be placed.
     stopped_early: bool
 
 
 class Exclusions(NamedTuple):
-    """Machines (by id) and machine types that an item keeps off."""
+    """Machines (by id) and machine types that an item may not use."""
 
     machines: Container[str] = ()
     machine_types: Container[str] = ()
@@ -50,7 +51,7 @@
 
 
 class TaskShape(NamedTuple):
-    """All that decides which machines a task may go on, but for its item's exclusions."""
+    """All that decides which machines a task may use, except for its item's exclusions."""
 
     resources: Resources
     machine_types: tuple[str, ...] | None
@@ -61,10 +62,10 @@
 def suitable(
     job: Job, capacities: Iterable[FreeCapacity], exclusions: Exclusions = NO_EXCLUSIONS
 ) -> list[FreeCapacity]:
-    """Return the machines on which a task of the job may go, now or once they are up, best first.
+    """Return the machines on which a task of the job fits, now or once they are up, best first.
 
-    A machine stays the best one from its first task until it is full, so the order holds while
-    tasks are placed.
+    A machine stays the best one from its first task until it is full, so the order stays valid
+    while tasks are placed.
     """
     spec = job.spec
     resources, image, spot = spec.resources, spec.image, spec.spot
@@ -73,7 +74,7 @@
     def preference(capacity: FreeCapacity) -> tuple[float, bool, bool, float, str]:
         return (
             capacity.ready_in,
-            # Work that may run on spot machines leaves the others to work that may not.
+            # Tasks that may run on spot machines leave the others to tasks that may not.
             spot and not capacity.spot,
             image not in capacity.images,
             capacity.leftover_share(resources),
@@ -83,7 +84,7 @@
     found = [
         capacity
         for capacity in capacities
-        # As `FreeCapacity.fits`, without a call for each of many machines that are full.
+        # Inlined `FreeCapacity.fits`, to save the call for each of many full machines.
         if resources.gpus <= capacity.gpus + RESOURCE_TOLERANCE
         and resources.cpus <= capacity.cpus + RESOURCE_TOLERANCE
         and resources.memory <= capacity.memory + RESOURCE_TOLERANCE
@@ -103,14 +104,14 @@
     exclusions_of: Callable[[PendingTasks], Exclusions] | None = None,
     quota: QuotaAllowance | None = None,
 ) -> PlacementResult:
-    """Place the tasks of a queue in its order, at most so many jobs.
+    """Place the tasks of a queue in its order, of at most `max_jobs` jobs.
 
-    Takes from the capacities, and from the quota only what is placed: a wide job that finds no
-    room must not keep its team's other jobs from machines that would fit them. Tasks beyond the
-    quota are neither placed nor unplaced.
+    Takes from the capacities, and from the quota only what is placed: a wide job that does not fit
+    must not keep its team's other jobs from machines that would fit them. Tasks beyond the quota
+    are neither placed nor unplaced.
     """
     queue = list(queue)
-    # Most machines are full: they are passed over once, not once a job.
+    # Most machines are full: they are filtered out once, not once per job.
     smallest = min_resources(item.job.spec.resources for item in queue)
     usable = [
         capacity for capacity in capacities if capacity.ready_in <= 0 and capacity.fits(smallest)
@@ -126,7 +127,7 @@
 
 
 class _Packing:
-    """One run of `place`: the machines as they fill, and what was placed so far."""
+    """One run of `place`: the machines as they fill up, and what was placed so far."""
 
     def __init__(
         self,
@@ -140,23 +141,23 @@
         self.placed: list[Placement] = []
         self.unplaced: list[PendingTasks] = []
         self._placed_jobs: set[str] = set()
-        # Where one item found too little room, others alike don't look again.
-        self._shapes_without_room: set[TaskShape] = set()
+        # Shapes of which some tasks did not fit: items of these shapes don't search again.
+        self._exhausted_shapes: set[TaskShape] = set()
 
     def add(self, item: PendingTasks) -> bool:
-        """Place as much of an item as fits; False if it would be one job too many."""
+        """Place as much of an item as fits; return False if that would be one job too many."""
         spec = item.job.spec
         shape = TaskShape(spec.resources, spec.machine_types, spec.zone, spec.spot)
         exclusions = self._exclusions_of(item) if self._exclusions_of is not None else NO_EXCLUSIONS
         found: list[FreeCapacity] = []
-        if shape not in self._shapes_without_room:
+        if shape not in self._exhausted_shapes:
             found = suitable(item.job, self._capacities, exclusions)
         if spec.gang and sum(capacity.count(spec.resources) for capacity in found) < item.count:
-            # Whole or not at all: no gang holds some of the room while another holds the rest. It
-            # says nothing of others alike, which may need less.
-            self._leave(item)
+            # All or nothing: one gang must not hold a part of the capacity while another holds the
+            # rest. The shape is not exhausted, as other items of it may need less.
+            self._add_unplaced(item)
             return True
-        if found and self._is_one_job_too_many(item.job):
+        if found and self._exceeds_max_jobs(item.job):
             return False
         rest: PendingTasks | None = item
         if found:
@@ -164,15 +165,15 @@
             self._placed_jobs.add(item.job.id)
         if rest is not None:
             if not exclusions.machines and not exclusions.machine_types:
-                self._shapes_without_room.add(shape)
-            self._leave(rest)
+                self._exhausted_shapes.add(shape)
+            self._add_unplaced(rest)
         return True
 
-    def _is_one_job_too_many(self, job: Job) -> bool:
+    def _exceeds_max_jobs(self, job: Job) -> bool:
         return job.id not in self._placed_jobs and len(self._placed_jobs) >= self._max_jobs
 
-    def _leave(self, rest: PendingTasks) -> None:
-        """Note tasks that found no place, which may hold their team's quota."""
+    def _add_unplaced(self, rest: PendingTasks) -> None:
+        """Record tasks that could not be placed, which may hold their team's quota."""
         self.unplaced.append(rest)
         if self._quota is not None:
             self._quota.hold(rest.job, rest.count)
@@ -184,7 +185,7 @@
     placed: list[Placement],
     quota: QuotaAllowance | None,
 ) -> PendingTasks | None:
-    """Put an item's tasks on machines in their order; return those that found no place.
+    """Place an item's tasks on the machines in their order; return those that don't fit.
 
     Appends to `placed`, and takes from the machines and the quota.
     """
--- a/roadbend/placement/machine_options.py
+++ b/roadbend/placement/machine_options.py
@@ -11,17 +11,17 @@
 from roadbend.placement.queue_order import PendingTasks
 from roadbend.store.records import Job
 
-# Runs of an array's tasks over which a machine's boot and first fetch are written off.
+# The number of runs of an array's tasks over which a machine's boot and fetches are amortized.
 AMORTIZED_RUNS = 1.5
-# The shortest run that boot and fetch are written off over, in seconds.
+# The shortest run time that this assumes, in seconds.
 MIN_RUN_SECONDS = 5.0
-# A machine that stays meets a second image before long: fetches that are written off.
+# The number of image fetches that are amortized: a machine that stays up soon needs a second image.
 AMORTIZED_FETCHES = 2
 
 
 @dataclass(frozen=True)
 class MachineOption:
-    """A machine type, as spot machine or not, that may be created; its price is per hour."""
+    """A machine type, spot or not, that may be created; its price is per hour."""
 
     machine_type: MachineType
     spot: bool
@@ -29,14 +29,14 @@
 
     @property
     def kind(self) -> MachineKind:
-        """What is asked of the cloud."""
+        """What is requested from the cloud."""
         return MachineKind(self.machine_type.name, self.spot)
 
 
 def options(
     machine_types: Iterable[MachineType], partition: str, refused: Set[MachineKind]
 ) -> list[MachineOption]:
-    """Return what may be created in a partition, but for the kinds that the cloud refuses now."""
+    """Return what may be created in a partition, without the kinds that the cloud refuses now."""
     found = []
     for machine_type in machine_types:
         if partition not in machine_type.zones:
@@ -48,7 +48,7 @@
 
 
 def new_machine(name: str, option: MachineOption, partition: str) -> FreeCapacity:
-    """Return the capacity of a machine that is created now, with nothing on it."""
+    """Return the capacity of a machine that is created now and runs nothing."""
     capacity = option.machine_type.capacity
     return FreeCapacity(
         id=name,
@@ -76,11 +76,13 @@
     )
 
 
-def cost(item: PendingTasks, option: MachineOption, partition: str, alike: int) -> float | None:
+def cost(
+    item: PendingTasks, option: MachineOption, partition: str, similar_count: int
+) -> float | None:
     """Return the price per hour and task; None if the job can't run on the machine.
 
-    An array fills a machine only as far as there are tasks alike, and pays for boot and fetch over
-    a few rounds of its run; a service stays, and what comes later fills the rest.
+    An array fills a machine only as far as there are similar tasks, and its boot and fetches are
+    amortized over a few runs. A service stays, and later tasks fill the rest of the machine.
     """
     if not allowed(item.job, option.machine_type.name, partition, option.spot):
         return None
@@ -93,32 +95,34 @@
     run = max(MIN_RUN_SECONDS, spec.expected_duration.total_seconds())
     unproductive = ready_after(option, AMORTIZED_FETCHES * spec.image_gb, 1.0)
     overhead = unproductive / (run * AMORTIZED_RUNS)
-    return option.price / min(count, max(1, alike)) * (1.0 + overhead)
+    return option.price / min(count, max(1, similar_count)) * (1.0 + overhead)
 
 
 def cheapest(
-    item: PendingTasks, choices: list[MachineOption], partition: str, alike: int
+    item: PendingTasks, choices: list[MachineOption], partition: str, similar_count: int
 ) -> MachineOption | None:
-    """Return the option that costs the least, the first of several; None if none is possible."""
+    """Return the option with the lowest cost, the first of several; None if none is possible."""
     priced = [
         (price, position)
         for position, option in enumerate(choices)
-        if (price := cost(item, option, partition, alike)) is not None
+        if (price := cost(item, option, partition, similar_count)) is not None
     ]
     return choices[min(priced)[1]] if priced else None
 
 
-def min_cost(item: PendingTasks, machine_types: Iterable[MachineType], alike: int) -> float | None:
-    """Return the least cost in any zone, whether the cloud has such a machine now or not.
+def min_cost(
+    item: PendingTasks, machine_types: Iterable[MachineType], similar_count: int
+) -> float | None:
+    """Return the lowest cost in any zone, whether the cloud has such a machine now or not.
 
-    What is expensive is told by it.
+    What counts as expensive is relative to it.
     """
     machine_types = list(machine_types)
     prices = [
         price
         for zone in {zone for machine_type in machine_types for zone in machine_type.zones}
         for option in options(machine_types, zone, frozenset())
-        if (price := cost(item, option, zone, alike)) is not None
+        if (price := cost(item, option, zone, similar_count)) is not None
     ]
     return min(prices, default=None)
 
@@ -126,10 +130,10 @@
 def expensive_machine_types(
     job: Job, machine_types: Iterable[MachineType], max_cost_ratio: float, partition: str
 ) -> set[str]:
-    """Return the types on which a task costs over `max_cost_ratio` times the least.
+    """Return the types on which a task costs over `max_cost_ratio` times the lowest cost.
 
-    Machines count as full. A job that must spread over zones can't go where the cheap type is:
-    there only this partition's types compare.
+    Machines are assumed to be full. A job that must spread over zones can't go only where the cheap
+    type is: for it, only this partition's types are compared.
     """
     prices: dict[str, float] = {}
     if job.spec.zone_cap < job.spec.task_count:
@@ -145,5 +149,5 @@
             price = cost(item, option, zone, UNLIMITED_TASKS)
             if price is not None:
                 prices[machine_type.name] = min(price, prices.get(machine_type.name, price))
-    least = min(prices.values(), default=0.0)
-    return {name for name, price in prices.items() if price > least * max_cost_ratio}
+    lowest = min(prices.values(), default=0.0)
+    return {name for name, price in prices.items() if price > lowest * max_cost_ratio}
--- a/roadbend/placement/queue_projection.py
+++ b/roadbend/placement/queue_projection.py
@@ -1,4 +1,4 @@
-"""The queue laid on a partition's machines: what bids, reoffers and estimates look at."""
+"""The queue projected onto a partition's machines, for bids, rescheduling and estimates."""
 
 from collections import deque
 from dataclasses import dataclass, field, replace
@@ -18,21 +18,21 @@
 from roadbend.store.record_view import JobSlice
 from roadbend.store.records import Attempt, Job
 
-# For how long a layout that was worked out may serve again, at the least.
-REUSE = timedelta(milliseconds=600)
-# Layouts that are kept, by what was asked for.
-MAX_LAYOUTS = 4
+# How long a computed projection is reused at least.
+MIN_REUSE_TIME = timedelta(milliseconds=600)
+# Bound on the projections that are cached, by their parameters.
+MAX_PROJECTIONS = 4
 
 
 @dataclass
 class QueueProjection:
-    """The machines with the queue laid on them."""
+    """The timelines of the machines, with the queue assigned to them."""
 
     timelines: list[MachineTimeline]
-    # When the waiting tasks of each job would begin, in seconds; those beyond the forecast are
+    # When the pending tasks of each job would start, in seconds; those beyond the forecast are
     # missing.
     starts: dict[str, list[float]]
-    # How many tasks of a kind fit, as far as it was asked for.
+    # How many tasks of a shape fit, as far as that was computed.
     _fitting: dict[TaskShape, tuple[int, int]] = field(default_factory=dict)
 
     @cached_property
@@ -47,14 +47,14 @@
 
     @cached_property
     def placed_count(self) -> int:
-        """Return how many waiting tasks found a place."""
+        """Return how many pending tasks were assigned to a machine."""
         return sum(len(rows) for rows in self.starts.values())
 
     def fitting(self, job: Job) -> tuple[int, int]:
         """Return how many tasks of a job fit on machines that are up, and on those that boot."""
         spec = job.spec
-        kind = TaskShape(spec.resources, spec.machine_types, spec.zone, spec.spot)
-        found = self._fitting.get(kind)
+        shape = TaskShape(spec.resources, spec.machine_types, spec.zone, spec.spot)
+        found = self._fitting.get(shape)
         if found is None:
             counts = [0, 0]
             for timeline in self.timelines:
@@ -63,21 +63,21 @@
                     job, capacity.machine_type, capacity.zone, capacity.spot
                 ):
                     counts[capacity.ready_in > 0] += capacity.count(spec.resources)
-            found = self._fitting[kind] = (counts[0], counts[1])
+            found = self._fitting[shape] = (counts[0], counts[1])
         return found
 
 
-class _Asked(NamedTuple):
-    """What a projection was asked for."""
+class _ProjectionKey(NamedTuple):
+    """The parameters that a projection was computed for."""
 
-    least_priority: int
-    without_types: frozenset[str]
-    # How many machines booted then.
-    booting: int
+    min_priority: int
+    excluded_types: frozenset[str]
+    # How many machines were booting.
+    booting_count: int
 
 
 class QueueProjections:
-    """Works projections out, and keeps the last ones for a moment."""
+    """Computes projections, and caches the latest ones for a short time."""
 
     def __init__(
         self, state: PartitionState, usable_machines: UsableMachines, queue: PendingQueue
@@ -85,19 +85,22 @@
         self._records, self._context = state.records, state.records.context
         self._registry, self._machines = state.registry, state.registry.by_id
         self._stops, self._usable_machines, self._queue = state.stops, usable_machines, queue
-        self._projections: deque[tuple[_Asked, datetime, timedelta, QueueProjection]] = deque(
-            maxlen=MAX_LAYOUTS
+        self._projections: deque[tuple[_ProjectionKey, datetime, timedelta, QueueProjection]] = (
+            deque(maxlen=MAX_PROJECTIONS)
         )
 
-    def projection(self, least: int, avoid: frozenset[str]) -> QueueProjection:
-        """Return the machines with the queue from a priority on laid on them.
+    def projection(self, min_priority: int, excluded_types: frozenset[str]) -> QueueProjection:
+        """Return the projection of the queue from a priority on, without some machine types.
 
-        One projection serves all that is asked of a moment, for in a burst bids come by the dozen;
-        what took long to work out serves longer.
+        It is reused for a short time, since bid requests come by the dozen in a burst, and for
+        longer if computing it took long.
         """
-        now, mark = clock.now(), _Asked(least, avoid, len(self._registry.booting))
-        for key, at, window, projection in self._projections:
-            if key == mark and now - at < window:
+        now, key = (
+            clock.now(),
+            _ProjectionKey(min_priority, excluded_types, len(self._registry.booting)),
+        )
+        for cached_key, computed_at, window, projection in self._projections:
+            if cached_key == key and now - computed_at < window:
                 return projection
         booting = [
             replace(capacity)
@@ -107,28 +110,33 @@
         timelines = [
             timeline
             for timeline in self.timelines(booting)
-            if timeline.capacity.machine_type not in avoid
+            if timeline.capacity.machine_type not in excluded_types
         ]
-        queue = [item for item in self._queue.pending() if item.job.spec.priority >= least]
+        queue = [item for item in self._queue.pending() if item.job.spec.priority >= min_priority]
         starts = forecast.project(
             queue, timelines, self.run_seconds, self.max_forecast_tasks(timelines)
         )
         projection = QueueProjection(timelines, starts)
         self._projections.append(
-            (mark, now, max(REUSE, self._context.reuse_window(clock.now() - now)), projection)
+            (
+                key,
+                now,
+                max(MIN_REUSE_TIME, self._context.reuse_window(clock.now() - now)),
+                projection,
+            )
         )
         return projection
 
     @staticmethod
     def max_forecast_tasks(timelines: list[MachineTimeline]) -> int:
-        """Return how far down the queue a forecast looks.
+        """Return how many tasks of the queue a forecast covers.
 
-        That is to about where every machine has been filled anew.
+        That is about as many as it takes to fill every machine once more.
         """
         return max(128, 6 * len(timelines))
 
     def run_seconds(self, job: Job) -> float:
-        """Return how long a task of a job is thought to run."""
+        """Return how long a task of a job is expected to run."""
         return forecast.run_seconds(job, self._context.run_times.factor(job.spec.job_class))
 
     def _attempts_by_machine(self) -> dict[str, dict[TaskKey, tuple[JobSlice, Attempt]]]:
@@ -138,13 +146,16 @@
             self._records.attempts_by_machine(),
         )
 
-    def timelines(self, more: list[FreeCapacity]) -> list[MachineTimeline]:
-        """Return the machines with what runs on them and when that is thought to end."""
+    def timelines(self, additional: list[FreeCapacity]) -> list[MachineTimeline]:
+        """Return the timelines of the machines: what runs on them and when that is expected to end.
+
+        `additional` machines are empty.
+        """
         now = clock.now()
         index = self._attempts_by_machine()
         stops = self._stops.by_task
-        out = []
-        lengths: dict[str, float | None] = {}
+        timelines = []
+        run_times: dict[str, float | None] = {}
         for capacity in self._usable_machines.capacities():
             machine = self._machines[capacity.id]
             releases = []
@@ -153,28 +164,28 @@
                     grace = stops[key].grace.total_seconds()
                     releases.append(Release(grace + 1.0, job_slice.resources))
                     continue
-                if job_slice.job not in lengths:
+                if job_slice.job not in run_times:
                     job = self._context.view.jobs.get(job_slice.job)
-                    lengths[job_slice.job] = (
+                    run_times[job_slice.job] = (
                         None if job is None or job.spec.service else self.run_seconds(job)
                     )
-                run = lengths[job_slice.job]
+                run = run_times[job_slice.job]
                 if run is None:
                     continue
-                seen = machine.tasks.get(key)
+                reported = machine.tasks.get(key)
                 if (
-                    seen is not None
-                    and seen.attempt == attempt.number
-                    and seen.running_since is not None
+                    reported is not None
+                    and reported.attempt == attempt.number
+                    and reported.running_since is not None
                 ):
-                    spent = (now - seen.running_since).total_seconds()
-                    # An estimate that has been passed says little: the longer it ran, the longer it
-                    # may.
-                    left = max(run - spent, 0.25 * spent, 1.0)
+                    elapsed = (now - reported.running_since).total_seconds()
+                    # Once the estimate is exceeded it says little: the longer a task has run, the
+                    # longer it may go on.
+                    remaining = max(run - elapsed, 0.25 * elapsed, 1.0)
                 else:
                     spec = self._context.view.jobs[job_slice.job].spec
-                    left = run + capacity.fetch(spec.image, spec.image_gb)
-                releases.append(Release(left, job_slice.resources))
+                    remaining = run + capacity.fetch(spec.image, spec.image_gb)
+                releases.append(Release(remaining, job_slice.resources))
             releases.sort(key=release_time)
-            out.append(MachineTimeline(capacity, releases))
-        return out + [MachineTimeline(capacity) for capacity in more]
+            timelines.append(MachineTimeline(capacity, releases))
+        return timelines + [MachineTimeline(capacity) for capacity in additional]
--- a/roadbend/placement/quotas.py
+++ b/roadbend/placement/quotas.py
@@ -1,4 +1,4 @@
-"""What a team's limit leaves a partition, and what is reserved of it in the team's record."""
+"""How much of a team's quota a partition may use, and reserves in the team's record."""
 
 from collections.abc import Iterable
 from datetime import datetime, timedelta
@@ -14,53 +14,54 @@
 from roadbend.store.records import Resources
 
 log = Log("placement")
-# How long what waits for a machine keeps its team's limit from lesser work, and what is reserved
-# from other partitions.
+# How long work that waits for a machine withholds its team's quota from lower-priority work, and
+# reserved quota from other partitions.
 QUOTA_HOLD_TIME = timedelta(seconds=20)
-# For how long a job leaves its team's room to one of another partition that has begun nothing.
+# How long a job leaves its team's quota to one of another partition that has started no task.
 QUOTA_YIELD_TIME = timedelta(seconds=30)
-# How often a partition looks whether it has set too much aside for a team.
-RESERVE_EVERY = timedelta(seconds=1)
-# From which share of a team's quota on others may want what one partition reserves.
-PRESSED_SHARE = 0.75
+# How often a partition checks whether it has reserved too much of a team's quota.
+RELEASE_INTERVAL = timedelta(seconds=1)
+# Quota is scarce once more than this share of it is reserved: other partitions may need what one
+# has reserved.
+SCARCE_SHARE = 0.75
 
 
 class Quotas:
-    """What teams' quotas leave one partition, and what it reserves of them."""
+    """How much of teams' quotas one partition may use, and reserves."""
 
     def __init__(self, state: PartitionState) -> None:
         self._aging = state.aging
         self._context = state.records.context
-        # When what is reserved of each team's quota was last given back.
-        self._reserved_at: dict[str, datetime] = {}
+        # When reserved quota of each team was last released.
+        self._released_at: dict[str, datetime] = {}
         self._partition = state.records.partition
 
     def remaining_quota(self, transaction: TransactionBuilder, team: str) -> QuotaAmount | None:
-        """Return what a team's quota leaves this partition; None for an unknown team.
+        """Return how much more this partition may use for a team; None for an unknown team.
 
-        What the transaction in the making starts and ends counts.
+        What the transaction being built starts and ends counts.
         """
-        most = self._context.fair_share.quota_for(team, self._partition)
-        if most is None:
+        limit = self._context.fair_share.quota_for(team, self._partition)
+        if limit is None:
             return None
         used = transaction.used(team)
-        return QuotaAmount(most[0] - used[0], most[1] - used[1])
+        return QuotaAmount(limit[0] - used[0], limit[1] - used[1])
 
-    def yields_quota(self, item: PendingTasks, overdue: dict[str, dict[str, int]]) -> bool:
-        """Whether an item leaves its team's quota to a starved job that another partition holds.
+    def yields_quota(self, item: PendingTasks, starved: dict[str, dict[str, int]]) -> bool:
+        """Return whether an item leaves its team's quota to a starved job of another partition.
 
-        A partition's own steady stream must not starve it.
+        That job must not starve because of a steady stream of jobs in this partition.
         """
-        jobs = overdue.get(item.job.spec.team)
+        jobs = starved.get(item.job.spec.team)
         if not jobs or item.starved:
             return False
-        view, here = self._context.view, item.job.spec
-        scarce = self._context.fair_share.startable_tasks(here, self._partition) < 2 * item.count
-        # Only for so long: one that has not begun by then waits for something else than the team's
-        # room.
+        view, spec = self._context.view, item.job.spec
+        scarce = self._context.fair_share.startable_tasks(spec, self._partition) < 2 * item.count
+        # Only for a limited time: a job that has not started by then waits for something else than
+        # its team's quota.
         since = clock.wall() - self._context.operator.begin_within - QUOTA_YIELD_TIME
         return scarce and any(
-            priority >= here.priority and self._partition not in view.jobs[name].allocation
+            priority >= spec.priority and self._partition not in view.jobs[name].allocation
             for name, priority in jobs.items()
             if name in view.jobs and view.jobs[name].submitted_at > since
         )
@@ -73,89 +74,90 @@
         tasks: int,
         record_keys: list[str],
     ) -> bool:
-        """Reserve quota for so many tasks, in the same transaction; False if there is no room.
+        """Reserve quota for so many tasks in the transaction; return False if that has no space.
 
-        Some more than is needed is reserved while there is plenty, so that partitions seldom meet
-        there.
+        While there is plenty, more than is needed is reserved, so that partitions seldom conflict
+        on the team's record.
         """
         limits, team_key = self._context.fair_share.quota(team), keys.team_key(team)
         assert limits is not None, "no tasks of a team without a quota are placed"
         used = transaction.used(team)
         used = (used[0] + tasks * resources.cpus, used[1] + tasks * resources.gpus)
-        use = transaction.team(team)
-        have = use.partitions.get(self._partition, (0.0, 0.0))
-        bound = [most < float("inf") for most in limits]
-        short = any(
-            b and u > h + RESOURCE_TOLERANCE for b, u, h in zip(bound, used, have, strict=True)
+        record = transaction.team(team)
+        reserved = record.partitions.get(self._partition, (0.0, 0.0))
+        is_limited = [limit < float("inf") for limit in limits]
+        needs_more = any(
+            limited and u > h + RESOURCE_TOLERANCE
+            for limited, u, h in zip(is_limited, used, reserved, strict=True)
         )
-        if not transaction.room_for(*record_keys, *([team_key] if short else [])):
+        if not transaction.room_for(*record_keys, *([team_key] if needs_more else [])):
             return False
-        if short:
-            others = (use.cpus - have[0], use.gpus - have[1])
+        if needs_more:
+            others = (record.cpus - reserved[0], record.gpus - reserved[1])
             share = 2 * max(1, self._context.settings.controller_count)
-            fresh = [
-                max(u, u + (most - other - u) / share) if b else 0.0
-                for b, u, most, other in zip(bound, used, limits, others, strict=True)
+            amounts = [
+                max(u, u + (limit - other - u) / share) if limited else 0.0
+                for limited, u, limit, other in zip(is_limited, used, limits, others, strict=True)
             ]
-            transaction.set_team(use.with_partition(self._partition, *fresh))
+            transaction.set_team(record.with_partition(self._partition, *amounts))
         return True
 
     def release_unneeded(
         self, pending: Iterable[PendingTasks], transaction: TransactionBuilder, now: datetime
     ) -> None:
-        """Give back what is reserved and not needed here, once others may want it."""
-        waiting = self._waiting(pending, now)
+        """Release reserved quota that is not needed here, once other partitions may need it."""
+        demand = self._pending_demand(pending, now)
         for team, record in self._context.view.quotas.items():
             reserved = record.partitions.get(self._partition)
             quota = self._context.fair_share.quota(team)
             if reserved is None or quota is None or keys.team_key(team) in transaction.changes:
                 continue
-            if now - self._reserved_at.get(team, clock.ORIGIN) < RESERVE_EVERY:
+            if now - self._released_at.get(team, clock.ORIGIN) < RELEASE_INTERVAL:
                 continue
             used = transaction.used(team)
-            pressed = any(
-                limit < float("inf") and total > PRESSED_SHARE * limit
+            is_scarce = any(
+                limit < float("inf") and total > SCARCE_SHARE * limit
                 for total, limit in zip((record.cpus, record.gpus), quota, strict=True)
             )
-            if not pressed and (any(u > RESOURCE_TOLERANCE for u in used) or team in waiting):
+            if not is_scarce and (any(u > RESOURCE_TOLERANCE for u in used) or team in demand):
                 continue
-            wanted = waiting.get(team, (0.0, 0.0))
+            wanted = demand.get(team, (0.0, 0.0))
             kept = [min(h, u + w) for h, u, w in zip(reserved, used, wanted, strict=True)]
             if all(
                 h - k <= RESOURCE_TOLERANCE for h, k in zip(reserved, kept, strict=True)
             ) or not transaction.room_for(keys.team_key(team)):
                 continue
-            self._reserved_at[team] = now
+            self._released_at[team] = now
             cpus, gpus = (max(k, u) for k, u in zip(kept, used, strict=True))
             transaction.set_team(record.with_partition(self._partition, cpus, gpus))
 
-    def _waiting(
+    def _pending_demand(
         self, pending: Iterable[PendingTasks], now: datetime
     ) -> dict[str, tuple[float, float]]:
-        """Return the CPUs and GPUs that what waits asks for, by team.
+        """Return the CPUs and GPUs that pending tasks need, by team.
 
-        What has waited here for longer may wait for a machine that can't be had; other partitions
-        may have room.
+        Those that have waited longer than QUOTA_HOLD_TIME don't count: they may wait for a machine
+        that can't be had, while other partitions may have free capacity.
         """
-        waiting: dict[str, tuple[float, float]] = {}
+        demand: dict[str, tuple[float, float]] = {}
         starved = self._context.starvation.starved_jobs(now)
         for item in pending:
             if self._aging.waited(item.job.id, now) < QUOTA_HOLD_TIME and not self.yields_quota(
                 item, starved
             ):
                 spec = item.job.spec
-                cpus, gpus = waiting.get(spec.team, (0.0, 0.0))
-                waiting[spec.team] = (
+                cpus, gpus = demand.get(spec.team, (0.0, 0.0))
+                demand[spec.team] = (
                     cpus + item.count * spec.resources.cpus,
                     gpus + item.count * spec.resources.gpus,
                 )
-        return waiting
+        return demand
 
 
 def limit_to_quota(limits: QuotaAllowance, items: Iterable[PendingTasks]) -> list[PendingTasks]:
-    """Return as much of the items, in their order, as the teams' quotas permit all together.
+    """Return as much of the items, in their order, as the teams' quotas permit in total.
 
-    No room is made, and no machine created, for what could not use it.
+    For the rest, no work is preempted and no machine created, as it could not use these.
     """
     permitted = []
     for item in items:
--- a/roadbend/placement/restrictions.py
+++ b/roadbend/placement/restrictions.py
@@ -1,7 +1,7 @@
-"""Machines and types that what waits is kept from for now.
+"""Machines and machine types that pending tasks may not use for now.
 
-Where its job just failed, where room is kept for other work, where it is expensive, and where its
-image is not.
+Those where their job just failed, where capacity is reserved for other work, where they would be
+expensive, and where their image is missing.
 """
 
 from collections.abc import Callable
@@ -21,7 +21,7 @@
 
 
 class Restrictions:
-    """Works out what the pending jobs of one partition are kept from."""
+    """Computes which machines and types the pending jobs of one partition may not use."""
 
     def __init__(self, state: PartitionState, gang_reservations: GangReservations) -> None:
         self._records = state.records
@@ -40,30 +40,32 @@
         capacities: list[FreeCapacity],
         now: datetime,
     ) -> None:
-        """Remember since when jobs are kept from capacity that fits them for the sake of others."""
-        kept_ids = self._reservations.machines()
-        kept = [capacity for capacity in capacities if capacity.id in kept_ids]
-        known: dict[TaskShape, bool] = {}
-        passed = set(yielding)
-        for item in items if kept else ():
+        """Set which jobs are passed over now, as they yield quota or fit reserved capacity."""
+        reserved_ids = self._reservations.machines()
+        reserved = [capacity for capacity in capacities if capacity.id in reserved_ids]
+        fits_reserved: dict[TaskShape, bool] = {}
+        passed_over = set(yielding)
+        for item in items if reserved else ():
             spec = item.job.spec
-            kind = TaskShape(spec.resources, spec.machine_types, spec.zone, spec.spot)
-            if kind not in known:
-                known[kind] = any(
+            shape = TaskShape(spec.resources, spec.machine_types, spec.zone, spec.spot)
+            if shape not in fits_reserved:
+                fits_reserved[shape] = any(
                     capacity.fits(spec.resources)
                     and free_capacity.allowed(
                         item.job, capacity.machine_type, capacity.zone, capacity.spot
                     )
-                    for capacity in kept
+                    for capacity in reserved
                 )
-            if known[kind]:
-                passed.add(item.job.id)
-        self._aging.update_passed_over(passed, now)
+            if fits_reserved[shape]:
+                passed_over.add(item.job.id)
+        self._aging.update_passed_over(passed_over, now)
 
     def withhold_expensive_types(self, queue: list[PendingTasks]) -> None:
-        """Decide which types a waiting service is kept from, as when bidding."""
+        """Set the machine types that pending services may not use, by the rule that bids follow."""
         machine_types, wall = self._context.machine_types.values(), clock.wall()
-        boot = max((machine_type.startup for machine_type in machine_types), default=clock.ZERO)
+        longest_startup = max(
+            (machine_type.startup for machine_type in machine_types), default=clock.ZERO
+        )
         withheld: dict[str, frozenset[str]] = {}
         for item in queue:
             job = item.job
@@ -71,7 +73,7 @@
                 job.spec.service
                 and job.id not in withheld
                 and wall - job.submitted_at
-                < self._context.objectives.max_wait_for_cheaper_type(job.spec, boot)
+                < self._context.objectives.max_wait_for_cheaper_type(job.spec, longest_startup)
             ):
                 expensive = machine_options.expensive_machine_types(
                     job, machine_types, self._context.operator.dear, self._partition
@@ -83,13 +85,13 @@
     def prefer_cached_images(
         self, queue: list[PendingTasks], capacities: list[FreeCapacity]
     ) -> None:
-        """Keep services that would be late by their fetch off machines without their image.
+        """Exclude services that would be late by their image fetch from machines without the image.
 
-        That is for a moment, and where a machine that has the image can be cleared for them sooner:
-        images lead placement, also against free room.
+        That is for a short time, and only where a machine that has the image can be cleared for
+        them sooner: cached images come first in placement, even before free capacity.
         """
         without_image: dict[str, frozenset[str]] = {}
-        wall, pulls = (
+        wall, fetch_rates = (
             clock.wall(),
             [machine_type.fetch_gb_per_s for machine_type in self._context.machine_types.values()],
         )
@@ -99,11 +101,11 @@
             if within is None or spec.gang or item.job.id in without_image:
                 continue
             left = within - (wall - item.job.submitted_at)
-            fetch = timedelta(seconds=spec.image_gb / max(pulls, default=1.0))
+            fetch = timedelta(seconds=spec.image_gb / max(fetch_rates, default=1.0))
             if left < within * 0.4 or fetch + self._context.settings.heartbeat_interval / 2 < left:
                 continue
             if any(
-                self.clearable(capacity, spec)
+                self.fits_with_preemption(capacity, spec)
                 for capacity in capacities
                 if spec.image in capacity.images
             ):
@@ -112,8 +114,8 @@
                 )
         self._exclusions.exclude_without_image(without_image)
 
-    def clearable(self, capacity: FreeCapacity, spec: JobSpec) -> bool:
-        """Whether a machine has room for a task, or would, less what may be stopped for it."""
+    def fits_with_preemption(self, capacity: FreeCapacity, spec: JobSpec) -> bool:
+        """Return whether a task fits on a machine if lower-priority tasks there are preempted."""
         if capacity.spot and not spec.spot:
             return False
         cpus, gpus, memory = capacity.cpus, capacity.gpus, capacity.memory
@@ -132,29 +134,29 @@
         )
 
     def exclusions_of(self) -> Callable[[PendingTasks], Exclusions] | None:
-        """Return what tells an item's exclusions; None if nothing is kept from anything."""
+        """Return the function that gives an item's exclusions; None if there are none."""
         any_excluded = self._exclusions or self._reservations or self._gang_attempts.any_lost()
-        return self.bars if any_excluded else None
+        return self.exclusions_for if any_excluded else None
 
-    def bars(self, item: PendingTasks) -> Exclusions:
-        """Return the machines and types that an item keeps off.
+    def exclusions_for(self, item: PendingTasks) -> Exclusions:
+        """Return the machines and types that an item may not use.
 
-        Those where its job just failed, and room that is being made for other work, which is not
-        filled while its victims go.
+        Among them are those where its job just failed, and machines that are being cleared for
+        other work, which are not filled while the preempted tasks stop.
         """
         name = item.job.id
         reserved: set[str] = set()
         if not self._aging.is_starving(name, clock.now()):
             reserved = {
                 machine
-                for machine, row in self._reservations.for_preemption.items()
-                if row.job != name
+                for machine, reservation in self._reservations.for_preemption.items()
+                if reservation.job != name
             }
             reserved |= self._gang_reservations.kept_from(item)
         exclusions = self._exclusions
-        barred = reserved.union(
+        excluded = reserved.union(
             self._gang_attempts.lost_on(name),
             exclusions.failed_on(name),
             exclusions.without_image(name),
         )
-        return Exclusions(barred, exclusions.withheld_types(name))
+        return Exclusions(excluded, exclusions.withheld_types(name))
