--- a/roadbend/placement/forecast.py
+++ b/roadbend/placement/forecast.py
@@ -1,8 +1,8 @@
-"""Forecast when waiting tasks will start on the machines there are.
+"""Forecasts when pending tasks will start on the machines that exist.
 
-Used for scaling out just in time, and for telling other controllers how long a job that is
-rescheduled would wait here. All times are in seconds from now. Pure: everything comes as an
-argument.
+Used to scale out just in time, and to report to other controllers how long a job that is
+rescheduled would wait here. All times are in seconds from now. Pure functions: everything is passed
+as an argument.
 """
 
 import heapq
@@ -22,49 +22,50 @@
 from roadbend.store.records import PRIORITY, Job, Resources
 
 NEVER = float("inf")
-# Starts are compared in microseconds: what differs by rounding alone counts as level.
+# Starts are compared in microseconds, so that those that differ by rounding alone are equal.
 START_DIGITS = 6
-# A start may be this much sooner than its machine's place in the order of the timelines says.
+# A start may be this much earlier than its timeline's entry in the order says, due to rounding.
 ROUNDING_SECONDS = 1e-5
 # The shortest run time that is predicted, before the job class's factor.
 MIN_RUN_SECONDS = 5.0
-# An array without a deadline may be complete after this many times its run time: it may wait for
-# so long, less what it has waited already.
-ARRAY_PATIENCE_RUNS = 2
+# An array without a deadline may wait for this many times its run time, less what it has waited
+# already.
+ARRAY_MAX_WAIT_RUNS = 2
 
 
 class Release(NamedTuple):
-    """Resources that are thought to come free on a machine, and when."""
+    """Resources that are expected to become free on a machine, and when."""
 
     at: float
     resources: Resources
 
 
-# A release as the key of a sort; typed by hand, since `attrgetter` gives Any.
+# The sort key of releases; annotated, since `attrgetter` returns Any.
 release_time: Callable[[Release], float] = attrgetter("at")
 
 
 @dataclass(slots=True)
 class MachineTimeline:
-    """A machine with what is free on it now, and what comes free when.
+    """A machine with what is free on it now, and what becomes free when.
 
-    `releases` are in the order of their times. `assign` changes the timeline and its capacity.
+    `releases` are sorted by time. `assign` changes the timeline and its capacity.
     """
 
     capacity: FreeCapacity
     releases: list[Release] = field(default_factory=list)
-    # What is free counts from here: room left by a task that had to wait is not there before it.
+    # When the free capacity becomes available: what a task that had to wait left over is not free
+    # before that task was placed.
     free_from: float = 0.0
 
     def earliest(self, resources: Resources) -> float:
-        """Return when a task that needs these resources could be on the machine, or NEVER."""
+        """Return when a task that needs these resources could be placed here, or NEVER."""
         capacity = self.capacity
         needed_cpus = resources.cpus - RESOURCE_TOLERANCE
         needed_gpus = resources.gpus - RESOURCE_TOLERANCE
         needed_memory = resources.memory - RESOURCE_TOLERANCE
         cpus, gpus, memory = capacity.cpus, capacity.gpus, capacity.memory
         if needed_cpus <= cpus and needed_gpus <= gpus and needed_memory <= memory:
-            # Asked twice for each task that is assigned: this costs less than `max`.
+            # This runs twice for each task that is assigned, and is faster than `max`.
             ready_in, free_from = capacity.ready_in, self.free_from
             return ready_in if ready_in >= free_from else free_from
         for at, freed in self.releases:
@@ -74,9 +75,9 @@
         return NEVER
 
     def assign(self, job: Job, start: float, run: float) -> None:
-        """Add a task of a job that is on the machine from `start` and runs for `run` seconds.
+        """Add a task of a job that is placed here at `start` and runs for `run` seconds.
 
-        Its image is there afterwards.
+        The machine has its image afterwards.
         """
         capacity, spec = self.capacity, job.spec
         while self.releases and self.releases[0].at <= start and not capacity.fits(spec.resources):
@@ -92,18 +93,18 @@
 
 
 class ScheduleProjection:
-    """Machine timelines in the order in which each could take the smallest waiting task.
+    """Machine timelines, ordered by when each could take the smallest pending task.
 
-    Assigning a task to a timeline only ever makes it later, so a job looks no further down the
-    order than to where it finds its places.
+    Assigning a task to a timeline can only move it down the order, so for a job only as much of the
+    order is examined as its tasks need.
     """
 
     def __init__(self, timelines: Iterable[MachineTimeline], smallest: Resources) -> None:
         self.timelines = list(timelines)
         self._smallest = smallest
         self._soonest = [timeline.earliest(smallest) for timeline in self.timelines]
-        # The soonest start on a timeline, and its index; sorted. Plain tuples, for all of them are
-        # sorted for each forecast.
+        # The soonest start on a timeline, and its index; sorted. Plain tuples, since all of them
+        # are sorted for each forecast.
         self.order: list[tuple[float, int]] = [
             (soonest, index) for index, soonest in enumerate(self._soonest) if soonest < NEVER
         ]
@@ -120,7 +121,7 @@
         return index
 
     def update(self, index: int) -> None:
-        """Move a timeline to its place in the order after a task was assigned to it."""
+        """Move a timeline to its position in the order after a task was assigned to it."""
         old, new = self._soonest[index], self.timelines[index].earliest(self._smallest)
         if new != old:
             del self.order[bisect_left(self.order, (old, index))]
@@ -129,18 +130,18 @@
                 insort(self.order, (new, index))
 
 
-# Where the next task of a job could start, the smallest being the best: when it would run, its
-# image fetched; whether it may run on spot machines and would be on another, which on level starts
-# it leaves free; the timeline's index in the projection, which no other candidate of the job has;
-# when it would be on its machine; the timeline. A plain tuple, for one is built for each task that
-# is assigned.
+# A possible start of the next task of a job; the smallest candidate is the best. The elements: when
+# the task would run, its image fetched; whether it may use spot machines but would occupy another,
+# which is avoided if the times are equal; the timeline's index in the projection, which no other
+# candidate of the job has; when the task would be placed on the machine; the timeline. A plain
+# tuple, since one is built for each task that is assigned.
 StartCandidate = tuple[float, bool, int, float, MachineTimeline]
 
 
 class StartCandidates:
-    """Where tasks of one job would start, the soonest first, as they are assigned one by one.
+    """Where tasks of one job would start, soonest first, as they are assigned one by one.
 
-    Each timeline is examined once a job, not once a task, and only as far down the projection's
+    Each timeline is examined once per job, not once per task, and only as far down the projection's
     order as a sooner start may be found.
     """
 
@@ -150,8 +151,8 @@
         self._job, self._schedule, self._excluded_types = job, schedule, excluded_types
         self._spec = job.spec
         self._heap: list[StartCandidate] = []
-        # The last entry of the projection's order that was examined. Timelines before it, and some
-        # that were there when they were examined and have come later since, are known here.
+        # The last entry of the projection's order that was examined. `_known` holds the timelines
+        # before it, and those that were examined and have moved behind it since.
         self._last_examined: tuple[float, int] = (-1.0, -1)
         self._known: set[int] = set()
 
@@ -161,14 +162,14 @@
         return self._heap[0][0] if self._heap else NEVER
 
     def next_start(self) -> float:
-        """Return when the task of `next_run` would be on its machine; NEVER if it fits nowhere."""
+        """Return when the task of `next_run` would be placed; NEVER if it fits nowhere."""
         self._examine()
         return self._heap[0][3] if self._heap else NEVER
 
     def assign(self, run: float) -> None:
         """Assign the next task, which runs for `run` seconds, to where it runs soonest.
 
-        It must fit somewhere, and `next_run` or `next_start` must have found that.
+        `next_run` or `next_start` must have been called before, and must not have returned NEVER.
         """
         _, _, index, start, timeline = heapq.heappop(self._heap)
         timeline.assign(self._job, start, run)
@@ -206,21 +207,21 @@
         start = timeline.earliest(spec.resources)
         if start < NEVER:
             runs_at = round(start + capacity.fetch(spec.image, spec.image_gb), START_DIGITS)
-            wastes_ordinary = spec.spot and not capacity.spot
-            heapq.heappush(self._heap, (runs_at, wastes_ordinary, index, start, timeline))
+            wastes_non_spot = spec.spot and not capacity.spot
+            heapq.heappush(self._heap, (runs_at, wastes_non_spot, index, start, timeline))
 
 
 class EarliestStart(NamedTuple):
-    """When a task would be on a machine, and on which; NEVER and None if it fits nowhere."""
+    """When a task would be placed on a machine, and on which; NEVER and None if it fits nowhere."""
 
     start: float
     timeline: MachineTimeline | None
 
 
 def earliest(job: Job, timelines: list[MachineTimeline]) -> EarliestStart:
-    """Find where one task of a job would run soonest, its image fetch counted.
+    """Find where one task of a job would run soonest, including its image fetch.
 
-    For one task a plain look at every timeline costs the least.
+    For a single task it is fastest to examine every timeline.
     """
     spec = job.spec
     best, found = (NEVER, False), EarliestStart(NEVER, None)
@@ -247,7 +248,7 @@
 ) -> dict[str, list[float]]:
     """Assign the first `max_tasks` tasks of the queue to the machines.
 
-    Returns when the tasks of each job, by its id, would be on their machines.
+    Returns when the tasks of each job, by its id, would be placed on their machines.
     """
     starts: dict[str, list[float]] = {}
     smallest = min_resources(item.job.spec.resources for item in queue)
@@ -269,7 +270,7 @@
 def run_seconds(job: Job, factor: float) -> float:
     """Predict a task's run time without the image fetch; a service never ends.
 
-    `factor` is how long tasks of the job's class ran over how long their owners said.
+    `factor` is the ratio of actual to stated run time of tasks of the job's class.
     """
     if job.spec.service:
         return NEVER
@@ -279,16 +280,16 @@
 def slack(item: PendingTasks, waited: float, run: float, deadline_factor: float = 1.0) -> float:
     """Return how many seconds from now a task may start and still be in time.
 
-    `waited` is how long its job has waited, `run` the time that is kept for its run, and the
+    `waited` is how long its job has waited, `run` the time that is reserved for its run, and the
     deadline that counts is `deadline_factor` times the due time. Without a deadline, services and
-    work of high priority want to start at once, and an array may wait for about twice its run time.
+    high-priority work should start at once, and an array may wait for about twice its run time.
     """
     spec = item.job.spec
     if spec.gang:
-        # Tasks that wait for each other are to start at once.
+        # A gang's tasks wait for each other, and should start at once.
         return 0.0
     if spec.due is not None:
         return spec.due.total_seconds() * deadline_factor - waited - run
     if spec.service or spec.priority >= PRIORITY["high"]:
         return 0.0
-    return max(0.0, ARRAY_PATIENCE_RUNS * run - waited)
+    return max(0.0, ARRAY_MAX_WAIT_RUNS * run - waited)
--- a/roadbend/placement/heartbeats.py
+++ b/roadbend/placement/heartbeats.py
@@ -1,4 +1,4 @@
-"""What heartbeats of a partition's machines bring, and what they are answered."""
+"""Evaluates the heartbeats of a partition's machines and determines the responses."""
 
 from datetime import datetime, timedelta
 from functools import partial
@@ -22,12 +22,13 @@
 from roadbend.store.records import Attempt
 
 log = Log("placement")
-# How long a heartbeat that brought news may wait for what it calls for; workers wait 4 s.
-ANSWER_WAIT = timedelta(milliseconds=400)
+# How long the response to a heartbeat with changes may wait for the orders that these require;
+# workers wait 4 s for it.
+MAX_RESPONSE_DELAY = timedelta(milliseconds=400)
 
 
 class HeartbeatHandler:
-    """Takes heartbeats in for one partition, under its leader's lock."""
+    """Handles worker heartbeats for one partition, under its leader's lock."""
 
     def __init__(self, state: PartitionState, gangs: Gangs, steps: StepSignal, lock: RLock) -> None:
         self._records, self._context = state.records, state.records.context
@@ -36,22 +37,22 @@
         self._terminations, self._stops = state.terminations, state.stops
         self._starts_in_doubt, self._unheld = state.starts_in_doubt, state.unheld
         self._gangs, self._steps, self._lock = gangs, steps, lock
-        # Asked about tasks that no record names.
+        # Decides about tasks that no record names.
         self.recovery = PartitionRecovery()
 
     def token(self, machine: Machine | None = None) -> int:
         """Return the fencing token for a machine: the term, and below it the machine's incarnation.
 
-        So what a former incarnation said, however late it comes, is told from what this one says.
+        It tells reports of a former incarnation, however late they arrive, from those of this one.
         """
         return self._leadership.term << records.INCARNATION_BITS | (
             machine.token.incarnation if machine is not None else 0
         )
 
     def answer_unchanged(self, data: Any, now: datetime) -> int | None:
-        """Return the token to answer a heartbeat with that brings nothing new, as nearly all do.
+        """Return the token to answer a heartbeat without changes with, as nearly all are.
 
-        It is known to call for no orders by comparing it with the last one. None: it must be read.
+        Comparing it with the last one shows that it requires no orders. None: it must be evaluated.
         """
         name = messages.sender_machine(data)
         machine = self._machines.get(name) if name is not None else None
@@ -79,16 +80,16 @@
         return token
 
     async def handle(self, heartbeat: WorkerHeartbeat) -> tuple[int, list[WorkerOrder]] | None:
-        """Return token and orders for the answer; None for a heartbeat that is not admitted.
+        """Return token and orders for the response; None for a heartbeat that is not admitted.
 
-        What a heartbeat brings may call for orders: capacity came free, a machine came up. Its
-        answer waits the little while that recording takes, so that the next task starts now and not
-        a heartbeat later.
+        What a heartbeat reports may require orders: capacity became free, a machine came up. Its
+        response waits until these are recorded, but only briefly, so that the next task starts now
+        and not a heartbeat later.
         """
         now = clock.now()
         if heartbeat.machine in self._context.deleted_machines.ids:
-            # A heartbeat that was held back on its way: the machine is gone, and must not come to
-            # life here.
+            # A heartbeat that was delayed on its way: the machine is deleted, and must not be
+            # registered again.
             return None
         with self._lock:
             if self._follows_other_leader(heartbeat):
@@ -99,20 +100,20 @@
                 machine = self._registry.register(heartbeat)
                 self._steps.request()
             if not machine.admit(heartbeat, self.token(machine), now):
-                # A late copy, or a machine that began anew: only the machine itself can tell.
+                # A late copy, or the machine restarted: only the machine itself can tell which.
                 return None
             if heartbeat.token > self.token(machine):
                 machine.follow_token(heartbeat.token & records.INCARNATION_MASK)
-            orders, news = self._take_in(machine, heartbeat, now)
-            if not (is_new or news):
+            orders, has_changes = self._process(machine, heartbeat, now)
+            if not (is_new or has_changes):
                 return self._answer(machine, heartbeat, orders, now)
             self._steps.request()
             step = self._steps.next_step
         incarnation = machine.token.incarnation
-        with trio.move_on_after(ANSWER_WAIT.total_seconds()):
+        with trio.move_on_after(MAX_RESPONSE_DELAY.total_seconds()):
             await self._steps.wait_for_end(step)
         with self._lock:
-            if not self._still_counts(machine, heartbeat, incarnation):
+            if not self._is_still_valid(machine, heartbeat, incarnation):
                 return None
             orders = self._orders(machine, heartbeat, clock.now())
             return self._answer(machine, heartbeat, orders, now)
@@ -124,34 +125,36 @@
         orders: list[WorkerOrder],
         received_at: datetime,
     ) -> tuple[int, list[WorkerOrder]]:
-        """Return token and orders for the answer, and note what goes out with it."""
-        self._note_unchanged(machine, heartbeat, orders)
+        """Return token and orders for the response, and record what is sent with it."""
+        self._update_last_evaluation(machine, heartbeat, orders)
         self._starts_in_doubt.note_answer(machine, heartbeat.position, received_at, orders)
         return self.token(machine), orders
 
     def _follows_other_leader(self, heartbeat: WorkerHeartbeat) -> bool:
-        """Whether a heartbeat carries a term that this leader has not given its machine."""
+        """Return whether a heartbeat carries a term that this leader has not given its machine."""
         term = heartbeat.token >> records.INCARNATION_BITS
-        # With a higher term it follows a newer leader, and our answer would be dropped. With ours,
-        # it is from a machine that we answered in this term, and we know them all until they are
-        # deleted: a late copy from a machine that is no more; or the records have lost a term, and
-        # ours was another leader's before.
+        # With a higher term the machine follows a newer leader, and would drop our response. With
+        # our term it is a machine that we answered in this term, and we know all of these until
+        # they are deleted: so this is a late copy from a deleted machine, or the records have lost
+        # a term, and ours was another leader's before.
         is_unknown = heartbeat.machine not in self._machines
         if term > self._leadership.term or (is_unknown and term == self._leadership.term):
             self.recovery.record_term_in_use(heartbeat.machine, term)
             return True
         return False
 
-    def _take_in(
+    def _process(
         self, machine: Machine, heartbeat: WorkerHeartbeat, now: datetime
     ) -> tuple[list[WorkerOrder], bool]:
-        """Read an admitted heartbeat; return the orders, and whether it may call for others."""
+        """Evaluate an admitted heartbeat; return the orders, and whether it may require others."""
         had_notice = machine.lifecycle.reclaim_at is not None
         was_confirmed = machine.token.confirmed
-        before = self._terminations.changes
+        changes_before = self._terminations.changes
         machine.contact.record_heartbeat(now, self._context.settings.heartbeat_interval)
         orders = self._orders(machine, heartbeat, now)
-        news = self._terminations.changes != before or machine.token.confirmed != was_confirmed
+        has_changes = (
+            self._terminations.changes != changes_before or machine.token.confirmed != was_confirmed
+        )
         if machine.token.confirmed and not was_confirmed:
             log.debug(
                 "machine-token-confirmed",
@@ -169,14 +172,16 @@
                 notice_s=heartbeat.notice,
             )
             self._evacuate(machine, self._records.attempts_by_machine().get(machine.id, {}), now)
-            news = True
-        return orders, news
+            has_changes = True
+        return orders, has_changes
 
-    def _still_counts(self, machine: Machine, heartbeat: WorkerHeartbeat, incarnation: int) -> bool:
-        """Whether a heartbeat that waited may still be read and answered.
+    def _is_still_valid(
+        self, machine: Machine, heartbeat: WorkerHeartbeat, incarnation: int
+    ) -> bool:
+        """Return whether a heartbeat whose response was delayed may still be evaluated.
 
-        Meanwhile the partition may have been lost, the machine deleted or restarted, and a newer
-        heartbeat of it answered with orders to start: what this one lacks would then prove nothing.
+        Meanwhile the partition may have been lost, the machine deleted or restarted, or a newer
+        heartbeat answered with start orders: a task missing in this one would then prove nothing.
         """
         return (
             self._records.is_leading()
@@ -185,21 +190,23 @@
             and machine.contact.is_latest(heartbeat)
         )
 
-    def _note_unchanged(
+    def _update_last_evaluation(
         self, machine: Machine, heartbeat: WorkerHeartbeat, orders: list[WorkerOrder]
     ) -> None:
         machine.last_evaluation.reported_tasks = heartbeat.reported_tasks
         recorded = self._records.attempts_by_machine().get(machine.id, {})
-        still = (
+        is_settled = (
             not orders
             and machine.token.confirmed
             and machine.lifecycle.reclaim_at is None
-            # What no record names is judged anew with every heartbeat.
+            # Tasks that no record names are evaluated with every heartbeat.
             and machine.unrecorded_tasks == 0
             and machine.tasks.keys() == recorded.keys()
         )
-        # What is to end is judged anew, too, until it has.
-        if still and not any(key in self._terminations or key in self._stops for key in recorded):
+        # So are tasks that are to end, until they have ended.
+        if is_settled and not any(
+            key in self._terminations or key in self._stops for key in recorded
+        ):
             machine.last_evaluation.unchanged_version = self._context.view.machine_versions.get(
                 self._partition, {}
             ).get(machine.id, 0)
@@ -214,8 +221,8 @@
             if self._records.live_job(key[0]) is None:
                 self._stops.order_cancelled(TaskKey(*key), attempt, now)
         shows_our_token = heartbeat.token == self.token(machine)
-        # Whoever raises the machine's token relies on it that no start carries a higher one than it
-        # has shown.
+        # Whoever raises the machine's token relies on no start carrying a higher token than the
+        # machine has shown.
         may_start = (
             self._context.election.may_start(now)
             and not machine.lifecycle.fencing
@@ -239,17 +246,17 @@
         if shows_our_token:
             self._unheld.note_shown(machine.id, machine.tasks)
         self.recovery.record_heartbeat(machine, heartbeat, now)
-        self._learn(machine, recorded, now)
+        self._update_machine(machine, recorded, now)
         return orders
 
     def _may_send(self, machine: str, now: datetime, key: TaskKey, attempt: Attempt) -> bool:
         return self._unheld.may_send(machine, key, attempt.number, now)
 
     def begin_incarnation(self, machine: Machine, position: HeartbeatPosition) -> None:
-        """Note that a machine itself has shown that it restarted.
+        """Record that a machine itself has shown that it restarted.
 
-        What its former incarnation said proves nothing any more, and what it held is terminated
-        only once a heartbeat of this incarnation under its own token lacks it.
+        Reports of its former incarnation no longer prove anything, and its tasks count as
+        terminated only once a heartbeat of this incarnation, with its own token, lacks them.
         """
         with self._lock:
             log.info(
@@ -266,30 +273,30 @@
         self._steps.request()
 
     def _evacuate(self, machine: Machine, recorded: MachineAttempts, now: datetime) -> None:
-        """Let tasks on a machine run as long as it pays before it is reclaimed, then save."""
-        left = (machine.lifecycle.reclaim_at or now) - now
+        """Stop the tasks that can save before the machine is reclaimed; others run until then."""
+        remaining = (machine.lifecycle.reclaim_at or now) - now
         for key, (_, attempt) in recorded.items():
             job = self._records.live_job(key[0])
             if job is None or key in self._stops:
                 continue
             if job.spec.checkpoint > clock.ZERO:
                 grace = min(
-                    max(left - timedelta(seconds=1), clock.ZERO),
+                    max(remaining - timedelta(seconds=1), clock.ZERO),
                     job.spec.save + timedelta(seconds=2),
                 )
                 if job.spec.gang:
-                    # All of it saves together, or nothing is saved.
+                    # A gang saves as a whole, or nothing of it is saved.
                     self._gangs.stop_whole(job, "notice", now)
                 else:
                     self._stops.order(TaskKey(*key), attempt, grace, "notice", now)
 
-    def _learn(self, machine: Machine, recorded: MachineAttempts, now: datetime) -> None:
+    def _update_machine(self, machine: Machine, recorded: MachineAttempts, now: datetime) -> None:
         machine_type = self._context.machine_types.get(machine.machine_type)
-        for key, seen in machine.tasks.items():
+        for key, reported in machine.tasks.items():
             job = self._context.view.jobs.get(key[0])
             if job is None or machine_type is None:
                 continue
-            if seen.state == "running":
+            if reported.state == "running":
                 machine.note_image(job.spec.image, job.spec.image_gb, machine_type.cache_gb)
         if recorded or machine.tasks:
             machine.empty_since = None
--- a/roadbend/placement/test_placement.py
+++ b/roadbend/placement/test_placement.py
@@ -1,4 +1,4 @@
-"""Which task goes where, and what may be stopped for it."""
+"""Where tasks are placed, what may be preempted for them, and forecasts of their starts."""
 
 import copy
 import random
@@ -73,7 +73,7 @@
 
 
 def test_work_that_cannot_be_in_time_goes_behind_work_that_can_and_every_part_judges_alike():
-    """In the fleet's bursts the order of deadlines alone made nearly every array a little late."""
+    """Guards against ordering by deadline alone: bursts made nearly every array a little late."""
     wall, times = clock.wall(), (1.0, 1.5)
 
     def order(*items):
@@ -93,14 +93,14 @@
         0,
     ]
     assert order(lost, second, first) == ["run-000003", "run-000002", "run-000001"]
-    # What has begun nothing for long, and what is within its team's guarantee, still goes first.
-    overdue = PendingTasks(lost.job, lost.tasks, False, True)
-    assert order(first, overdue) == ["run-000001", "run-000003"]
+    # A starved job, and work within its team's guarantee, still goes first.
+    starved = PendingTasks(lost.job, lost.tasks, False, True)
+    assert order(first, starved) == ["run-000001", "run-000003"]
     assert order(first, pending(4, guaranteed=True, age=200, dueS=100.0)) == [
         "run-000004",
         "run-000003",
     ]
-    # Nothing but the job itself and the time of day is asked: partitions can't disagree about it.
+    # Only the job itself and the wall-clock time matter, so partitions can't disagree about it.
     assert queue_order.lateness(pending(5, age=500, dueS=None).job, wall, times) == 0
 
 
@@ -116,7 +116,7 @@
         ["borrowed"],
     )
     assert stopped(pending(rank="best_effort"), full, beyond) is None
-    # Its own team's work is not stopped for a guarantee.
+    # Work of the same team is not preempted for its guarantee.
     assert stopped(pending(rank="best_effort", guaranteed=True, crew="blue"), full, beyond) is None
 
 
@@ -155,15 +155,15 @@
     )
     assert forecast.earliest(item.job, [without_image, warm]) == (20.0, warm)
     without_image.assign(item.job, 0.0, 10.0)
-    # The image is on its way; the next task of this job begins there at once.
+    # The image is being fetched; the next task of this job starts there at once.
     assert (
         without_image.releases[0].at == 90.0
         and forecast.earliest(item.job, [without_image, warm]).timeline is without_image
     )
 
 
-def lay_looking_everywhere(queue, timelines, run):
-    """Forecast as it is meant: every task looks at every machine."""
+def project_exhaustively(queue, timelines, run):
+    """Forecast as the reference implementation: examine every machine for every task."""
     starts = {}
     for item in queue:
         spec = item.job.spec
@@ -190,15 +190,16 @@
 
 
 def test_the_forecast_finds_the_same_places_as_one_that_looks_at_every_machine():
-    """Timelines are looked at only as far as a sooner place may be.
+    """Guards against a faster forecast with other results than examining all machines.
 
-    Half of the processor time went there.
+    Timelines are examined only as far as a sooner start may be found, since examining all of them
+    took half of the processor time.
     """
     rng = random.Random(11)
     for _ in range(60):
         timelines = []
         for n in range(rng.randrange(1, 25)):
-            room_ = capacity(
+            machine_capacity = capacity(
                 f"m-{n}",
                 rng.choice((0, 6, 12, 24)),
                 rng.choice((0, 1, 2)),
@@ -206,13 +207,17 @@
                 rng.random() < 0.5,
                 fetch_gb_per_s=1.0,
             )
-            room_.images = frozenset(rng.sample(("img-1", "img-2", "img-3"), rng.randrange(3)))
-            room_.ready_in = rng.choice((0.0, 0.0, 0.0, rng.uniform(1, 40)))
+            machine_capacity.images = frozenset(
+                rng.sample(("img-1", "img-2", "img-3"), rng.randrange(3))
+            )
+            machine_capacity.ready_in = rng.choice((0.0, 0.0, 0.0, rng.uniform(1, 40)))
             ends = [
                 Release(rng.uniform(1, 90), Resources(rng.choice((6.0, 12.0)), 1, 0))
                 for _ in range(rng.randrange(3))
             ]
-            timelines.append(MachineTimeline(room_, sorted(ends, key=lambda release: release.at)))
+            timelines.append(
+                MachineTimeline(machine_capacity, sorted(ends, key=lambda release: release.at))
+            )
         queue = [
             pending(
                 n,
@@ -231,12 +236,12 @@
         def run(job):
             return forecast.run_seconds(job, 1.0)
 
-        want = lay_looking_everywhere(queue, copy.deepcopy(timelines), run)
+        want = project_exhaustively(queue, copy.deepcopy(timelines), run)
         assert forecast.project(queue, timelines, run, 9999) == want
 
 
 def test_a_queue_behind_full_machines_looks_at_few_of_them(calls):
-    """What each of many jobs costs must not be a look at each of many machines."""
+    """Guards against examining each of many machines for each of many jobs."""
 
     def cost(machines):
         timelines = [
--- a/tests/scenarios/test_double_starts.py
+++ b/tests/scenarios/test_double_starts.py
@@ -329,7 +329,7 @@
     ]
     job_ends = recorder.collect(transaction, "run-000001", work, found)
     more = recorder.plan_splits(transaction, job_ends)
-    recorder.write_slices(transaction, job_ends, {})
+    recorder.write_shards(transaction, job_ends, {})
     recorded = {n for n, _ in job_ends.ended}
     view.applied(list(transaction.changes.values()), 9)
     assert work.attempts == {n: a for n, a in before.items() if n not in recorded}
