--- a/roadbend/placement/fair_share.py
+++ b/roadbend/placement/fair_share.py
@@ -90,7 +90,10 @@
 
 
 def _is_guaranteed(team: Team, total: QuotaAmount) -> bool:
-    """Return whether a team's guarantee covers an amount; where it is 0 it sets no bound."""
+    """Return whether a team's guarantee covers an amount.
+
+    A resource whose guarantee is 0 is not bounded; if both are 0, the team has no guarantee.
+    """
     if team.cpus <= 0 and team.gpus <= 0:
         return False
     return (team.cpus <= 0 or total.cpus <= team.cpus) and (
--- a/roadbend/placement/heartbeats.py
+++ b/roadbend/placement/heartbeats.py
@@ -22,7 +22,7 @@
 from roadbend.store.records import Attempt
 
 log = Log("placement")
-# How long the response to a heartbeat with changes may wait for the orders that these require;
+# How long the response to a heartbeat with changes may wait for the orders that these lead to;
 # workers wait 4 s for it.
 MAX_RESPONSE_DELAY = timedelta(milliseconds=400)
 
@@ -82,9 +82,9 @@
     async def handle(self, heartbeat: WorkerHeartbeat) -> tuple[int, list[WorkerOrder]] | None:
         """Return token and orders for the response; None for a heartbeat that is not admitted.
 
-        What a heartbeat reports may require orders: capacity became free, a machine came up. Its
-        response waits until these are recorded, but only briefly, so that the next task starts now
-        and not a heartbeat later.
+        A heartbeat may lead to new orders: capacity became free, a machine came up. Its response
+        waits briefly for the next scheduling step to record starts, so that the next task starts
+        now and not a heartbeat later.
         """
         now = clock.now()
         if heartbeat.machine in self._context.deleted_machines.ids:
--- a/roadbend/placement/queue_order.py
+++ b/roadbend/placement/queue_order.py
@@ -20,8 +20,8 @@
     job: Job
     tasks: Ranges
     guaranteed: bool
-    # Whether to go ahead of other work of the same priority: the first task of a job that has
-    # waited long and started none, or such a gang.
+    # Whether these go ahead of other work of the same priority: the first task of a job that has
+    # waited long and started nothing, or all tasks of such a gang.
     starved: bool = False
 
     @property
--- a/roadbend/placement/quota_allowance.py
+++ b/roadbend/placement/quota_allowance.py
@@ -62,7 +62,7 @@
         return tasks_within(remaining, spec.resources)
 
     def hold(self, job: Job, tasks: int) -> None:
-        """Withhold quota for so many unplaced tasks of a job, if the job may hold it."""
+        """Withhold quota for a number of unplaced tasks of a job, if the job may hold it."""
         if tasks and self._holds_quota(job.id):
             resources = job.spec.resources.times(tasks)
             self._holds.setdefault(job.spec.team, []).append(
@@ -70,7 +70,7 @@
             )
 
     def take(self, spec: JobSpec, tasks: int) -> None:
-        """Subtract so many tasks of a job from its team's quota.
+        """Subtract a number of a job's tasks from its team's quota.
 
         `max_tasks` must have been called for the job's team before, and must have known it.
         """
--- a/roadbend/placement/quotas.py
+++ b/roadbend/placement/quotas.py
@@ -74,7 +74,7 @@
         tasks: int,
         record_keys: list[str],
     ) -> bool:
-        """Reserve quota for so many tasks in the transaction; return False if that has no space.
+        """Reserve quota for a number of tasks in the transaction; return False if it has no space.
 
         While there is plenty, more than is needed is reserved, so that partitions seldom conflict
         on the team's record.
