--- a/roadbend/placement/machine_options.py
+++ b/roadbend/placement/machine_options.py
@@ -132,8 +132,8 @@
 ) -> set[str]:
     """Return the types on which a task costs over `max_cost_ratio` times the lowest cost.
 
-    Machines are assumed to be full. A job that must spread over zones can't go only where the cheap
-    type is: for it, only this partition's types are compared.
+    Machines are assumed to be full. A job that must spread over zones can't run entirely where the
+    cheap type is: for it, only this partition's types are compared.
     """
     prices: dict[str, float] = {}
     if job.spec.zone_cap < job.spec.task_count:
