--- a/roadbend/controller/controller.py
+++ b/roadbend/controller/controller.py
@@ -113,7 +113,7 @@
         self.election.reaches_machines = MachineReach(
             net, self.fleet.inventory, self.view
         ).is_reached
-        self.election.changed.append(self.partition_leaders.on_leadership)
+        self.election.leadership_listeners.append(self.partition_leaders.on_leadership)
         # What else runs as long as the controller does, such as recovery where it is switched on.
         self.background: list[Callable[[], Awaitable[None]]] = []
 
--- a/roadbend/fleet/test_process_pauses.py
+++ b/roadbend/fleet/test_process_pauses.py
@@ -51,7 +51,7 @@
         machine, leader = next(iter(w.board.where["run-000001/0"])), controller.leaders["east"]
         still = while_leading(controller.context, leader)
         assert still()
-        controller.election.lose("east", LossReason.RECORD_GONE)
+        controller.election.lose("east", LossReason.RECORD_MISSING)
         assert not still()
         for call in (
             controller.cloud.delete_machines([machine], precondition=still),
--- a/roadbend/partitions/__init__.py
+++ b/roadbend/partitions/__init__.py
@@ -1,1 +1,1 @@
-"""Agree on each partition's leader: leases, terms, failover and failback."""
+"""Leader election for partitions: leases, terms, failover and failback."""
--- a/roadbend/partitions/acquisition.py
+++ b/roadbend/partitions/acquisition.py
@@ -1,7 +1,8 @@
 """Acquire and release partitions by transactions in the state store.
 
-Acquiring a partition raises its term in the same transaction that writes the leader's record. The
-term is the workers' fencing token, and the revision of its record guards every write of the leader.
+Acquiring a partition raises its term in the same transaction that writes the leader record. The
+term is the workers' fencing token, and every write of the leader is conditional on the mod revision
+of the term record.
 """
 
 from datetime import timedelta
@@ -17,19 +18,19 @@
 
 
 class AcquisitionRequest(NamedTuple):
-    """What is to be acquired, and on which condition."""
+    """The partition to acquire, and the conditions for it."""
 
     partition: str
-    # The leader record's revision that is to be replaced; 0: there must be none.
+    # The mod revision of the leader record to replace; 0: there must be no record.
     leader_mod_revision: int
-    # A term that machines have seen although the records lack it; the new one is above it.
+    # A term that machines have seen although the records lack it; the new term is above it.
     lost_term: int
-    # The lease on which the leader's record depends.
+    # The lease to which the leader record is attached.
     lease_id: int | None
 
 
 class Acquisition:
-    """Writes this controller's name into partitions' leader records, and takes it out."""
+    """Writes and deletes the leader records that name this controller."""
 
     def __init__(
         self, controller: str, incarnation: str, write_timeout: timedelta, records: ElectionRecords
@@ -38,19 +39,19 @@
         self._incarnation = incarnation
         self._write_timeout = write_timeout
         self._records = records
-        # The last terms that we have written, or may have, and have not led under, by partition.
+        # By partition, the last term that we wrote or may have written without leading under it.
         self.unconfirmed_terms: dict[str, int] = {}
 
     async def acquire(self, request: AcquisitionRequest) -> TermRecord | None:
-        """Acquire a partition under a new term; return None if somebody else was faster.
+        """Acquire a partition under a new term; return None if another controller did so first.
 
         Raises `LeaseEndedError`, `RefusedError`, `NoAnswerError` or `UnavailableError`.
         """
         partition = request.partition
         term = await self._write_new_term(request)
-        # Whatever was written before our term must be in the view before we act on it. Where it
-        # can't be read, the partition is not ours: it is acquired anew as soon as the records can
-        # be read again.
+        # All that was written before our term must be in the view before we act as leader. If it
+        # can't be read, we don't lead the partition: it is acquired again as soon as the records
+        # can be read.
         if term is None or not await self._records.read():
             return None
         recorded = self._records.view.terms.get(partition)
@@ -64,7 +65,7 @@
         return recorded
 
     async def release(self, partition: str) -> None:
-        """Delete the partition's leader record, if it is still as the record view has it."""
+        """Delete the partition's leader record unless it has changed since the view was updated."""
         recorded = self._records.view.partition_leaders.get(partition)
         if recorded is None:
             return
@@ -77,7 +78,7 @@
             await self._records.read()
 
     async def _write_new_term(self, request: AcquisitionRequest) -> TermRecord | None:
-        """Write the next term and our name in one transaction."""
+        """Write the next term and a leader record that names us in one transaction."""
         partition = request.partition
         term_key, leader_key = keys.term_key(partition), keys.leader_key(partition)
         last = self._records.view.terms.get(partition)
@@ -91,22 +92,23 @@
             term_key: last.mod_revision if last else 0,
             leader_key: request.leader_mod_revision,
         }
-        self._note_unconfirmed(partition, number)
+        self._mark_unconfirmed(partition, number)
         try:
             await self._records.write(conditions, changes, within=self._write_timeout)
         except ConflictError:
-            # Somebody was faster, or an unanswered attempt of our own was carried out: the records
-            # tell.
+            # Another controller acquired the partition, or an unanswered attempt of our own took
+            # effect: the records show which.
             written = await self._find_own_term(partition)
             if written is not None:
                 self._records.view.applied(changes, written.mod_revision)
             return written
         return TermRecord(number, self._controller)
 
-    def _note_unconfirmed(self, partition: str, number: int) -> None:
-        """Note a term before it is written, unless this carries an interrupted one through.
+    def _mark_unconfirmed(self, partition: str, number: int) -> None:
+        """Record a term as unconfirmed before it is written.
 
-        A controller that is interrupted twice leaves the partition to others.
+        Not if this acquisition completes an interrupted one: a controller that is interrupted twice
+        in a row leaves the partition to others.
         """
         interrupted = self.unconfirmed_terms.pop(partition, None)
         recorded = self._records.view.partition_leaders.get(partition)
@@ -114,7 +116,7 @@
             self.unconfirmed_terms[partition] = number
 
     async def _find_own_term(self, partition: str) -> TermRecord | None:
-        """Read the records anew; return the partition's term if this incarnation has written it."""
+        """Read the records again; return the partition's term if this incarnation wrote it."""
         if not await self._records.read():
             return None
         leader = self._records.view.partition_leaders.get(partition)
--- a/roadbend/partitions/controller_lease.py
+++ b/roadbend/partitions/controller_lease.py
@@ -1,7 +1,8 @@
 """Keep this controller's lease in the state store alive.
 
-The keys that say which controllers live, and which partitions they lead, depend on the lease of
-their controller. When it ends, the state store removes them, and others may acquire the partitions.
+The records of the live controllers and of the partition leaders are attached to the lease of their
+controller. When it expires, the state store deletes them, and other controllers may acquire the
+partitions.
 """
 
 from datetime import datetime, timedelta
@@ -12,14 +13,14 @@
 from roadbend.store import keys
 from roadbend.store.client import ConflictError, LeaseEndedError, StateStoreClient, put
 
-# The lease is renewed so many times while it would last, so that renewals may fail in between.
+# Renewals per lease duration; with more than one, a single failed renewal does not end the lease.
 RENEWALS_PER_LEASE = 3
-# Taken off the lease's validity, beside clock drift.
+# Subtracted from the lease's validity, in addition to clock drift.
 VALIDITY_MARGIN = timedelta(milliseconds=200)
 
 
 class ControllerLease:
-    """This controller's lease, and the record that says that the controller lives."""
+    """This controller's lease, and the record that announces the controller as live."""
 
     def __init__(
         self,
@@ -31,7 +32,7 @@
     ) -> None:
         # The lease's id in the state store; None while there is no lease.
         self.id: int | None = None
-        # Until when the lease certainly counts; None before the first one, and once it has ended.
+        # Until when the lease is certainly valid; None before the first lease and after its end.
         self.valid_until: datetime | None = None
         self._renewed_at: datetime | None = None
         self._controller = controller
@@ -41,14 +42,14 @@
         self._records = records
 
     def discard(self) -> None:
-        """Note that the state store does not know the lease any more; a new one is requested."""
+        """Drop a lease that the state store no longer knows; a new one is requested next."""
         self.id = None
 
     async def keep_alive(self) -> bool:
-        """Request the lease, or renew it when that is due; return False if it has ended.
+        """Request a lease, or renew it when due; return False if it has ended.
 
-        Raises `RefusedError`, `NoAnswerError` or `UnavailableError` if the state store does not
-        answer.
+        Raises `RefusedError`, `NoAnswerError` or `UnavailableError` if the state store can't serve
+        the request.
         """
         now = clock.now()
         if not self._is_renewal_due(now):
@@ -56,15 +57,15 @@
         try:
             await self._request_or_renew()
         except ConflictError:
-            # Another process of this name wrote the controller's record meanwhile, or our own
-            # unanswered attempt was carried out; that record may depend on a lease that nobody
-            # renews. It is written anew on what is there now, under a lease that we renew.
+            # Another process of this name wrote the controller record in the meantime, or our own
+            # unanswered attempt took effect; that record may be attached to a lease that nobody
+            # renews. The next attempt replaces it, under a lease that we renew.
             await self._records.read()
             return True
         except LeaseEndedError:
             self.id = self.valid_until = self._renewed_at = None
             return False
-        # Counted from before the renewal was sent, shortened for drift.
+        # Counted from before the renewal was sent, and shortened by the clock drift.
         self._renewed_at = now
         self.valid_until = now + self._ttl * (1 - 2 * clock.DRIFT) - VALIDITY_MARGIN
         return True
@@ -83,15 +84,15 @@
         await self._state.renew(self.id)
         announced = self._records.view.controllers.get(self._controller)
         if announced is None or announced.incarnation != self._incarnation:
-            # A late transaction of a former incarnation, or of a lease that we gave up, has
-            # replaced the record.
+            # A late transaction of a former incarnation, or one under a lease that we discarded,
+            # has replaced the record.
             await self._announce(self.id)
 
     async def _announce(self, lease_id: int) -> None:
-        """Write the record that says that this controller lives.
+        """Write the record that announces this controller as live.
 
-        A former incarnation may still have the same transaction on its way. The condition is the
-        record's revision that we know, so that it can't come after ours.
+        The same transaction of a former incarnation may still be in flight. The write is
+        conditional on the mod revision in the record view, so that a late one can't overwrite ours.
         """
         key = keys.controller_key(self._controller)
         changes = [put(key, messages.controller_value(self._incarnation), lease_id)]
--- a/roadbend/partitions/election.py
+++ b/roadbend/partitions/election.py
@@ -1,9 +1,9 @@
 """Elect the leaders of partitions.
 
-A partition belongs to the controller that holds its leader record, which depends on that
-controller's lease. Every new leadership has a higher term; the term is the workers' fencing token,
-and the revision of its record guards every write of a leader. So a former leader's late
-transactions fail, whatever it believes.
+A partition is led by the controller that its leader record names; the record is attached to that
+controller's lease. Every new leadership has a higher term. The term is the workers' fencing token,
+and every write of a leader is conditional on the mod revision of the term record. So a former
+leader's late transactions fail even if it does not know that it was deposed.
 """
 
 import threading
@@ -35,29 +35,29 @@
 
 log = Log("partitions")
 
-# A leader starts tasks only on records that it read this lately. So whoever records a cancellation
-# knows from when on nobody can start the job's tasks any more without knowing of it.
+# A leader starts tasks only if it has read the records within this time. So after a cancellation is
+# recorded, it is known from when on no leader can start the job's tasks in ignorance of it.
 START_FRESHNESS = timedelta(seconds=2)
-# Partitions are acquired, released and failed back only on records that were read this lately.
+# Partitions are acquired, released and failed back only if the records were read within this time.
 DECISION_FRESHNESS = timedelta(seconds=2)
 ELECTION_INTERVAL = timedelta(milliseconds=300)
-# A partition whose home controller is alive and yet left it to us stays at least this long.
+# How long a partition that we acquired although its home controller is alive does not fail back.
 FAILBACK_HOLD_OFF_AFTER_ACQUISITION = timedelta(seconds=25)
-# After a failback to a controller, the next one to it comes this much later at the earliest.
+# The minimum time between two failbacks of a partition to the same controller.
 FAILBACK_HOLD_OFF_AFTER_FAILBACK = timedelta(seconds=30)
-# For this long we don't acquire a partition whose workers could not reach us.
+# How long we don't acquire a partition that we gave up because its workers could not reach us.
 ACQUISITION_HOLD_OFF_UNREACHABLE = timedelta(seconds=20)
-# For how many takeover graces we don't acquire a partition that we failed back.
+# How long we don't acquire a partition that we failed back, as a multiple of the takeover grace.
 ACQUISITION_HOLD_OFF_GRACES = 4
 
 
 async def _reaches_none(_partition: str) -> bool:
-    """Reach no machine: for a controller that knows none."""
+    """Return False: the default for a controller that knows no machines."""
     return False
 
 
 class LeaderElection:
-    """Which partitions this controller leads, and for how long it may act on that."""
+    """Tracks which partitions this controller leads, and until when it may act as their leader."""
 
     def __init__(
         self,
@@ -72,8 +72,9 @@
         self.lock = threading.RLock()
         self.leaderships: dict[str, Leadership] = {}
         # Called with a partition's name whenever our leadership of it begins or ends.
-        self.changed: list[Callable[[str], None]] = []
-        # Tells whether we reach a partition's machines; set by who knows their addresses.
+        self.leadership_listeners: list[Callable[[str], None]] = []
+        # Returns whether we can reach a partition's machines; replaced by the component that knows
+        # their addresses.
         self.reaches_machines: Callable[[str], Awaitable[bool]] = _reaches_none
         self._settings, self._operator = settings, operator
         self._view, self._reader, self._peers = view, reader, peers
@@ -87,7 +88,7 @@
         )
 
     def partitions(self) -> list[str]:
-        """List all partitions: the zones of settings, controllers and machine types."""
+        """Return all partitions: the zones of settings, controllers and machine types."""
         zones = set(self._settings.zones) | set(self._live_controllers.zones.values())
         return sorted(zones | messages.zones_of_catalog(self._view.catalog))
 
@@ -96,14 +97,15 @@
         return self.leaderships.get(partition)
 
     def leader_of(self, partition: str) -> str | None:
-        """Return the name of the controller that leads the partition, as the records have it."""
+        """Return the name of the controller that leads the partition according to the records."""
         recorded = self._view.partition_leaders.get(partition)
         return recorded.controller if recorded else None
 
     def may_start(self, now: datetime) -> bool:
-        """Tell whether we may start tasks in partitions that we lead.
+        """Return whether we may start tasks in partitions that we lead.
 
-        Our lease counts and the records were read lately, so that cancellations reach us soon.
+        Our lease must be valid, and the records must have been read recently, so that we learn of
+        cancellations soon.
         """
         contact, valid_until = self._reader.contact, self.lease.valid_until
         return (
@@ -114,7 +116,7 @@
         )
 
     def may_renew(self, now: datetime) -> bool:
-        """Tell whether we may renew the leases of workers in partitions that we lead."""
+        """Return whether we may renew the leases of workers in partitions that we lead."""
         until = policy.renew_until(
             self._reader.contact,
             [link.peer_state for link in self._peers.links.values()],
@@ -125,7 +127,7 @@
         return until is not None and now < until
 
     def depose(self, partition: str, term: int) -> None:
-        """Stop leading the partition at once if the term is higher than ours, whoever says so."""
+        """Stop leading the partition at once if `term` is higher than ours, whatever its source."""
         with self.lock:
             leadership = self.leaderships.get(partition)
             if leadership is None or leadership.term >= term:
@@ -137,12 +139,12 @@
     def raise_term_above(self, partition: str, term: int) -> None:
         """Acquire the partition again under a term above one that the records have lost.
 
-        Machines have seen that term: as long as ours is not above it they refuse our answers.
+        Machines have seen that term, and refuse our answers until ours is above it.
         """
-        self.observer.note_lost_term(partition, term)
+        self.observer.record_lost_term(partition, term)
 
     def on_record(self, key: str) -> None:
-        """Stop leading partitions of which a record names a higher term."""
+        """Stop leading partitions for which a changed term record has a higher term."""
         if key.startswith("r/term/"):
             for partition, term in list(self._view.terms.items()):
                 self.depose(partition, term.number)
@@ -151,7 +153,7 @@
         """Give up a partition whose workers reach other controllers but not this one."""
         until = clock.now() + ACQUISITION_HOLD_OFF_UNREACHABLE
         self._hold_offs.hold_acquisition(partition, until)
-        self._hold_offs.note_unreachable(partition)
+        self._hold_offs.mark_unreachable(partition)
         self.lose(partition, LossReason.UNREACHABLE_FOR_WORKERS)
         await self._acquisition.release(partition)
 
@@ -172,11 +174,11 @@
             self._notify(partition)
 
     def _notify(self, partition: str) -> None:
-        for callback in self.changed:
+        for callback in self.leadership_listeners:
             callback(partition)
 
     async def run(self) -> None:
-        """Keep our lease alive, and acquire, release and fail back partitions, for ever."""
+        """Keep our lease alive, and acquire, release and fail back partitions, until cancelled."""
         while True:
             try:
                 if self._view.loaded:
@@ -184,13 +186,14 @@
             except (RefusedError, NoAnswerError, UnavailableError):
                 pass
             except Exception:
-                # Whatever fails, our lease must be renewed: all our leaderships depend on it.
+                # The loop must go on after any failure: all our leaderships depend on our lease,
+                # which it renews.
                 log.crash("election-failed")
             await clock.pause(ELECTION_INTERVAL)
 
     async def _run_once(self) -> None:
         if not await self.lease.keep_alive():
-            # Our records are gone with the lease; what we led may already be someone else's.
+            # Our records were deleted with the lease; others may already lead our partitions.
             self._lose_all(LossReason.LEASE_ENDED)
         if self.lease.id is None:
             return
@@ -208,8 +211,8 @@
         partition = state.name
         if decision.failback_to is not None:
             self._begin_failback(partition, decision.failback_to, now)
-        if decision.lost is not None:
-            self.lose(partition, decision.lost)
+        if decision.loss_reason is not None:
+            self.lose(partition, decision.loss_reason)
         match decision.action:
             case Action.RAISE_TERM:
                 self._log_raised_term(state)
@@ -264,7 +267,7 @@
         self._hold_offs.hold_failback(partition, controller, until)
 
     async def _acquire(self, state: PartitionState, now: datetime) -> None:
-        """Acquire a partition; `now` is the instant of the decision."""
+        """Acquire a partition; `now` is the time of the decision."""
         partition = state.name
         request = AcquisitionRequest(
             partition=partition,
--- a/roadbend/partitions/election_state.py
+++ b/roadbend/partitions/election_state.py
@@ -1,4 +1,4 @@
-"""What an election decides on, and what it decides."""
+"""The input and the output of the election policy."""
 
 import enum
 from collections.abc import Collection, Mapping
@@ -15,88 +15,89 @@
 class Action(enum.Enum):
     """What to do with a partition."""
 
-    # Go on as before: lead it, or leave it to its leader.
+    # Keep leading the partition, or leave it to its current leader.
     NOTHING = enum.auto()
     ACQUIRE = enum.auto()
-    # Acquire it from a leader that is gone, before that controller's lease expires.
+    # Acquire it from a leader that is presumed down, before that controller's lease expires.
     REPLACE_LEADER = enum.auto()
-    # Acquire it, with the gangs in it, from a live leader of a version without gangs.
+    # Acquire it from a live leader whose version does not support the gangs in it.
     REPLACE_LEADER_WITHOUT_GANGS = enum.auto()
     # Acquire it again under a term above the one that machines have seen.
     RAISE_TERM = enum.auto()
-    # Delete a leader record of ours for which there is no leadership.
+    # Delete a leader record that names this controller although it does not lead the partition.
     RELEASE = enum.auto()
     FAIL_BACK = enum.auto()
 
 
 @dataclass(frozen=True, slots=True)
 class Decision:
-    """What to do with a partition."""
+    """The policy's decision for a partition."""
 
     action: Action
-    # Why this controller does not lead the partition any more; it stops that before the action.
-    lost: LossReason | None = None
+    # Why this controller no longer leads the partition; its leadership ends before the action.
+    loss_reason: LossReason | None = None
     # The controller to which the partition fails back.
     failback_to: str | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class ControllersState:
-    """What this controller knows of all controllers."""
+    """What this controller knows about all controllers."""
 
     # This controller's own name and incarnation.
     name: str
     incarnation: str
     zones: Mapping[str, str]
-    # The live controllers, this one included, with since when they were seen alive.
+    # The live controllers, including this one, each with the time since when it was seen alive.
     alive_since: Mapping[str, datetime]
-    # What the other controllers last said.
+    # The latest state reported by each of the other controllers.
     peers: Mapping[str, PeerState]
-    # Since when this controller listens to the others.
+    # When this controller began to exchange heartbeats with the others.
     began_at: datetime = clock.ORIGIN
     # The partitions that this controller leads.
     led: Collection[str] = ()
-    # The live controllers of versions without gangs.
+    # The live controllers whose version does not support gangs.
     without_gangs: frozenset[str] = frozenset()
 
     @property
     def home(self) -> str:
-        """This controller's zone, and the partition of it."""
+        """This controller's zone, which is also the name of that zone's partition."""
         return self.zones[self.name]
 
     @property
-    def led_of_other_zones(self) -> int:
-        """How many partitions this controller leads that other controllers are at home in."""
+    def led_of_other_zones_count(self) -> int:
+        """The number of other controllers' home partitions that this controller leads."""
         others = set(self.zones.values()) - {self.home}
         return sum(1 for partition in self.led if partition in others)
 
 
 @dataclass(frozen=True, slots=True)
 class PartitionState:
-    """What this controller knows of a partition."""
+    """What this controller knows about a partition."""
 
     name: str
-    # The leader as the records have it.
+    # The leader according to the records.
     recorded: LeaderRecord | None
-    # Our leadership, if we lead the partition.
+    # This controller's leadership, if it leads the partition.
     leadership: Leadership | None
-    # Since when there has been no leader, if there is none.
+    # Since when there has been no leader; the current time while there is one.
     leaderless_since: datetime
-    # The highest term that machines have seen and the records have lost; 0: none.
+    # The highest term that machines have seen but the records have lost; 0: none.
     lost_term: int
-    # Whether we gave it up lately and leave it to others.
+    # Whether this controller recently gave it up and leaves it to others for now.
     acquisition_held: bool
-    # The controllers to which it is not failed back now.
+    # The controllers to which it must not fail back for now.
     held_failbacks: frozenset[str]
-    # Whether it had a leader since we began to read the records.
+    # Whether the records have named a leader since this controller began to read them.
     was_led: bool = False
-    # Counted only while its leader is silent.
+    # Counted only while the leader is silent.
     machines: MachineCounts = NO_MACHINES
-    # Whether it holds or runs tasks of gangs; looked at only while a live controller knows none.
+    # Whether gangs are assigned to it or run in it; determined only while a live controller, or the
+    # leader, does not support gangs.
     holds_gangs: bool = False
-    # Since when it has done so under a leader of a version without gangs; None: it does not.
+    # Since when that has been so under a leader that does not support gangs; None: it is not so.
     gangs_at_risk_since: datetime | None = None
-    # Whether we once gave it up because its workers did not reach us.
+    # Whether this controller ever gave it up because its workers could not reach this controller.
     was_unreachable: bool = False
-    # Whether the leader record, if it is ours, is from an acquisition that was interrupted.
+    # Whether the leader record was written by an interrupted acquisition of this controller.
     is_unconfirmed: bool = False
--- a/roadbend/partitions/gang_leaders.py
+++ b/roadbend/partitions/gang_leaders.py
@@ -1,7 +1,8 @@
-"""Keep partitions in which gangs run with leaders that know gangs.
+"""Keep partitions with gangs under leaders whose version supports gangs.
 
-A leader of a version without gangs takes a gang's tasks for single ones: it preempts one of them,
-or starts a lost one anew by itself, and the whole gang ends. Pure functions, given time.
+A leader of a version without gangs treats a gang's tasks as independent: it preempts one of them,
+or restarts a lost one by itself, and the whole gang ends. Pure functions; the current time is an
+argument.
 """
 
 from collections.abc import Iterable
@@ -9,75 +10,78 @@
 
 from roadbend.clock import ZERO
 from roadbend.partitions.election_state import ControllersState, PartitionState
-from roadbend.partitions.preference import preferred
+from roadbend.partitions.preference import preferred_controller
 from roadbend.peers.frames import GANGS_EXTENSION
 from roadbend.settings import OperatorSettings
 from roadbend.store.records import LeaderRecord
 
-# Partitions of other zones that a controller leads for the sake of gangs: of the others' machines
-# it can serve only some beside its own.
+# Partitions of other zones that a controller leads because of their gangs. It is limited because a
+# controller can serve only so many machines of other zones besides its own.
 MAX_LED_FOR_GANGS = 1
 
 
-def is_leader_to_replace(
+def should_replace_leader_without_gangs(
     partition: PartitionState,
     recorded: LeaderRecord,
     controllers: ControllersState,
     operator: OperatorSettings,
     now: datetime,
 ) -> bool:
-    """Tell whether to acquire a partition with gangs from its live leader, which knows none.
+    """Return whether to acquire a partition from its live leader, which does not support its gangs.
 
-    Only from one that we hear, and while we lead our own zone's partition: elsewhere its machines
-    may reach that leader alone. So they may where its machines don't answer us, which is asked
-    before it is acquired. Terms and tokens fence the leader (docs/meetings.md).
+    Only from a leader that answers our heartbeats, and only if the partition is our own zone's or
+    we lead that one: otherwise its machines may be able to reach that leader only. The same holds
+    if its machines don't answer us, which is checked before the partition is acquired. Terms and
+    fencing tokens fence the former leader (docs/meetings.md).
     """
     since = partition.gangs_at_risk_since
     if since is None or partition.acquisition_held or partition.was_unreachable:
         return False
-    if not _can_lead(partition, controllers) or not _is_heard(recorded, controllers, now):
+    if not _can_lead(partition, controllers) or not _is_responsive(recorded, controllers, now):
         return False
-    is_first = preferred(partition.name, controllers.zones, _replacements(controllers, now))
-    grace = ZERO if is_first == controllers.name else operator.takeover_grace
+    preferred = preferred_controller(
+        partition.name, controllers.zones, _replacement_candidates(controllers, now)
+    )
+    grace = ZERO if preferred == controllers.name else operator.takeover_grace
     return now - since >= grace
 
 
 def _can_lead(partition: PartitionState, controllers: ControllersState) -> bool:
-    """Tell whether this controller is at home in a partition, or well and leads not too many."""
+    """Return whether we can lead a partition: our own zone's, or another if we lead few others."""
     if partition.name == controllers.home:
         return True
     if controllers.home not in controllers.led:
         return False
-    return controllers.led_of_other_zones < MAX_LED_FOR_GANGS
+    return controllers.led_of_other_zones_count < MAX_LED_FOR_GANGS
 
 
-def _is_heard(leader: LeaderRecord, controllers: ControllersState, now: datetime) -> bool:
-    """Tell whether we hear a leader, and not only heard the process before it."""
+def _is_responsive(leader: LeaderRecord, controllers: ControllersState, now: datetime) -> bool:
+    """Return whether a leader answers our heartbeats, in the incarnation that its record names."""
     peer = controllers.peers.get(leader.controller)
     if peer is None or peer.heartbeat is None or not peer.alive(now):
         return False
     return peer.heartbeat.incarnation == leader.incarnation
 
 
-def _replacements(controllers: ControllersState, now: datetime) -> list[str]:
-    """List the controllers that are heard and know gangs, this one included."""
-    heard = [
+def _replacement_candidates(controllers: ControllersState, now: datetime) -> list[str]:
+    """Return the responsive controllers that support gangs, including this one."""
+    responsive = [
         name
         for name, peer in controllers.peers.items()
         if peer.alive(now) and peer.supports(GANGS_EXTENSION)
     ]
-    return [controllers.name, *heard]
+    return [controllers.name, *responsive]
 
 
-def acquirers(
+def acquisition_candidates(
     partition: PartitionState, names: Iterable[str], controllers: ControllersState
 ) -> list[str]:
-    """Return who of some controllers should acquire a partition that has no leader.
+    """Return which of the named controllers should acquire a partition that has no leader.
 
-    For one with gangs these are the controllers that know gangs, if there are any.
+    For a partition with gangs these are the controllers that support gangs, if there are any.
     """
     names = list(names)
-    if not partition.holds_gangs or controllers.led_of_other_zones >= MAX_LED_FOR_GANGS:
+    if not partition.holds_gangs or controllers.led_of_other_zones_count >= MAX_LED_FOR_GANGS:
         return names
     return [name for name in names if name not in controllers.without_gangs] or names
 
@@ -85,9 +89,9 @@
 def failback_candidates(partition: PartitionState, controllers: ControllersState) -> list[str]:
     """Return the live controllers to which a partition of ours may fail back.
 
-    One with gangs stays with us as long as only controllers without gangs could have it.
+    A partition with gangs stays with us as long as no other live controller supports gangs.
     """
     live = list(controllers.alive_since)
-    if not partition.holds_gangs or controllers.led_of_other_zones > MAX_LED_FOR_GANGS:
+    if not partition.holds_gangs or controllers.led_of_other_zones_count > MAX_LED_FOR_GANGS:
         return live
     return [name for name in live if name not in controllers.without_gangs]
--- a/roadbend/partitions/leadership.py
+++ b/roadbend/partitions/leadership.py
@@ -1,4 +1,4 @@
-"""What it means to lead a partition, and why leading it ends."""
+"""A controller's leadership of a partition, and the reasons for which it ends."""
 
 import enum
 from dataclasses import dataclass
@@ -9,8 +9,8 @@
 class Leadership:
     """This controller's leadership of a partition under one term.
 
-    `mod_revision` is the revision of the term's record. It is a condition of every write of the
-    leader, so that late transactions of former leaders fail.
+    `mod_revision` is the mod revision of the term record. Every write of the leader is conditional
+    on it, so that late transactions of former leaders fail.
     """
 
     partition: str
@@ -20,10 +20,10 @@
 
 
 class LossReason(enum.StrEnum):
-    """Why a controller stops leading a partition, as the log names it."""
+    """Why a controller stops leading a partition; the value is logged."""
 
     LEASE_ENDED = "lease ended"
-    RECORD_GONE = "key gone"
+    RECORD_MISSING = "key gone"
     LED_BY_ANOTHER = "held by another"
     FAILED_BACK = "handed back"
     UNREACHABLE_FOR_WORKERS = "deaf to its workers"
--- a/roadbend/partitions/live_controllers.py
+++ b/roadbend/partitions/live_controllers.py
@@ -1,4 +1,4 @@
-"""Know which controllers are alive, since when, and what they last said."""
+"""Track which controllers are alive, since when, and what they last reported."""
 
 from collections.abc import Collection
 from datetime import datetime
@@ -12,7 +12,7 @@
 
 
 class LiveControllers:
-    """The controllers whose leases hold, as the records say, and this one."""
+    """This controller, and all others whose leases are valid according to the records."""
 
     def __init__(
         self, settings: PlatformSettings, incarnation: str, view: RecordView, peers: Peers
@@ -27,9 +27,9 @@
         self._began_at = clock.now()
 
     def observe(self, led: Collection[str], now: datetime) -> ControllersState:
-        """Read the records, and return what is known of all controllers.
+        """Read the records, and return what is known about all controllers.
 
-        `led`: the partitions that this controller leads, as they change.
+        `led`: a live view of the partitions that this controller leads.
         """
         live = set(self._view.controllers) | {self._name}
         for name in live:
@@ -48,7 +48,7 @@
         )
 
     def _without_gangs(self) -> frozenset[str]:
-        """Return the live controllers of versions without gangs."""
+        """Return the other live controllers whose version does not support gangs."""
         return frozenset(
             name
             for name, record in self._view.controllers.items()
--- a/roadbend/partitions/messages.py
+++ b/roadbend/partitions/messages.py
@@ -1,4 +1,4 @@
-"""The records of the election as they are in the state store."""
+"""The election's records as stored in the state store."""
 
 from typing import Any, TypedDict
 
@@ -40,7 +40,7 @@
 
 
 def zones_of_catalog(catalog: Any) -> set[str]:
-    """List the zones in which any machine type of the catalog record can be created.
+    """Return the zones in which at least one machine type of the catalog record can be created.
 
     The record is empty until a controller has read the cloud's catalog for the first time.
     """
--- a/roadbend/partitions/policy.py
+++ b/roadbend/partitions/policy.py
@@ -1,6 +1,6 @@
-"""Decide who leads a partition, and how long a leader may go on without the records.
+"""Decide who leads a partition, and how long a leader may act without reading the records.
 
-Pure functions, given time.
+Pure functions; the current time is an argument.
 """
 
 from collections.abc import Iterable
@@ -15,7 +15,7 @@
     PartitionState,
 )
 from roadbend.partitions.leadership import Leadership, LossReason
-from roadbend.partitions.preference import preferred, rendezvous
+from roadbend.partitions.preference import preferred_controller, rendezvous
 from roadbend.peers.heartbeat import PeerState
 from roadbend.settings import OperatorSettings
 from roadbend.store.records import LeaderRecord
@@ -26,12 +26,12 @@
     "Decision",
     "PartitionState",
     "decide",
-    "preferred",
+    "preferred_controller",
     "rendezvous",
     "renew_until",
 ]
 
-# A partition fails back only to a controller that has read the records this lately.
+# A partition fails back only to a controller that has read the records within this time.
 FAILBACK_CONTACT_AGE = timedelta(seconds=2)
 
 
@@ -44,18 +44,20 @@
     """Decide what this controller does with a partition."""
     recorded, leadership = partition.recorded, partition.leadership
     if recorded is None:
-        lost = None if leadership is None else LossReason.RECORD_GONE
+        loss_reason = None if leadership is None else LossReason.RECORD_MISSING
         if _may_acquire(partition, controllers, operator, now):
-            return Decision(Action.ACQUIRE, lost)
-        return Decision(Action.NOTHING, lost)
+            return Decision(Action.ACQUIRE, loss_reason)
+        return Decision(Action.NOTHING, loss_reason)
     if recorded.controller != controllers.name:
-        lost = None if leadership is None else LossReason.LED_BY_ANOTHER
-        return Decision(_replacement(partition, recorded, controllers, operator, now), lost)
+        loss_reason = None if leadership is None else LossReason.LED_BY_ANOTHER
+        return Decision(
+            _replacement_action(partition, recorded, controllers, operator, now), loss_reason
+        )
     if recorded.incarnation != controllers.incarnation:
-        # Ours from before a restart: it is acquired at once, under a new term.
+        # Our leader record from before a restart: acquire the partition at once, under a new term.
         return Decision(Action.ACQUIRE)
     if leadership is None:
-        # What we gave up is released; an acquisition that was interrupted is carried through.
+        # Release a partition that we gave up; complete an acquisition that was interrupted.
         return Decision(Action.ACQUIRE if partition.is_unconfirmed else Action.RELEASE)
     if partition.lost_term >= leadership.term:
         return Decision(Action.RAISE_TERM)
@@ -65,7 +67,7 @@
     return Decision(Action.NOTHING)
 
 
-def _replacement(
+def _replacement_action(
     partition: PartitionState,
     recorded: LeaderRecord,
     controllers: ControllersState,
@@ -73,9 +75,11 @@
     now: datetime,
 ) -> Action:
     """Decide whether to acquire a partition from another leader before its lease expires."""
-    if silent_leader.is_leader_gone(partition, recorded, controllers, operator, now):
+    if silent_leader.should_replace_silent_leader(partition, recorded, controllers, operator, now):
         return Action.REPLACE_LEADER
-    if gang_leaders.is_leader_to_replace(partition, recorded, controllers, operator, now):
+    if gang_leaders.should_replace_leader_without_gangs(
+        partition, recorded, controllers, operator, now
+    ):
         return Action.REPLACE_LEADER_WITHOUT_GANGS
     return Action.NOTHING
 
@@ -86,45 +90,45 @@
     operator: OperatorSettings,
     now: datetime,
 ) -> bool:
-    """Tell whether the partition has been without a leader for long enough.
+    """Return whether the partition has been without a leader for long enough to acquire it.
 
-    The preferred controller acquires it at once, the others only later.
+    The preferred controller acquires it at once, the others after a grace period.
     """
     live = controllers.alive_since
     if partition.acquisition_held and len(live) > 1:
         return False
     me = controllers.name
     unheld = [name for name in live if name != me or not partition.acquisition_held]
-    candidates = gang_leaders.acquirers(partition, unheld, controllers)
-    if preferred(partition.name, controllers.zones, candidates) == me:
+    candidates = gang_leaders.acquisition_candidates(partition, unheld, controllers)
+    if preferred_controller(partition.name, controllers.zones, candidates) == me:
         grace = ZERO
     else:
         grace = operator.takeover_grace * 2
     home = [name for name, zone in controllers.zones.items() if zone == partition.name]
-    if not any(name in live for name in home) and _home_may_be_on_its_way(
+    if not any(name in live for name in home) and _should_wait_for_home(
         partition, home, controllers, operator, now
     ):
         grace += operator.takeover_grace
     return now - partition.leaderless_since >= grace
 
 
-def _home_may_be_on_its_way(
+def _should_wait_for_home(
     partition: PartitionState,
     home: list[str],
     controllers: ControllersState,
     operator: OperatorSettings,
     now: datetime,
 ) -> bool:
-    """Tell whether to wait for the controllers of a partition's zone, none of which is alive.
+    """Return whether to wait for the controllers of a partition's zone, none of which is alive.
 
-    Not for those that were silent for a whole lease. Nor where all leases but ours have expired:
-    then no worker of the partition has been served for as long.
+    Not for those that have been silent for a whole lease. Nor if all leases but ours have expired:
+    then no worker of the partition has been served for that long.
     """
     if partition.was_led and len(controllers.alive_since) == 1:
         return False
-    # The zone may have none that we know of.
+    # If we know no controller of the zone, there may still be one.
     return not home or any(
-        now - silent_leader.last_heard(name, controllers) < operator.own_lease for name in home
+        now - silent_leader.last_reply_at(name, controllers) < operator.own_lease for name in home
     )
 
 
@@ -135,9 +139,9 @@
     operator: OperatorSettings,
     now: datetime,
 ) -> str | None:
-    """Choose a controller of the partition's zone that can lead it again, instead of this one."""
+    """Choose a controller of the partition's zone that can lead it again in place of this one."""
     zones, me = controllers.zones, controllers.name
-    home = preferred(
+    home = preferred_controller(
         partition.name, zones, gang_leaders.failback_candidates(partition, controllers)
     )
     if home is None or home == me or home in partition.held_failbacks:
@@ -153,7 +157,7 @@
 
 
 def _can_lead(peer: PeerState, now: datetime) -> bool:
-    """Tell whether a peer answers heartbeats, and has read the records lately."""
+    """Return whether a peer answers heartbeats and has read the records recently."""
     if not peer.alive(now) or peer.heartbeat is None:
         return False
     contact_age = peer.heartbeat.contact_age
@@ -169,11 +173,12 @@
 ) -> datetime | None:
     """Calculate until when a leader may renew its workers' leases; None: not at all.
 
-    A cancellation that we don't know of may have been accepted at any moment after the instant up
-    to which we know them all: the least, over the peers, of what our own reads or the peer's own
-    list covers. A worker's lease ends `lease` after a heartbeat that we answered, so the last
-    answer must come `cancel_within - lease` after that instant at the latest; drift and margin come
-    off. docs/meetings.md has the whole argument.
+    We know all cancellations up to some time: for each peer, the later one of the start of our last
+    answered read and the time that the peer's own list covers; of these, the minimum over the
+    peers. A cancellation that we don't know may have been accepted right after that time. A
+    worker's lease ends `lease` after a heartbeat that we answered, so the last answer must come
+    `cancel_within - lease` after that time at the latest, less clock drift and margin.
+    docs/meetings.md has the full argument.
     """
     if contact is None:
         return None
--- a/roadbend/partitions/preference.py
+++ b/roadbend/partitions/preference.py
@@ -1,11 +1,11 @@
-"""Choose one of several controllers, so that all who see the same ones choose the same one."""
+"""Choose one of several controllers, so that all controllers make the same choice."""
 
 import hashlib
 from collections.abc import Iterable, Mapping
 
 
 def rendezvous(key: str, names: Iterable[str]) -> str | None:
-    """Choose the name with the highest hash: all who see the same names choose the same one."""
+    """Choose a name by rendezvous hashing; the choice depends only on the key and the names."""
     names = sorted(names)
     if not names:
         return None
@@ -14,8 +14,10 @@
     )
 
 
-def preferred(partition: str, zones: Mapping[str, str], live: Iterable[str]) -> str | None:
-    """Choose a live controller of the partition's own zone, else any live one."""
+def preferred_controller(
+    partition: str, zones: Mapping[str, str], live: Iterable[str]
+) -> str | None:
+    """Choose a live controller of the partition's own zone, or any live one if it has none."""
     live = list(live)
     local = [name for name in live if zones.get(name) == partition]
     return rendezvous(partition, local or live)
--- a/roadbend/partitions/records.py
+++ b/roadbend/partitions/records.py
@@ -1,7 +1,7 @@
-"""Write and read the election's records with bounded waits.
+"""Read and write the election's records, each with a timeout.
 
-The election's loop renews the lease that all leaderships depend on. So no transaction or read of it
-may wait for long, not even in an outage of the state store.
+The election loop renews the lease that all leaderships depend on, so none of its transactions or
+reads may block for long, not even during an outage of the state store.
 """
 
 from collections.abc import Sequence
@@ -17,7 +17,7 @@
 
 
 class ElectionRecords:
-    """The state store and the record view, as the election uses them."""
+    """The election's access to the state store and the record view."""
 
     def __init__(self, state: StateStoreClient, view: RecordView, reader: RecordReader) -> None:
         self.view = view
@@ -31,7 +31,7 @@
         *,
         within: timedelta,
     ) -> None:
-        """Carry out a transaction, and take it into the record view.
+        """Commit a transaction and apply it to the record view.
 
         Raises what `commit` raises: `ConflictError`, `LeaseEndedError`, `UnavailableError`.
         """
@@ -39,7 +39,7 @@
         self.view.applied(changes, revision)
 
     async def read(self) -> bool:
-        """Wait for a read that begins now; return whether it was answered in time."""
+        """Wait for a read that begins now; return whether it completed in time."""
         with trio.move_on_after(READ_TIMEOUT.total_seconds()):
             await self._reader.read_barrier()
             return True
--- a/roadbend/partitions/silent_leader.py
+++ b/roadbend/partitions/silent_leader.py
@@ -1,13 +1,13 @@
-"""Decide whether a silent leader is gone, so that its partition goes over before its lease expires.
+"""Decide whether a silent leader is presumed down and replaced before its lease expires.
 
-Pure functions, given time.
+Pure functions; the current time is an argument.
 """
 
 from datetime import datetime, timedelta
 
 from roadbend.clock import ZERO
 from roadbend.partitions.election_state import ControllersState, PartitionState
-from roadbend.partitions.preference import preferred
+from roadbend.partitions.preference import preferred_controller
 from roadbend.peers.heartbeat import ALIVE_FOR
 from roadbend.settings import OperatorSettings
 from roadbend.store.records import LeaderRecord
@@ -19,23 +19,24 @@
     operator: OperatorSettings,
     now: datetime,
 ) -> datetime | None:
-    """Return since when another controller, a partition's leader, is silent to us.
+    """Return since when a partition's leader, another controller, has not answered our heartbeats.
 
-    None: it is not, or not for long enough.
+    None if it answers, or has not been silent for long enough.
     """
     if recorded.controller == controllers.name:
         return None
-    received_at = last_heard(recorded.controller, controllers)
-    enough = _silence_needed(recorded.controller, controllers, operator)
-    return received_at if now - received_at >= enough else None
+    received_at = last_reply_at(recorded.controller, controllers)
+    required = _required_silence(recorded.controller, controllers, operator)
+    return received_at if now - received_at >= required else None
 
 
-def _silence_needed(
+def _required_silence(
     controller: str, controllers: ControllersState, operator: OperatorSettings
 ) -> timedelta:
-    """Return after which silence a leader may be gone.
+    """Return how long a leader must be silent before it may be presumed down.
 
-    One that restarts is heard again within `takeover_silence`; one that lives, soon after we began.
+    A leader that restarts answers again within `takeover_silence`. One that has never answered
+    since we started would have done so within `ALIVE_FOR` if it were alive.
     """
     peer = controllers.peers.get(controller)
     if peer is not None and peer.received_at is not None:
@@ -43,37 +44,37 @@
     return min(operator.takeover_silence, ALIVE_FOR)
 
 
-def is_leader_gone(
+def should_replace_silent_leader(
     partition: PartitionState,
     recorded: LeaderRecord,
     controllers: ControllersState,
     operator: OperatorSettings,
     now: datetime,
 ) -> bool:
-    """Tell whether to acquire a partition before its leader's lease expires.
+    """Return whether to acquire a partition before its silent leader's lease expires.
 
-    A leader out of our reach alone still serves its workers, and they stay with it; those of one
-    that is gone turn to other controllers. No rule depends on the lease: terms and tokens fence the
-    former leader (docs/meetings.md).
+    A leader that only we can't reach still serves its workers, and they keep sending it their
+    heartbeats; the workers of a leader that is down send them to other controllers. Safety does not
+    depend on the lease: terms and fencing tokens fence the former leader (docs/meetings.md).
     """
-    silent = silent_since(recorded, controllers, operator, now)
-    if silent is None or partition.acquisition_held:
+    since = silent_since(recorded, controllers, operator, now)
+    if since is None or partition.acquisition_held:
         return False
     machines = partition.machines
     if machines.unserved <= machines.running * operator.takeover_share:
         return False
     me = controllers.name
-    heard = [name for name, peer in controllers.peers.items() if peer.alive(now)]
-    candidates = [me, *(name for name in heard if name != recorded.controller)]
-    # Another one that hears the workers, too, goes first.
-    is_first = preferred(partition.name, controllers.zones, candidates) == me
+    responsive = [name for name, peer in controllers.peers.items() if peer.alive(now)]
+    candidates = [me, *(name for name in responsive if name != recorded.controller)]
+    # The preferred one of the responsive controllers acts first, if the workers reach it, too.
+    is_first = preferred_controller(partition.name, controllers.zones, candidates) == me
     grace = ZERO if is_first else operator.takeover_grace
-    enough = _silence_needed(recorded.controller, controllers, operator)
-    return now - silent >= enough + grace
+    required = _required_silence(recorded.controller, controllers, operator)
+    return now - since >= required + grace
 
 
-def last_heard(name: str, controllers: ControllersState) -> datetime:
-    """Return when a controller was last heard, at the earliest when we began to listen."""
+def last_reply_at(name: str, controllers: ControllersState) -> datetime:
+    """Return when a controller last answered a heartbeat, but not before we began to send them."""
     peer = controllers.peers.get(name)
     received_at = peer.received_at if peer is not None else None
     return max(received_at or controllers.began_at, controllers.began_at)
--- a/roadbend/partitions/test_acquisition.py
+++ b/roadbend/partitions/test_acquisition.py
@@ -1,4 +1,4 @@
-"""What is remembered of an acquisition that was interrupted."""
+"""Bookkeeping of interrupted acquisitions."""
 
 import pytest
 
@@ -14,7 +14,7 @@
 
 
 class Records:
-    """Records of which writes and reads fail as they are told to."""
+    """Fake election records whose writes and reads can be made to fail."""
 
     def __init__(self):
         self.view = RecordView()
@@ -33,14 +33,14 @@
 
 
 async def acquire(records, acquisition):
-    """Acquire the partition on the leader record as it is; return the term."""
+    """Acquire the partition on condition of its current leader record; return the term."""
     recorded = records.view.partition_leaders.get(PARTITION)
     request = AcquisitionRequest(PARTITION, recorded.mod_revision if recorded else 0, 0, 1)
     return await acquisition.acquire(request)
 
 
 def is_unconfirmed(records, acquisition):
-    """Tell whether the leader record is from an acquisition that was interrupted."""
+    """Return whether the leader record was written by an interrupted acquisition."""
     recorded = records.view.partition_leaders[PARTITION]
     return acquisition.unconfirmed_terms.get(PARTITION) == recorded.term
 
@@ -58,7 +58,7 @@
 async def test_an_interrupted_acquisition_is_remembered_until_it_is_carried_through(
     records, acquisition
 ):
-    """Guards against a partition that is given back although nobody else may lead it."""
+    """Guards against releasing a partition although no other controller may be able to lead it."""
     records.is_readable = False
     assert await acquire(records, acquisition) is None
     assert is_unconfirmed(records, acquisition)
@@ -68,7 +68,7 @@
 
 
 async def test_an_acquisition_that_is_interrupted_twice_is_given_up(records, acquisition):
-    """Guards against a controller that holds a partition without ever leading it."""
+    """Guards against a controller that keeps the leader record without ever leading."""
     records.is_readable = False
     for interrupted in (True, False):
         assert await acquire(records, acquisition) is None
@@ -76,7 +76,7 @@
 
 
 async def test_a_term_that_was_written_without_an_answer_is_remembered(records, acquisition):
-    """Guards against a transaction that is carried out late and given back."""
+    """Guards against releasing a partition whose acquisition was committed without an answer."""
     records.write_error = UNAVAILABLE
     with pytest.raises(UnavailableError):
         await acquire(records, acquisition)
--- a/roadbend/partitions/test_election.py
+++ b/roadbend/partitions/test_election.py
@@ -1,4 +1,4 @@
-"""How long a leader may renew, who is preferred, and that terms fence former leaders."""
+"""Renewal deadlines of leaders, the preferred controller, and fencing of former leaders."""
 
 from datetime import timedelta
 
@@ -22,7 +22,7 @@
 
 def test_a_refused_controller_renews_only_as_long_as_a_cancellation_leaves_time():
     end = until(T, T, T)
-    # The last answer plus a full worker's lease stays within cancel_s of any unknown cancellation.
+    # The last answer plus a full worker lease ends within cancel_s of any unknown cancellation.
     assert T + 17 * S < end < T + 18 * S
     assert end + 18 * S < T + 38 * S
 
@@ -38,10 +38,10 @@
 
 def test_a_controller_of_the_zone_is_preferred_and_else_everyone_names_the_same():
     zones = {"n1": "east", "n2": "west", "n3": "north"}
-    assert policy.preferred("west", zones, ["n1", "n2", "n3"]) == "n2"
-    first = policy.preferred("west", zones, ["n1", "n3"])
-    assert first == policy.preferred("west", zones, ["n3", "n1"]) in ("n1", "n3")
-    assert policy.preferred("west", zones, []) is None
+    assert policy.preferred_controller("west", zones, ["n1", "n2", "n3"]) == "n2"
+    first = policy.preferred_controller("west", zones, ["n1", "n3"])
+    assert first == policy.preferred_controller("west", zones, ["n3", "n1"]) in ("n1", "n3")
+    assert policy.preferred_controller("west", zones, []) is None
 
 
 async def test_a_former_leaders_late_transaction_fails():
--- a/roadbend/partitions/test_gang_leaders.py
+++ b/roadbend/partitions/test_gang_leaders.py
@@ -1,4 +1,4 @@
-"""Partitions with gangs are led by controllers that know gangs, where there are any."""
+"""Partitions with gangs are led by controllers that support gangs, if there are any."""
 
 from dataclasses import replace
 from datetime import timedelta
@@ -25,7 +25,7 @@
 T = clock.ORIGIN + 1000 * S
 OPERATOR = OperatorSettings()
 GRACE = OPERATOR.takeover_grace
-# n1 is asked; n2 of the west is of a version without gangs.
+# The decisions are those of n1; n2, of the west, runs a version without gangs.
 ZONES = {"n1": "east", "n2": "west", "n3": "north"}
 WEST = PartitionState(
     name="west",
@@ -38,7 +38,7 @@
     holds_gangs=True,
     gangs_at_risk_since=T - 2 * GRACE,
 )
-VACANT = replace(WEST, recorded=None, gangs_at_risk_since=None)
+LEADERLESS = replace(WEST, recorded=None, gangs_at_risk_since=None)
 OURS = replace(
     WEST,
     recorded=LeaderRecord("n1", "i1" + GANGS_EXTENSION, 8),
@@ -47,21 +47,21 @@
 )
 
 
-def heard(incarnation, ago=S):
-    """Build the state of a peer that was heard some time ago."""
+def replied_peer(incarnation, ago=S):
+    """Build the state of a peer that answered a heartbeat some time ago."""
     heartbeat = PeerHeartbeat(incarnation, 100 * S, S, RequestRates(0.0, 0.0, 0.0))
     return PeerState(heartbeat=heartbeat, requested_at=T - ago, received_at=T - ago)
 
 
 def controllers(leader_heard=S, leader="i2", third="i3" + GANGS_EXTENSION, led=("east",)):
-    """Build what n1 knows: when the leader was heard, what n3 is, and what n1 leads itself."""
+    """Build what n1 knows: the leader's last reply, the version of n3, the partitions n1 leads."""
     without_gangs = {"n2"} if third.endswith(GANGS_EXTENSION) else {"n2", "n3"}
     return ControllersState(
         name="n1",
         incarnation="i1" + GANGS_EXTENSION,
         zones=ZONES,
         alive_since={"n1": T - 100 * S, "n2": T - 100 * S, "n3": T - 100 * S},
-        peers={"n2": heard(leader, leader_heard), "n3": heard(third)},
+        peers={"n2": replied_peer(leader, leader_heard), "n3": replied_peer(third)},
         led=led,
         without_gangs=frozenset(without_gangs),
     )
@@ -72,7 +72,7 @@
 
 
 def test_a_live_leader_without_gangs_of_a_partition_with_gangs_is_replaced():
-    """Guards against gangs that are stopped in pieces under a leader that knows none."""
+    """Guards against gangs that are stopped task by task by a leader that does not support them."""
     assert action() is Action.REPLACE_LEADER_WITHOUT_GANGS
 
 
@@ -116,14 +116,14 @@
     ids=["it leads the partition of our own zone", "we lead one that nobody is at home in"],
 )
 def test_a_leader_without_gangs_is_replaced_where_we_can_lead_the_partition(led, zones):
-    """Guards against two controllers in a zone, and zones without one, that leave gangs to it."""
+    """Guards against gangs left to it in zones with two controllers, or with none."""
     known = replace(controllers(led=led), zones=zones)
     assert action(known=known) is Action.REPLACE_LEADER_WITHOUT_GANGS
 
 
 @pytest.mark.parametrize("led", [(), ("north",)], ids=["we lead nothing", "we lead another zone's"])
 def test_the_leader_of_our_own_zones_partition_is_replaced_whatever_we_lead(led):
-    """Guards against a controller that must lead its own zone's partition before it may take it."""
+    """Guards against a controller that must lead its own zone's partition to acquire just that."""
     at_home = replace(controllers(led=led), zones={**ZONES, "n1": "west"})
     assert action(replace(WEST, gangs_at_risk_since=T), at_home) is (
         Action.REPLACE_LEADER_WITHOUT_GANGS
@@ -131,30 +131,32 @@
 
 
 def test_of_those_who_know_gangs_the_preferred_one_goes_first_and_the_others_a_grace_later():
-    """Guards against a partition that nobody takes since the preferred one leads enough."""
+    """Guards against a partition that nobody acquires because the preferred one is at its limit."""
     known = replace(controllers(), zones={**ZONES, "n3": "west"})
     just_now = replace(WEST, gangs_at_risk_since=T)
     assert action(just_now, known) is Action.NOTHING
     a_grace_ago = replace(WEST, gangs_at_risk_since=T - GRACE)
     assert action(a_grace_ago, known) is Action.REPLACE_LEADER_WITHOUT_GANGS
-    # A peer that knows no gangs does not go first.
+    # A peer without support for gangs does not get a head start.
     third_is_older = replace(controllers(third="i3"), zones=known.zones)
     assert action(just_now, third_is_older) is Action.REPLACE_LEADER_WITHOUT_GANGS
 
 
 def test_one_that_knows_gangs_and_is_not_heard_any_more_does_not_go_first():
-    """Guards against a grace that is spent on waiting for a controller that is gone."""
+    """Guards against waiting a grace period for a controller that is down."""
     known = replace(controllers(), zones={**ZONES, "n3": "west"})
-    gone = replace(known, peers={**known.peers, "n3": heard("i3" + GANGS_EXTENSION, ALIVE_FOR)})
+    gone = replace(
+        known, peers={**known.peers, "n3": replied_peer("i3" + GANGS_EXTENSION, ALIVE_FOR)}
+    )
     just_now = replace(WEST, gangs_at_risk_since=T)
     assert action(just_now, gone) is Action.REPLACE_LEADER_WITHOUT_GANGS
 
 
 def test_a_partition_with_gangs_that_has_no_leader_is_not_left_to_its_own_older_controller():
     alone = controllers(third="i3")
-    assert action(VACANT, alone) is Action.ACQUIRE
-    assert action(replace(VACANT, holds_gangs=False), alone) is Action.NOTHING
-    assert action(VACANT, replace(alone, led=("east", "north"))) is Action.NOTHING
+    assert action(LEADERLESS, alone) is Action.ACQUIRE
+    assert action(replace(LEADERLESS, holds_gangs=False), alone) is Action.NOTHING
+    assert action(LEADERLESS, replace(alone, led=("east", "north"))) is Action.NOTHING
 
 
 @pytest.mark.parametrize(
@@ -174,7 +176,7 @@
 def test_a_partition_with_gangs_does_not_fail_back_to_a_controller_without_gangs(
     state, known, expected
 ):
-    """Guards against a partition that goes to and fro while gangs run in it."""
+    """Guards against a partition with gangs that flaps between leaders."""
     assert action(state, known) is expected
 
 
@@ -209,14 +211,14 @@
     state = seen.observe("west", None, controllers(), T)
     assert state.holds_gangs is holds
     assert state.gangs_at_risk_since == (T if holds else None)
-    # Later it still counts from the first time.
+    # A later observation still reports the first time.
     assert seen.observe("west", None, controllers(), T + S).gangs_at_risk_since == (
         T if holds else None
     )
 
 
 def test_gangs_are_looked_for_only_while_a_controller_without_gangs_lives_or_leads():
-    """Guards against work on each step of the election that grows with the number of gangs."""
+    """Guards against work per election step that grows with the number of gangs."""
     seen = observer("run-1", assigned=("east",))
     all_new = replace(controllers(), without_gangs=frozenset())
     assert seen.observe("east", None, controllers(), T).holds_gangs
@@ -224,14 +226,14 @@
 
 
 def test_gangs_are_looked_for_under_a_leader_without_gangs_that_is_not_among_the_live():
-    """Guards against gangs that are left to a leader since its controller's record is missing."""
+    """Guards against gangs left to such a leader because its controller record is missing."""
     seen = observer("run-1")
     none_live = replace(controllers(), without_gangs=frozenset())
     assert seen.observe("west", None, none_live, T).gangs_at_risk_since == T
 
 
 def test_gangs_that_come_back_to_a_leader_without_gangs_are_at_risk_from_then_on():
-    """Guards against a grace that counts from before another leader had the partition."""
+    """Guards against a grace period counted from before the partition had another leader."""
     seen = observer("run-1")
     assert seen.observe("west", None, controllers(), T).gangs_at_risk_since == T
     knows_gangs = {"node": "n3", "boot": "i3" + GANGS_EXTENSION, "term": 9}
@@ -242,7 +244,7 @@
 
 
 async def test_a_controllers_own_record_of_an_older_version_does_not_count():
-    """Guards against a controller that was just replaced, and leaves its own gangs to others."""
+    """Guards against a just upgraded controller that leaves its own gangs to others."""
     view, settings = RecordView(), settings_for(0, 3)
     for revision, name in enumerate(("node-0", "node-1"), 1):
         view.put(keys.controller_key(name), {"boot": "older"}, revision)
--- a/roadbend/partitions/test_partition_observation.py
+++ b/roadbend/partitions/test_partition_observation.py
@@ -1,4 +1,4 @@
-"""What is counted of a partition that another controller leads, and when."""
+"""When the machines of a partition led by another controller are counted."""
 
 from datetime import timedelta
 
@@ -22,7 +22,7 @@
 
 @pytest.mark.parametrize("silent_for, asked", [(5.9 * S, False), (6 * S, True)])
 def test_machines_are_counted_only_while_their_leader_is_silent(silent_for, asked):
-    """Guards against a look at all machines in every round of the election."""
+    """Guards against examining all machines in every election step."""
     view, questions = RecordView(), []
     view.put(keys.leader_key("west"), {"node": "n2", "boot": "i2", "term": 8}, 3)
     attempts = {0: Attempt(70, "m-1"), 1: Attempt(71, "m-2")}
@@ -30,8 +30,8 @@
     view.put(shard.key, shard.to_value(), 5)
     observer = PartitionObserver(OPERATOR, view, HoldOffs())
 
-    def count(question, _now):
-        questions.append((question.partition, question.term, set(question.machines)))
+    def count(query, _now):
+        questions.append((query.partition, query.term, set(query.machines)))
         return 1
 
     observer.count_unserved = count
--- a/roadbend/partitions/test_policy.py
+++ b/roadbend/partitions/test_policy.py
@@ -1,4 +1,4 @@
-"""What a controller decides about a partition, given what it knows and the time."""
+"""The decisions of the election policy, given a controller's knowledge and the time."""
 
 from dataclasses import replace
 from datetime import timedelta
@@ -21,7 +21,7 @@
 
 
 def controllers(**alive_since):
-    """Build what n1 of the east knows while it and the named controllers are alive."""
+    """Build what n1, of the east, knows while it and the named controllers are alive."""
     heartbeat = PeerHeartbeat("i2", 100 * S, S, RequestRates(0.0, 0.0, 0.0))
     peers = {"n2": PeerState(heartbeat=heartbeat, requested_at=T, received_at=T)}
     return ControllersState("n1", "i1", ZONES, {"n1": T - 100 * S, **alive_since}, peers)
@@ -41,19 +41,19 @@
     grace = OPERATOR.takeover_grace * 2
     assert decision(partition(), now=T + grace * 0.99).action is Action.NOTHING
     assert decision(partition(), now=T + grace).action is Action.ACQUIRE
-    # Nobody else is alive: n1 is preferred, but the west's own controller may be on its way.
+    # No other controller is alive: n1 is preferred, but the west's own one may be starting.
     alone = controllers()
     assert decision(partition(), alone, T + grace / 2 * 0.99).action is Action.NOTHING
     assert decision(partition(), alone, T + grace / 2).action is Action.ACQUIRE
 
 
 def test_a_controller_that_was_silent_for_a_whole_lease_is_not_waited_for():
-    """Guards against workers' leases that end while a dead controller is waited for once more."""
+    """Guards against workers' leases that expire in a second wait for a dead controller."""
     lease, grace = OPERATOR.own_lease, OPERATOR.takeover_grace
     alone, leaderless = controllers(), partition(leaderless_since=T + lease - grace / 2)
     assert decision(leaderless, alone, T + lease * 0.99).action is Action.NOTHING
     assert decision(leaderless, alone, T + lease).action is Action.ACQUIRE
-    # Not heard since we began, which is lately.
+    # No reply since we started, but we started recently.
     lately = replace(alone, began_at=T + lease * 0.5)
     assert decision(leaderless, lately, T + lease).action is Action.NOTHING
     assert decision(leaderless, lately, T + lease + grace / 2).action is Action.ACQUIRE
@@ -68,7 +68,7 @@
     ids=["led-and-alone", "never-led", "others-live"],
 )
 def test_a_controller_that_is_alone_acquires_what_was_led_at_once(was_led, others, acquired):
-    """Guards against a cold restart in which the first to return waits for the others twice."""
+    """Guards against a cold restart in which the first controller waits twice for the others."""
     state = decision(partition(was_led=was_led), controllers(**others))
     assert (state.action is Action.ACQUIRE) == acquired
 
@@ -81,7 +81,7 @@
 
 def test_a_leadership_ends_with_its_record():
     gone = decision(partition(leadership=LEADING))
-    assert gone == Decision(Action.NOTHING, LossReason.RECORD_GONE)
+    assert gone == Decision(Action.NOTHING, LossReason.RECORD_MISSING)
     theirs = LeaderRecord("n2", "i2", 8)
     taken = decision(partition(recorded=theirs, leadership=LEADING))
     assert taken == Decision(Action.NOTHING, LossReason.LED_BY_ANOTHER)
--- a/roadbend/partitions/test_silent_leader_policy.py
+++ b/roadbend/partitions/test_silent_leader_policy.py
@@ -1,4 +1,4 @@
-"""When a partition is acquired although its leader's lease has not expired."""
+"""When a partition is acquired before its silent leader's lease expires."""
 
 from dataclasses import replace
 from datetime import timedelta
@@ -11,7 +11,7 @@
     ControllersState,
     PartitionState,
     decide,
-    preferred,
+    preferred_controller,
 )
 from roadbend.partitions.unserved import MachineCounts
 from roadbend.peers.heartbeat import ALIVE_FOR, PeerState
@@ -37,7 +37,7 @@
 
 
 def controllers(silent_for=SILENCE, other_silent_for=timedelta(0), began_at=clock.ORIGIN):
-    """Build what n1 knows: since when n2, the leader, and n3 have been silent."""
+    """Build what n1 knows: for how long n2, the leader, and n3 have been silent."""
     return ControllersState(
         name="n1",
         incarnation="i1",
@@ -56,7 +56,7 @@
 
 
 def test_a_silent_leader_whose_workers_turn_to_us_is_replaced():
-    """Guards against workers' leases that end while a dead leader's lease is waited for."""
+    """Guards against workers' leases that expire during a wait for a dead leader's lease."""
     assert action() is Action.REPLACE_LEADER
 
 
@@ -66,13 +66,13 @@
     ids=["heard-lately", "we-began-lately"],
 )
 def test_a_leader_that_was_silent_for_less_long_is_not_replaced(known):
-    """Guards against replacing a leader because a heartbeat or two got lost."""
+    """Guards against replacing a leader because one or two heartbeats were lost."""
     assert action(known=known) is Action.NOTHING
 
 
 @pytest.mark.parametrize("began_ago, replaced", [(0.99, False), (1.0, True)])
 def test_a_leader_that_we_have_never_heard_is_replaced_sooner(began_ago, replaced):
-    """Guards against a cold restart in which the first to return waits too long for the others."""
+    """Guards against a cold restart in which the first controller waits too long for the others."""
     known = controllers(began_at=T - ALIVE_FOR * began_ago)
     known = replace(known, peers={**known.peers, "n2": PeerState()})
     assert action(known=known) is (Action.REPLACE_LEADER if replaced else Action.NOTHING)
@@ -85,12 +85,12 @@
 
 
 def test_a_partition_that_we_gave_up_is_not_taken_from_its_leader():
-    """Guards against a partition that goes to and fro."""
+    """Guards against a partition that flaps between leaders."""
     assert action(replace(WEST, acquisition_held=True)) is Action.NOTHING
 
 
 def test_the_preferred_one_of_those_who_are_heard_goes_first():
-    """Guards against two controllers that race each time, and against waiting for a silent one."""
+    """Guards against two controllers that always race, and against waiting for a silent one."""
     ours = {name for name in ("south", "up", "down", "left") if _first_in(name) == "n1"}
     theirs = {name for name in ("south", "up", "down", "left") if _first_in(name) == "n3"}
     assert ours and theirs
@@ -104,4 +104,4 @@
 
 
 def _first_in(partition):
-    return preferred(partition, ZONES, ["n1", "n3"])
+    return preferred_controller(partition, ZONES, ["n1", "n3"])
--- a/roadbend/partitions/unserved.py
+++ b/roadbend/partitions/unserved.py
@@ -1,4 +1,4 @@
-"""Which machines of another controller's partition are served by no leader."""
+"""Types for counting the machines of another controller's partition that no leader serves."""
 
 from collections.abc import Callable, Collection
 from dataclasses import dataclass
@@ -7,10 +7,10 @@
 
 @dataclass(frozen=True, slots=True)
 class UnservedMachinesQuery:
-    """Asks how many machines their leader, which is silent, does not serve."""
+    """Asks how many of these machines are not served by their silent leader."""
 
     partition: str
-    # The leader's term: machines that follow another leader do not count.
+    # The leader's term: machines that follow a leader under another term are not counted.
     term: int
     silent_since: datetime
     machines: Collection[str]
@@ -18,20 +18,20 @@
 
 @dataclass(frozen=True, slots=True)
 class MachineCounts:
-    """How many machines of a partition with a silent leader run tasks, and lack a leader."""
+    """How many machines of a silent leader's partition run tasks, and how many are unserved."""
 
-    # Those on which the records name attempts.
+    # Machines to which the records assign attempts.
     running: int = 0
-    # Those of them that have lately turned to this controller, under the leader's term.
+    # Those of them that recently sent their heartbeats to this controller under the leader's term.
     unserved: int = 0
 
 
 NO_MACHINES = MachineCounts()
 
-# Returns how many machines have turned to this controller lately.
+# Returns how many machines recently sent their heartbeats to this controller instead.
 CountUnserved = Callable[[UnservedMachinesQuery, datetime], int]
 
 
 def count_none(_question: UnservedMachinesQuery, _now: datetime) -> int:
-    """Count no machine: for a controller that hears none."""
+    """Return 0: the default for a controller that receives no heartbeats of machines."""
     return 0
