--- a/roadbend/controller/__init__.py
+++ b/roadbend/controller/__init__.py
@@ -1,4 +1,4 @@
-"""A controller: one process of roadbend, put together from the other packages."""
+"""The controller: one scheduler process, assembled from the other packages."""
 
 from roadbend.controller.controller import Controller
 
--- a/roadbend/controller/attempts_on_machines.py
+++ b/roadbend/controller/attempts_on_machines.py
@@ -1,8 +1,9 @@
-"""Ask machines themselves about the attempts of a cancelled job.
+"""Query machines directly for the attempts of a cancelled job.
 
-This is for partitions whose leader can't be asked. A worker ignores the start of an attempt that it
-holds, in whatever state, and refuses or drops what was sent in an earlier epoch. One that does not
-hold an attempt can be shown a higher token, and then refuses what was sent under a lower one.
+This is for partitions whose leader can't be queried. A worker ignores the start of an attempt that
+it holds, whatever its state, and rejects or drops commands sent in an earlier epoch. A worker that
+does not hold an attempt can be sent a higher fencing token; it then rejects commands that carry a
+lower one.
 """
 
 from collections import OrderedDict
@@ -20,33 +21,33 @@
 
 log = Log("controller")
 
-# Machines asked at once, for all jobs together.
+# Machines queried concurrently, for all jobs together.
 MAX_CONNECTIONS = 16
-# Machines, each with a job whose starts it refuses, that are remembered.
+# Pairs of a machine and a job whose starts it refuses that are kept in memory.
 MAX_REFUSING = 4096
 
 Attempts = set[tuple[TaskKey, int]]
 
 
 class AttemptsOnMachines:
-    """Asks machines which attempts they hold."""
+    """Checks which attempts machines hold, and raises their fencing tokens."""
 
     def __init__(self, net: Net, inventory: CloudInventory) -> None:
         self._net, self._inventory = net, inventory
         self._connections = trio.CapacityLimiter(MAX_CONNECTIONS)
-        # Machines that have followed a raised token, by job. Each is raised once for it: no start
-        # of the job is sent any more.
+        # Pairs of a machine that accepted a raised token and the job for which it was raised. Once
+        # per job is enough, as no leader sends starts of the job any more.
         self._refusing: OrderedDict[tuple[str, str], None] = OrderedDict()
 
     async def are_all_held(self, job: str, attempts: Mapping[int, Attempt]) -> bool:
-        """Whether the machines hold all these attempts of a job now."""
+        """Return whether the machines hold all these attempts of a job now."""
         return await self._are_all_settled(job, attempts, None)
 
     async def are_all_settled(self, job: str, attempts: Mapping[int, Attempt], term: int) -> bool:
-        """Whether the machines hold these attempts, or refuse their starts from now on.
+        """Return whether the machines hold these attempts, or refuse their starts from now on.
 
-        `term`: the latest term of their partition, whose leader goes on from raised tokens. To be
-        asked once no leader sends starts of the job any more.
+        `term`: the latest term of their partition, whose leader must be able to continue from
+        raised tokens. Call this only once no leader sends starts of the job any more.
         """
         return await self._are_all_settled(job, attempts, term)
 
@@ -61,37 +62,39 @@
             del by_machine[machine]
         all_settled = True
 
-        async def ask(machine: str, wanted: Attempts) -> None:
+        async def check_machine(machine: str, expected: Attempts) -> None:
             nonlocal all_settled
-            if not await self._settles(job, machine, wanted, term):
-                # The rest need not be asked.
+            if not await self._is_settled(job, machine, expected, term):
+                # One failure settles the result: cancel the other queries.
                 all_settled = False
                 nursery.cancel_scope.cancel()
 
         async with trio.open_nursery() as nursery:
-            for machine, wanted in by_machine.items():
-                nursery.start_soon(ask, machine, wanted)
+            for machine, expected in by_machine.items():
+                nursery.start_soon(check_machine, machine, expected)
         return all_settled
 
-    async def _settles(self, job: str, machine: str, wanted: Attempts, term: int | None) -> bool:
-        """Whether a machine answers that it holds all these attempts, or follows a higher token."""
+    async def _is_settled(
+        self, job: str, machine: str, expected: Attempts, term: int | None
+    ) -> bool:
+        """Return whether a machine holds all these attempts, or accepts a raised fencing token."""
         listed = self._inventory.rows.get(machine)
         if listed is None:
-            _log_in_doubt(machine, wanted, "machine-not-listed")
+            _log_in_doubt(machine, expected, "machine-not-listed")
             return False
         async with self._connections:
             heartbeat = await inspect_machine(self._net, listed.address, machine)
             if heartbeat is None:
-                _log_in_doubt(machine, wanted, "machine-silent")
+                _log_in_doubt(machine, expected, "machine-silent")
                 return False
             held = {(TaskKey(task.job, task.task_index), task.attempt) for task in heartbeat.tasks}
-            if wanted <= held:
+            if expected <= held:
                 return True
             if term is None:
-                _log_in_doubt(machine, wanted - held, "not-held")
+                _log_in_doubt(machine, expected - held, "not-held")
                 return False
             if not await raise_token(self._net, heartbeat, listed.address, term):
-                _log_in_doubt(machine, wanted - held, "token-not-raised")
+                _log_in_doubt(machine, expected - held, "token-not-raised")
                 return False
         log.info("token-raised", machine=machine, job=job)
         self._refusing[machine, job] = None
@@ -101,7 +104,7 @@
 
 
 def _log_in_doubt(machine: str, attempts: Attempts, missing: str) -> None:
-    """Log a start that may still be carried out, and the evidence against it that is missing."""
+    """Log a start that may still be carried out, and what evidence against it is missing."""
     key, number = min(attempts)
     log.info(
         "start-in-doubt",
--- a/roadbend/controller/availability.py
+++ b/roadbend/controller/availability.py
@@ -1,4 +1,4 @@
-"""Tell whether this controller can serve users."""
+"""Determine whether this controller can serve users."""
 
 from datetime import datetime, timedelta
 
@@ -6,32 +6,32 @@
 from roadbend.peers.links import Peers
 from roadbend.placement.context import ControllerContext
 
-# The state store serves us if it has answered a read that began this lately.
+# The state store serves us if it has answered a read that began within this time.
 CONTACT_FRESHNESS = timedelta(seconds=2)
-# The same of a peer, by its own word, which must be this recent.
+# The same for a peer, by its own report, and the maximum age of that report.
 PEER_CONTACT_FRESHNESS = timedelta(seconds=1.5)
 PEER_HEARTBEAT_FRESHNESS = timedelta(seconds=3)
 
 
 class Availability:
-    """Whether the state store serves this controller, and others if not."""
+    """Compares the state store's service to this controller with that to its peers."""
 
     def __init__(self, context: ControllerContext, peers: Peers) -> None:
         self._context = context
         self._peers = peers
 
     def up(self, now: datetime) -> bool:
-        """Tell whether users are to be sent here.
+        """Return whether users should be directed to this controller.
 
-        Not while the state store refuses us and serves a peer; in an outage for all of us, all
-        stay up and answer 503 quickly.
+        Not while the state store refuses us but serves a peer. In an outage for all controllers,
+        all stay up and answer 503 quickly.
         """
         if self._context.reader.contact is None or not self._context.machine_types:
             return False
         return not self.state_refuses_only_us(now)
 
     def state_refuses_only_us(self, now: datetime) -> bool:
-        """Tell whether the state store refuses this controller and serves a peer."""
+        """Return whether the state store refuses this controller but serves a peer."""
         contact = self._context.reader.contact
         if contact is not None and now - contact < CONTACT_FRESHNESS:
             return False
--- a/roadbend/controller/cancellation_check.py
+++ b/roadbend/controller/cancellation_check.py
@@ -1,11 +1,11 @@
-"""What came of looking for starts of a cancelled job: per partition, a proof or what is missing."""
+"""The result of checking a cancelled job for starts: per partition, evidence or what is missing."""
 
 from dataclasses import dataclass, field
 from enum import StrEnum
 
 
 class Evidence(StrEnum):
-    """What proved that no start of a job can be carried out any more; logged."""
+    """The evidence that no start of a job can be carried out any more; logged."""
 
     # The leaders of all partitions answered, without a read of the records.
     ALL_LEADERS = "all-leaders"
@@ -15,8 +15,8 @@
     TIME = "time"
 
 
-class Missing(StrEnum):
-    """Why a partition is waited for; logged."""
+class UnsettledReason(StrEnum):
+    """Why a start in a partition may still be carried out; logged."""
 
     LEADER_SILENT = "leader-silent"
     LEADER_IN_DOUBT = "leader-in-doubt"
@@ -24,12 +24,12 @@
 
 @dataclass
 class CancellationCheck:
-    """What came of looking at the partitions whose records name attempts of a job."""
+    """The result for each partition that has recorded attempts of a job."""
 
     settled: dict[str, Evidence] = field(default_factory=dict)
-    waits_for: dict[str, Missing] = field(default_factory=dict)
+    unsettled: dict[str, UnsettledReason] = field(default_factory=dict)
 
-    def settle(self, partition: str, evidence: Evidence) -> None:
-        """Note that no start of the job can be carried out any more in a partition."""
-        self.waits_for.pop(partition, None)
+    def mark_settled(self, partition: str, evidence: Evidence) -> None:
+        """Record that no start of the job can be carried out any more in a partition."""
+        self.unsettled.pop(partition, None)
         self.settled[partition] = evidence
--- a/roadbend/controller/controller.py
+++ b/roadbend/controller/controller.py
@@ -1,4 +1,4 @@
-"""A controller: its parts, wired together."""
+"""Build a controller from its components."""
 
 import random
 import secrets
@@ -45,22 +45,22 @@
 
 log = Log("controller")
 
-# Sockets kept for what we open ourselves (the state store 16, the cloud 6, machines asked and told
-# 160, peers), for peers' connections to us, and for connections that are just being closed.
-OWN_SOCKETS = 240
+# Sockets reserved for connections that we open (state store 16, cloud 6, queries and commands to
+# machines 160, peers), for connections from peers, and for connections that are being closed.
+RESERVED_SOCKETS = 240
 MIN_SERVED_SOCKETS = 64
-# The share of all other sockets that is kept free for clients to come, see `Server`.
+# The share of the other sockets that is kept free for new connections, see `Server`.
 SPARE_SOCKETS = 0.1
-# Workers' connections are kept from storms of users, until a living worker would have sent two
+# During a surge of users, workers' connections stay open until a live worker would have sent two
 # heartbeats.
 STALE_INTERVALS = 2.5
 STALE_MARGIN = timedelta(seconds=4)
 
 
 class Controller:
-    """A controller: its parts, wired together."""
+    """One process of the scheduler."""
 
-    # What the controller understands beyond version 2 of the frames; its incarnation ends with it.
+    # The protocol extensions that it supports beyond frame version 2; a suffix of its incarnation.
     EXTENSIONS = frames.SETTLED_EXTENSION
 
     def __init__(
@@ -95,7 +95,7 @@
         )
         cancellations = ConfirmedCancellations(settings.cancel_within)
         self._peer_start_reports = PeerStartReports(cancellations)
-        self.partition_leaders.predecessor_report = self._peer_start_reports.take_over
+        self.partition_leaders.predecessor_report = self._peer_start_reports.inherit_report
         self._exchange = self._make_exchange(cancellations)
         self._availability = Availability(self.context, self.peers)
         self._starts_in_doubt = StartsInDoubtService(self.view, self.partition_leaders)
@@ -114,7 +114,7 @@
             net, self.fleet.inventory, self.view
         ).is_reached
         self.election.leadership_listeners.append(self.partition_leaders.on_leadership)
-        # What else runs as long as the controller does, such as recovery where it is switched on.
+        # Further tasks that run as long as the controller does, such as recovery if it is enabled.
         self.background: list[Callable[[], Awaitable[None]]] = []
 
     def _make_context(
@@ -177,7 +177,7 @@
 
     def _make_server(self, settings: PlatformSettings) -> Server:
         stale = STALE_INTERVALS * settings.heartbeat_interval + STALE_MARGIN
-        served = max(MIN_SERVED_SOCKETS, settings.sockets - OWN_SOCKETS - BACKLOG)
+        served = max(MIN_SERVED_SOCKETS, settings.sockets - RESERVED_SOCKETS - BACKLOG)
         return Server(
             self.handle,
             served,
@@ -203,22 +203,22 @@
 
     @property
     def reader(self) -> RecordReader:
-        """What keeps the record view up to date."""
+        """The reader that keeps the record view up to date."""
         return self.context.reader
 
     @property
     def election(self) -> LeaderElection:
-        """Which partitions this controller leads."""
+        """The election that decides which partitions this controller leads."""
         return self.context.election
 
     @property
     def leaders(self) -> dict[str, PartitionLeader]:
-        """The partitions that this controller leads, each with what does the work."""
+        """The partitions that this controller leads, each with the object that manages it."""
         return self.partition_leaders.leaders
 
     @property
     def began(self) -> datetime:
-        """When this incarnation began."""
+        """When this incarnation started."""
         return self._exchange.began_at
 
     def handle(self, request: Request) -> Awaitable[Response]:
@@ -226,11 +226,11 @@
         return self._router.handle(request)
 
     def up(self, now: datetime) -> bool:
-        """Tell whether users are to be sent here."""
+        """Return whether users should be directed to this controller."""
         return self._availability.up(now)
 
     async def run(self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
-        """Serve and work until cancelled."""
+        """Serve requests and run all background work until cancelled."""
         log.info(
             "controller-started",
             controller=self.settings.name,
--- a/roadbend/controller/heartbeats.py
+++ b/roadbend/controller/heartbeats.py
@@ -1,4 +1,4 @@
-"""Build the heartbeats that peers get, and learn from theirs."""
+"""Build the heartbeats sent to peers, and process theirs."""
 
 from datetime import datetime
 
@@ -14,7 +14,7 @@
 
 
 class PeerExchange:
-    """What this controller tells its peers of itself, and what it makes of their words."""
+    """Reports this controller's state to its peers, and processes their reports."""
 
     def __init__(
         self,
@@ -37,7 +37,7 @@
         self._cloud = cloud
 
     def build(self) -> PeerHeartbeat:
-        """Build a heartbeat of what is known now."""
+        """Build a heartbeat from the current state."""
         now = clock.now()
         contact = self._context.reader.contact
         cancellations = self._cancellations.recent(now)
@@ -56,19 +56,19 @@
         )
 
     def on_call(self, _sender: str, payload: bytes) -> bytes:
-        """Take in a peer's heartbeat, and return ours; raise `FrameError` if it is malformed."""
-        self._learn(PeerHeartbeat.unpack(payload))
+        """Process a peer's heartbeat and return ours; raise `FrameError` if it is malformed."""
+        self._apply(PeerHeartbeat.unpack(payload))
         return self.build().pack()
 
     def on_reply(self, link: Link, heartbeat: PeerHeartbeat, requested_at: datetime) -> None:
-        """Take in a peer's answer to a heartbeat that was sent at `requested_at`.
+        """Process a peer's reply to a heartbeat that was sent at `requested_at`.
 
-        It may raise the cancellation watermark that we have of the peer.
+        It may advance the cancellation watermark of the peer.
         """
         link.peer_state.update(heartbeat, requested_at, clock.now(), self._context.reader.contact)
-        self._learn(heartbeat)
+        self._apply(heartbeat)
 
-    def _learn(self, heartbeat: PeerHeartbeat) -> None:
+    def _apply(self, heartbeat: PeerHeartbeat) -> None:
         for partition, term in heartbeat.led_partitions.items():
             self._context.election.depose(partition, term)
         self._leaders.mark_cancelled(heartbeat.cancellations)
--- a/roadbend/controller/leader_queries.py
+++ b/roadbend/controller/leader_queries.py
@@ -1,4 +1,4 @@
-"""Ask controllers whether starts of a cancelled job may still be carried out."""
+"""Query controllers for starts of a cancelled job that may still be carried out."""
 
 from collections.abc import Collection, Iterable
 from datetime import timedelta
@@ -13,12 +13,12 @@
 
 log = Log("controller")
 
-# How long a controller may take for an answer.
+# The timeout for a controller's answer.
 ANSWER_TIMEOUT = timedelta(milliseconds=500)
 
 
 class LeaderQueries:
-    """Asks this controller and its peers."""
+    """Queries this controller and its peers."""
 
     def __init__(
         self,
@@ -31,7 +31,7 @@
         self._exchange, self._service = exchange, service
 
     async def query_all(self, job: str) -> list[StartsInDoubtReply] | None:
-        """Return the replies of all controllers; None where one does not answer."""
+        """Return the replies of all controllers; None if one does not answer."""
         controllers = self._peers.links.keys() | {self._controller}
         replies = await self.query(job, controllers)
         return replies if len(replies) == len(controllers) else None
@@ -39,7 +39,7 @@
     async def query(
         self, job: str, controllers: Collection[str | None]
     ) -> list[StartsInDoubtReply]:
-        """Return the replies of those controllers that answer."""
+        """Return the replies of those of the given controllers that answer."""
         replies: list[StartsInDoubtReply] = []
         if self._controller in controllers:
             replies.append(self._service.answer((job,)))
@@ -52,7 +52,7 @@
     async def _query_peer(self, link: Link, job: str, replies: list[StartsInDoubtReply]) -> None:
         """Add a peer's reply to `replies`."""
         if not link.peer_state.supports(STARTS_EXTENSION):
-            # An older version is told of the cancellation, and can't answer for its starts.
+            # An older version can't answer the query; a heartbeat notifies it of the cancellation.
             await link.exchange_heartbeats(self._exchange)
             return
         request = StartsInDoubtRequest((job,)).pack()
@@ -66,7 +66,10 @@
 
 
 def all_settled(job: str, replies: Iterable[StartsInDoubtReply]) -> bool:
-    """Whether the leaders under the highest terms that anybody knows have no start in doubt."""
+    """Return whether no leader under the highest known terms has a start of the job in doubt.
+
+    False as well if a leader's answer, or a controller's list of terms, is missing.
+    """
     latest: dict[str, int] = {}
     for reply in replies:
         if not reply.terms:
--- a/roadbend/controller/leaders.py
+++ b/roadbend/controller/leaders.py
@@ -1,4 +1,4 @@
-"""Begin and end the work on partitions with their leaderships, and wake it up on changes."""
+"""Start and stop the management of partitions, and forward record changes to their leaders."""
 
 from collections.abc import Callable, Iterable
 
@@ -21,7 +21,7 @@
 
 
 class PartitionLeaders:
-    """The partitions that this controller leads, each with the object that does the work."""
+    """The partitions that this controller leads, each with the object that manages it."""
 
     def __init__(
         self,
@@ -34,18 +34,19 @@
         self._context = context
         self._fleet = fleet
         self._autoscaler = autoscaler
-        # Gives what is asked before a partition's records are acted on, where recovery is on.
+        # Creates the recovery hooks that a leader consults before it acts on its partition's
+        # records; replaced if recovery is enabled.
         self.recovery_of: Callable[[PartitionLeader], PartitionRecovery] = _no_recovery
-        # Returns what the former leader of a partition, under a term, reported of its starts.
+        # Returns the report of settled starts by the leader of a partition under a given term.
         self.predecessor_report: Callable[[str, int], SettledStarts | None] = _no_report
         self._nursery: trio.Nursery | None = None
 
     def start_in(self, nursery: trio.Nursery) -> None:
-        """Run the work on partitions in a nursery from now on."""
+        """Run the tasks of partitions in a nursery from now on."""
         self._nursery = nursery
 
     def on_leadership(self, partition: str) -> None:
-        """Begin or end the work on a partition whose leadership has changed."""
+        """Start or stop managing a partition whose leadership has changed."""
         leadership = self._context.election.leadership(partition)
         if leadership is None:
             self.leaders.pop(partition, None)
@@ -59,9 +60,9 @@
             self._nursery.start_soon(self._autoscaler.run, leader)
 
     def _inherit_starts(self, leader: PartitionLeader) -> None:
-        """Take over what the former leader reported of its starts, if it led just before us.
+        """Inherit the report of settled starts of the leader under the term just before ours.
 
-        Revisions of records that were lost mean nothing.
+        Not if records were lost: the revision in the report is meaningless then.
         """
         partition, term = leader.partition, leader.leadership.term
         if self._context.election.observer.has_lost_term(partition):
@@ -72,10 +73,10 @@
             leader.starts_in_doubt.inherit(report.revision, report.unsettled_jobs)
 
     def mark_cancelled(self, jobs: Iterable[str]) -> None:
-        """Note that users are, or are about to be, told that these jobs are cancelled.
+        """Record that the cancellation of these jobs is confirmed, or about to be, to users.
 
-        A worker's heartbeat with nothing new is answered without a step of the leader: what is to
-        be stopped must be marked before the next one comes.
+        A worker's heartbeat that reports no change is answered without a step of the leader, so the
+        stop orders must be in place before the next heartbeat arrives.
         """
         if not self._context.cancellations.add(jobs):
             return
@@ -85,13 +86,13 @@
                 leader.stops.order_all_cancelled(now)
 
     def on_attempt(self, partition: str, job: str, task_index: int, attempt: Attempt) -> None:
-        """Tell the partition's leader of an attempt that the records name newly."""
+        """Notify the partition's leader of a newly recorded attempt."""
         leader = self.leaders.get(partition)
         if leader is not None:
             leader.unheld.note_recorded(TaskKey(job, task_index), attempt)
 
     def on_record(self, key: str) -> None:
-        """Tell those of a changed record whom it concerns."""
+        """Notify the election or the leaders affected by a changed record."""
         if key.startswith(TERM_PREFIX):
             self._context.election.on_record(key)
         elif key.startswith(JOB_PREFIX):
--- a/roadbend/controller/machine_evidence.py
+++ b/roadbend/controller/machine_evidence.py
@@ -1,4 +1,4 @@
-"""Ask machines for the attempts of a cancelled job, where its leader can't be asked."""
+"""Query machines for the attempts of a cancelled job whose leader can't be queried."""
 
 from roadbend.controller.attempts_on_machines import AttemptsOnMachines
 from roadbend.controller.cancellation_check import CancellationCheck, Evidence
@@ -7,17 +7,17 @@
 
 
 class MachineEvidence:
-    """Asks the machines themselves, once no leader sends starts of the job any more."""
+    """Queries the machines themselves, once no leader sends starts of the job any more."""
 
     def __init__(self, view: RecordView, machines: AttemptsOnMachines) -> None:
         self._view, self._machines = view, machines
 
-    async def ask(self, job: str, look: CancellationCheck) -> None:
-        """Settle the partitions whose machines hold, or refuse, all attempts of a job."""
-        for partition in list(look.waits_for):
+    async def collect(self, job: str, check: CancellationCheck) -> None:
+        """Mark partitions settled whose machines hold or refuse all attempts of a job."""
+        for partition in list(check.unsettled):
             job_slice = self._view.job_slices[partition].get(job)
             if job_slice is None or await self._machines_settle(partition, job_slice):
-                look.settle(partition, Evidence.MACHINES)
+                check.mark_settled(partition, Evidence.MACHINES)
 
     async def _machines_settle(self, partition: str, job_slice: JobSlice) -> bool:
         attempts = dict(job_slice.attempts)
@@ -27,9 +27,9 @@
         return await self._machines.are_all_settled(job_slice.job, attempts, term)
 
     def _followed_term(self, partition: str) -> int | None:
-        """Return the partition's term if its leader goes on from a token that a peer raises.
+        """Return the partition's term if its leader can continue from a token that a peer raised.
 
-        One that does not would leave the machine to its lease.
+        Under any other leader, the machine's lease would not be renewed and expire.
         """
         term = self._view.terms.get(partition)
         leader = self._view.partition_leaders.get(partition)
--- a/roadbend/controller/peer_start_reports.py
+++ b/roadbend/controller/peer_start_reports.py
@@ -1,4 +1,4 @@
-"""What peers last reported of their settled starts, for when they can't be asked."""
+"""The peers' latest reports of settled starts, used when a peer can't be queried."""
 
 from dataclasses import dataclass, field
 from datetime import datetime, timedelta
@@ -17,16 +17,16 @@
 
 REPORT_INTERVAL = timedelta(seconds=1)
 REPORT_TIMEOUT = timedelta(seconds=1)
-# After so long a leader knows of a cancellation that was noted or of a new term, or sends no start
-# any more because its records are too old.
-NO_MORE_STARTS = START_FRESHNESS * (1 + 2 * clock.DRIFT)
-# Cancellations noted so long ago are in the records of whoever may start tasks.
+# For at most this long after a cancellation was added here or a new term was written, a leader may
+# send starts without knowing of it. After that it knows, or its records are too old for any start.
+STALE_STARTS_PERIOD = START_FRESHNESS * (1 + 2 * clock.DRIFT)
+# Every leader that may start tasks has read older cancellations from the records.
 CANCELLATIONS_SPAN = REPORT_LIFETIME * 2
 
 
 @dataclass(frozen=True)
 class _PeerReport:
-    """A peer's report, and when it was asked for."""
+    """A peer's report, and when it was requested."""
 
     incarnation: str = ""
     number: int = 0
@@ -35,7 +35,7 @@
 
 
 class _HeldAcknowledgement(NamedTuple):
-    """The last report of a peer that is acknowledged, and for how long no later one is."""
+    """The latest report of a peer that may be acknowledged, and until when later ones may not."""
 
     incarnation: str
     number: int
@@ -43,37 +43,38 @@
 
 
 class PeerStartReports:
-    """Asks each peer for a report every second, and keeps the latest."""
+    """Requests a report from each peer every second, and keeps the latest."""
 
-    def __init__(self, noted: ConfirmedCancellations) -> None:
-        self._noted = noted
+    def __init__(self, cancellations: ConfirmedCancellations) -> None:
+        self._cancellations = cancellations
         self._reports: dict[str, _PeerReport] = {}
         self._held: dict[str, _HeldAcknowledgement] = {}
 
     async def run(self, link: Link) -> None:
-        """Ask one peer, for ever."""
+        """Request reports from one peer until cancelled."""
         while True:
             await clock.pause(REPORT_INTERVAL)
             if link.peer_state.supports(SETTLED_EXTENSION):
-                await self._ask(link)
+                await self._fetch_report(link)
 
-    def find(self, partition: str, term: int) -> SettledStarts | None:
-        """Return what the leader of a partition under a term reported, if it may be relied on."""
-        sender = self._sender(partition, term)
+    def find_report(self, partition: str, term: int) -> SettledStarts | None:
+        """Return the report of the leader of a partition under a term, if it is still valid."""
+        sender = self._find_sender(partition, term)
         return None if sender is None else self._reports[sender].partitions[partition]
 
-    def take_over(self, partition: str, term: int) -> SettledStarts | None:
-        """Return the same for the successor here of that leader, which has just been replaced.
+    def inherit_report(self, partition: str, term: int) -> SettledStarts | None:
+        """Return the same for this controller as the successor of that leader.
 
-        It relies on the report from now on. The former leader, if it lives, may send starts anew
-        that it called settled, once all peers have acknowledged a later report; so none is
-        acknowledged until it sends no starts any more.
+        The successor relies on the report from now on. A former leader that is still alive may
+        resend starts that the report lists as settled, once all peers have acknowledged a later
+        report. So no later report is acknowledged until the former leader can't send starts any
+        more.
         """
-        sender = self._sender(partition, term)
+        sender = self._find_sender(partition, term)
         if sender is None:
             return None
         report = self._reports[sender]
-        until = clock.now() + NO_MORE_STARTS
+        until = clock.now() + STALE_STARTS_PERIOD
         held = self._held.get(sender)
         if held is None or held.incarnation != report.incarnation or clock.now() >= held.until:
             self._held[sender] = _HeldAcknowledgement(report.incarnation, report.number, until)
@@ -81,8 +82,8 @@
             self._held[sender] = held._replace(until=until)
         return report.partitions[partition]
 
-    def _sender(self, partition: str, term: int) -> str | None:
-        """Return the peer whose report as a partition's leader may be relied on."""
+    def _find_sender(self, partition: str, term: int) -> str | None:
+        """Return the peer with a valid report as the leader of a partition under a term."""
         now = clock.now()
         for peer, report in self._reports.items():
             settled = report.partitions.get(partition)
@@ -92,10 +93,10 @@
                 return peer
         return None
 
-    async def _ask(self, link: Link) -> None:
+    async def _fetch_report(self, link: Link) -> None:
         requested_at = clock.now()
         try:
-            request = self._request(link.peer.name, requested_at).pack()
+            request = self._next_request(link.peer.name, requested_at).pack()
             reply = await link.call(FrameKind.SETTLED_STARTS, request, REPORT_TIMEOUT)
             report = SettledStartsReport.unpack(reply)
         except NoReplyError:
@@ -111,9 +112,13 @@
             {settled.partition: settled for settled in report.partitions},
         )
 
-    def _request(self, peer: str, now: datetime) -> SettledStartsRequest:
-        """Ask for the next report; acknowledge the last with all that earlier ones confirmed."""
-        cancellations = self._noted.noted_since(now - CANCELLATIONS_SPAN)
+    def _next_request(self, peer: str, now: datetime) -> SettledStartsRequest:
+        """Build the request for the next report.
+
+        It acknowledges the last report, together with all cancellations that were confirmed by
+        earlier reports.
+        """
+        cancellations = self._cancellations.added_since(now - CANCELLATIONS_SPAN)
         last = self._reports.get(peer)
         if last is None or len(cancellations) > MAX_CANCELLATIONS:
             return SettledStartsRequest("", 0, tuple(cancellations[:MAX_CANCELLATIONS]))
--- a/roadbend/controller/rate_sharing.py
+++ b/roadbend/controller/rate_sharing.py
@@ -1,4 +1,4 @@
-"""Share the permitted request rates of the state store and the cloud with the peers."""
+"""Share the permitted request rates of the state store and the cloud among controllers."""
 
 from datetime import timedelta
 
@@ -11,7 +11,7 @@
 
 
 async def share_rates(peers: Peers, budget: RequestBudget, cloud: Cloud) -> None:
-    """Take every second what the live peers' heartbeats say that they leave, for ever."""
+    """Update our request budgets every second by the rates that live peers use, until cancelled."""
     while True:
         await clock.pause(INTERVAL)
         now = clock.now()
--- a/roadbend/controller/reachability.py
+++ b/roadbend/controller/reachability.py
@@ -10,7 +10,7 @@
 
 log = Log("controller")
 CHECK_INTERVAL = timedelta(seconds=1)
-# Without any worker's heartbeat for so many heartbeat intervals a partition counts as silent.
+# A partition counts as silent after this many heartbeat intervals without a worker heartbeat.
 SILENT_INTERVALS = 2.5
 
 
@@ -24,11 +24,11 @@
         self._peers = peers
         self._leaders = leaders
         self._heartbeat_interval = context.settings.heartbeat_interval
-        # Since when partitions have been silent here while peers heard their workers.
+        # Since when partitions have been silent here while peers received worker heartbeats.
         self._unreachable_since: dict[str, datetime] = {}
 
     async def watch(self) -> None:
-        """Look at all partitions every second, for ever."""
+        """Check all partitions every second, until cancelled."""
         while True:
             await clock.pause(CHECK_INTERVAL)
             now = clock.now()
@@ -36,7 +36,7 @@
                 await self._check(partition, leader, now)
 
     async def _check(self, partition: str, leader: PartitionLeader, now: datetime) -> None:
-        if not (self._is_silent(leader, now) and self._is_heard_by_peers(partition, now)):
+        if not (self._is_silent(leader, now) and self._is_reachable_for_peers(partition, now)):
             self._unreachable_since.pop(partition, None)
             return
         since = self._unreachable_since.setdefault(partition, now)
@@ -46,8 +46,8 @@
         try:
             await self._context.election.fail_over(partition)
         except Exception:
-            # It is given up all the same, only its record stays for now; other partitions are
-            # still to be watched.
+            # The partition is given up nevertheless; only its leader record remains for now. Keep
+            # watching the other partitions.
             log.crash("failover-failed", partition=partition)
 
     def _is_silent(self, leader: PartitionLeader, now: datetime) -> bool:
@@ -62,5 +62,5 @@
         )
         return now - max(received_at, acquired_at) > self._heartbeat_interval * SILENT_INTERVALS
 
-    def _is_heard_by_peers(self, partition: str, now: datetime) -> bool:
+    def _is_reachable_for_peers(self, partition: str, now: datetime) -> bool:
         return any(self._peers.reporting_machines(partition, now))
--- a/roadbend/controller/routes.py
+++ b/roadbend/controller/routes.py
@@ -1,4 +1,4 @@
-"""Route HTTP requests to those who answer them."""
+"""Route HTTP requests to their handlers."""
 
 from collections.abc import Callable
 from datetime import datetime
@@ -14,7 +14,7 @@
 
 
 def is_from_worker(request: Request) -> bool:
-    """Tell whether a worker sent the request, whose connections are kept before users'."""
+    """Return whether a worker sent the request; workers' connections have priority over users'."""
     return request.path == HEARTBEAT_PATH
 
 
--- a/roadbend/controller/settled_starts_service.py
+++ b/roadbend/controller/settled_starts_service.py
@@ -1,4 +1,4 @@
-"""Report to peers which starts are settled in the partitions that are led here."""
+"""Report to peers which starts are settled in the partitions that this controller leads."""
 
 from roadbend import clock
 from roadbend.controller.leaders import PartitionLeaders
@@ -6,12 +6,12 @@
 from roadbend.placement.context import ControllerContext
 from roadbend.placement.leader import PartitionLeader
 
-# Jobs with unsettled starts that a report names; with more there is none for their partition.
+# Jobs with unsettled starts per partition in a report; a partition with more is left out.
 MAX_UNSETTLED_JOBS = 1024
 
 
 class SettledStartsService:
-    """Answers peers that ask for a report."""
+    """Answers peers' requests for a report."""
 
     def __init__(
         self, incarnation: str, context: ControllerContext, leaders: PartitionLeaders
@@ -22,7 +22,8 @@
         """Answer a peer; raise `FrameError` if its request is malformed."""
         request = SettledStartsRequest.unpack(payload)
         reports = self._context.start_reports
-        # What it confirmed by an earlier report is known here before starts are sent anew.
+        # Cancellations that the peer confirmed by an earlier report are applied before its
+        # acknowledgement, which may allow starts to be resent.
         self._leaders.mark_cancelled(request.cancellations)
         if request.incarnation == self._incarnation:
             reports.acknowledge(sender, request.number)
@@ -35,7 +36,7 @@
         return SettledStartsReport(self._incarnation, number, settled).pack()
 
     def _report(self, leader: PartitionLeader) -> SettledStarts | None:
-        """Report on one partition; None while too many jobs have unsettled starts."""
+        """Build the report for one partition; None if too many jobs have unsettled starts."""
         with leader.lock:
             jobs = leader.unheld.jobs() | leader.starts_in_doubt.jobs(clock.now())
             if len(jobs) > MAX_UNSETTLED_JOBS:
--- a/roadbend/controller/starts_in_doubt_service.py
+++ b/roadbend/controller/starts_in_doubt_service.py
@@ -1,4 +1,4 @@
-"""Answer which cancelled jobs have starts in doubt in the partitions that are led here."""
+"""Answer which cancelled jobs have starts in doubt in the partitions that we lead."""
 
 from datetime import datetime
 
@@ -14,7 +14,7 @@
 
 
 class StartsInDoubtService:
-    """Answers peers, and this controller itself."""
+    """Answers queries of peers and of this controller itself."""
 
     def __init__(self, view: RecordView, leaders: PartitionLeaders) -> None:
         self._view, self._leaders = view, leaders
@@ -24,7 +24,7 @@
         return self.answer(StartsInDoubtRequest.unpack(payload).jobs).pack()
 
     def answer(self, jobs: tuple[str, ...]) -> StartsInDoubtReply:
-        """Answer for each partition; nothing of these jobs is started here from now on."""
+        """Answer for each partition that we lead; from now on we start no tasks of these jobs."""
         self._leaders.mark_cancelled(jobs)
         now = clock.now()
         partitions = [_answer_for(leader, jobs, now) for leader in self._leaders.leaders.values()]
--- a/roadbend/controller/test_cancellations.py
+++ b/roadbend/controller/test_cancellations.py
@@ -1,4 +1,4 @@
-"""Which confirmed cancellations a heartbeat names, and how far back its list is complete."""
+"""Which confirmed cancellations a heartbeat lists, and for which span the list is complete."""
 
 from datetime import timedelta
 
--- a/roadbend/controller/test_peer_start_reports.py
+++ b/roadbend/controller/test_peer_start_reports.py
@@ -1,6 +1,6 @@
-"""Which reports of a leader count while it can't be asked.
+"""Which reports of a leader are valid while it can't be queried.
 
-One that counts too long, or for too much, lets a cancelled job begin.
+A report that is valid for too long, or for too many starts, lets a cancelled job start.
 """
 
 import threading
@@ -14,7 +14,7 @@
 from roadbend.controller.cancellation_confirmation import CancellationConfirmation
 from roadbend.controller.cancellations import MAX_CANCELLATIONS, ConfirmedCancellations
 from roadbend.controller.leaders import PartitionLeaders
-from roadbend.controller.peer_start_reports import NO_MORE_STARTS, PeerStartReports
+from roadbend.controller.peer_start_reports import STALE_STARTS_PERIOD, PeerStartReports
 from roadbend.controller.settled_starts_service import MAX_UNSETTLED_JOBS, SettledStartsService
 from roadbend.fakes.platform import settings_for
 from roadbend.peers.frames import FrameError
@@ -34,7 +34,7 @@
 
 
 class Link:
-    """A peer that leads the east; it answers with what it is given, or not at all."""
+    """A peer that leads the east; it sends the answer that the test sets, or none."""
 
     def __init__(self):
         self.peer = SimpleNamespace(name="node-1")
@@ -49,13 +49,13 @@
         return self.answer
 
 
-class Desk:
-    """A controller that confirms a cancellation, and can't ask the leader of the east."""
+class ConfirmationHarness:
+    """A controller that confirms a cancellation but can't query the leader of the east."""
 
     def __init__(self):
         self.link = Link()
-        self.noted = ConfirmedCancellations(SETTINGS.cancel_within)
-        self.reports = PeerStartReports(self.noted)
+        self.cancellations = ConfirmedCancellations(SETTINGS.cancel_within)
+        self.reports = PeerStartReports(self.cancellations)
         self.view = RecordView()
         self.view.put(keys.term_key("east"), {"n": TERM, "node": "node-1"}, 3)
         self.record(REVISION)
@@ -68,11 +68,11 @@
         )
         unheld = SimpleNamespace(are_all_held=self.hold_none)
         no_peers = SimpleNamespace(links={})
-        # What the leader answers, where it can be asked.
+        # The leader's answers, if it can be queried.
         self.answers: tuple[PartitionStartsInDoubt, ...] = ()
         service = SimpleNamespace(answer=lambda _jobs: StartsInDoubtReply(self.answers, {}))
         self.confirmation = CancellationConfirmation(
-            context, no_peers, None, service, unheld, self.noted, self.reports
+            context, no_peers, None, service, unheld, self.cancellations, self.reports
         )
 
     def record(self, revision: int) -> None:
@@ -86,17 +86,17 @@
 
     async def get(self, *settled: SettledStarts, number: int = 1) -> None:
         self.link.answer = SettledStartsReport("b1", number, settled).pack()
-        await self.reports._ask(self.link)
+        await self.reports._fetch_report(self.link)
 
     async def confirmed(self) -> bool:
         return await self.confirmation.confirm(JOB, clock.ZERO)
 
 
 async def test_a_report_of_the_latest_leader_counts():
-    desk = Desk()
-    assert not await desk.confirmed()
-    await desk.get(SETTLED)
-    assert await desk.confirmed()
+    harness = ConfirmationHarness()
+    assert not await harness.confirmed()
+    await harness.get(SETTLED)
+    assert await harness.confirmed()
 
 
 @pytest.mark.parametrize(
@@ -111,91 +111,91 @@
     ids=["former-term", "unknown-term", "before-the-start", "names-the-job", "elsewhere"],
 )
 async def test_a_report_does_not_count_that_says_nothing_of_the_start(settled):
-    """Guards against a deposed leader, a start that is newer than the report, a lost attempt."""
-    desk = Desk()
-    await desk.get(settled)
-    assert not await desk.confirmed()
+    """Guards against trusting a deposed leader, and against newer starts and lost attempts."""
+    harness = ConfirmationHarness()
+    await harness.get(settled)
+    assert not await harness.confirmed()
 
 
 async def test_a_report_counts_for_its_lifetime_from_when_it_was_asked_for():
-    """Guards against a report that is held up on its way and looks new when it arrives."""
-    desk = Desk()
-    await desk.get(SETTLED)
+    """Guards against a report that is delayed in transit and seems new when it arrives."""
+    harness = ConfirmationHarness()
+    await harness.get(SETTLED)
     await trio.sleep(REPORT_LIFETIME.total_seconds() - 0.1)
-    desk.link.answer = None
-    await desk.reports._ask(desk.link)
-    assert await desk.confirmed()
+    harness.link.answer = None
+    await harness.reports._fetch_report(harness.link)
+    assert await harness.confirmed()
     await trio.sleep(0.2)
-    assert not await desk.confirmed()
+    assert not await harness.confirmed()
 
 
 async def test_a_leader_that_answers_knows_better_than_its_report():
     """Guards against a report from before a machine restarted."""
-    desk = Desk()
-    await desk.get(SETTLED)
-    desk.answers = (PartitionStartsInDoubt("east", TERM, (JOB,)),)
-    assert not await desk.confirmed()
+    harness = ConfirmationHarness()
+    await harness.get(SETTLED)
+    harness.answers = (PartitionStartsInDoubt("east", TERM, (JOB,)),)
+    assert not await harness.confirmed()
 
 
 async def test_a_later_report_replaces_the_former_one():
-    """Guards against a withdrawn report that is relied on after a later one was acknowledged."""
-    desk = Desk()
-    await desk.get(SETTLED)
-    await desk.get(number=2)
-    assert not await desk.confirmed()
-    await desk.reports._ask(desk.link)
-    assert desk.link.requests[-1] == SettledStartsRequest("b1", 2, (JOB,))
+    """Guards against use of a withdrawn report after a later one was acknowledged."""
+    harness = ConfirmationHarness()
+    await harness.get(SETTLED)
+    await harness.get(number=2)
+    assert not await harness.confirmed()
+    await harness.reports._fetch_report(harness.link)
+    assert harness.link.requests[-1] == SettledStartsRequest("b1", 2, (JOB,))
 
 
 @pytest.mark.parametrize(
-    "spoilt", [b"", b"\x00", SettledStartsReport("b1", 1, (SETTLED,)).pack()[:-1]]
+    "malformed", [b"", b"\x00", SettledStartsReport("b1", 1, (SETTLED,)).pack()[:-1]]
 )
-async def test_a_malformed_report_is_logged_and_counts_as_none(spoilt, caplog):
-    desk = Desk()
-    desk.link.answer = spoilt
-    await desk.reports._ask(desk.link)
-    assert not await desk.confirmed()
+async def test_a_malformed_report_is_logged_and_counts_as_none(malformed, caplog):
+    harness = ConfirmationHarness()
+    harness.link.answer = malformed
+    await harness.reports._fetch_report(harness.link)
+    assert not await harness.confirmed()
     assert "frame-malformed" in caplog.text
-    assert desk.reports._request("node-1", clock.now()).number == 0
+    assert harness.reports._next_request("node-1", clock.now()).number == 0
 
 
 async def test_a_list_of_cancellations_that_was_cut_short_acknowledges_nothing():
-    """Guards against a leader that sends a start anew and has not heard of a confirmation."""
-    desk = Desk()
-    await desk.get(SETTLED)
+    """Guards against a leader that resends a start because it missed a confirmation."""
+    harness = ConfirmationHarness()
+    await harness.get(SETTLED)
     for number in range(MAX_CANCELLATIONS + 1):
-        desk.noted.add(f"run-{number:06d}")
-    request = desk.reports._request("node-1", clock.now())
+        harness.cancellations.add(f"run-{number:06d}")
+    request = harness.reports._next_request("node-1", clock.now())
     assert (request.incarnation, request.number) == ("", 0)
     assert len(request.cancellations) == MAX_CANCELLATIONS
 
 
 async def test_a_report_that_a_successor_relies_on_is_the_last_one_acknowledged_for_a_while():
-    """Guards against a former leader that lives and sends a start anew that it called settled."""
-    desk = Desk()
-    await desk.get(SETTLED)
-    assert desk.reports.take_over("east", TERM) == SETTLED
-    await desk.get(SETTLED, number=2)
-    await desk.get(number=3)
-    assert desk.link.requests[-1].number == 1
-    # Another one of its partitions is acquired meanwhile.
-    await trio.sleep(NO_MORE_STARTS.total_seconds() / 2)
-    await desk.get(SETTLED, number=4)
-    assert desk.reports.take_over("east", TERM) == SETTLED
-    await trio.sleep(NO_MORE_STARTS.total_seconds() * 0.9)
-    assert desk.reports._request("node-1", clock.now()).number == 1
-    await trio.sleep(NO_MORE_STARTS.total_seconds() * 0.2)
-    assert desk.reports._request("node-1", clock.now()).number == 4
+    """Guards against a live former leader that resends a start it reported as settled."""
+    harness = ConfirmationHarness()
+    await harness.get(SETTLED)
+    assert harness.reports.inherit_report("east", TERM) == SETTLED
+    await harness.get(SETTLED, number=2)
+    await harness.get(number=3)
+    assert harness.link.requests[-1].number == 1
+    # Another of the former leader's partitions is acquired in the meantime.
+    await trio.sleep(STALE_STARTS_PERIOD.total_seconds() / 2)
+    await harness.get(SETTLED, number=4)
+    assert harness.reports.inherit_report("east", TERM) == SETTLED
+    await trio.sleep(STALE_STARTS_PERIOD.total_seconds() * 0.9)
+    assert harness.reports._next_request("node-1", clock.now()).number == 1
+    await trio.sleep(STALE_STARTS_PERIOD.total_seconds() * 0.2)
+    assert harness.reports._next_request("node-1", clock.now()).number == 4
 
 
 async def test_a_restarted_peer_gets_its_reports_acknowledged():
-    """Guards against starts of lost tasks that wait for an acknowledgement without need."""
-    desk = Desk()
-    await desk.get(SETTLED)
-    desk.reports.take_over("east", TERM)
-    desk.link.answer = SettledStartsReport("b2", 7, ()).pack()
-    await desk.reports._ask(desk.link)
-    request = desk.reports._request("node-1", clock.now())
+    """Guards against starts of lost tasks that are delayed by a missing acknowledgement."""
+    harness = ConfirmationHarness()
+    await harness.get(SETTLED)
+    harness.reports.inherit_report("east", TERM)
+    harness.link.answer = SettledStartsReport("b2", 7, ()).pack()
+    await harness.reports._fetch_report(harness.link)
+    request = harness.reports._next_request("node-1", clock.now())
     assert (request.incarnation, request.number) == ("b2", 7)
 
 
@@ -205,18 +205,18 @@
     ids=["too-old", "other-partition", "other-term"],
 )
 async def test_a_successor_relies_on_nothing_else(late, partition, term):
-    """Guards against a report that its sender does not stand by any more, or never gave."""
-    desk = Desk()
-    await desk.get(SETTLED)
+    """Guards against a report that has expired or that its sender never made."""
+    harness = ConfirmationHarness()
+    await harness.get(SETTLED)
     await trio.sleep(REPORT_LIFETIME.total_seconds() + 0.01 if late else 0)
-    assert desk.reports.take_over(partition, term) is None
-    await desk.get(SETTLED, number=2)
-    assert desk.reports._request("node-1", clock.now()).number == 2
+    assert harness.reports.inherit_report(partition, term) is None
+    await harness.get(SETTLED, number=2)
+    assert harness.reports._next_request("node-1", clock.now()).number == 2
 
 
 @pytest.mark.parametrize("lost_term", [False, True])
 def test_a_leader_inherits_from_the_term_before_its_own(lost_term):
-    """Guards against a report from before two changes of leader, or with records that were lost."""
+    """Guards against a report from two leaders ago, or from before records were lost."""
     inherited = []
     observer = SimpleNamespace(has_lost_term=lambda _partition: lost_term)
     election = SimpleNamespace(observer=observer)
@@ -233,8 +233,8 @@
     assert inherited == ([] if lost_term else [(REVISION, ())])
 
 
-class LeaderDesk:
-    """A controller that leads the east, and reports."""
+class ReportingLeader:
+    """A controller that leads the east and sends reports."""
 
     def __init__(self):
         self.view = RecordView()
@@ -260,38 +260,38 @@
 
 
 async def test_a_report_names_what_is_unheld_and_what_was_sent():
-    desk = LeaderDesk()
-    (settled,) = desk.ask().partitions
+    harness = ReportingLeader()
+    (settled,) = harness.ask().partitions
     assert settled == SettledStarts("east", TERM, REVISION, ("run-000002", "run-000003"))
 
 
 async def test_with_too_many_unsettled_jobs_there_is_no_report():
-    """Guards against a list that was cut short."""
-    desk = LeaderDesk()
-    desk.unheld = {f"run-{number:06d}" for number in range(MAX_UNSETTLED_JOBS + 1)}
-    assert desk.ask().partitions == ()
+    """Guards against a truncated list of jobs."""
+    harness = ReportingLeader()
+    harness.unheld = {f"run-{number:06d}" for number in range(MAX_UNSETTLED_JOBS + 1)}
+    assert harness.ask().partitions == ()
 
 
 async def test_what_a_peer_confirmed_is_known_before_its_acknowledgement_counts():
-    desk = LeaderDesk()
-    first = desk.ask()
-    withdrawal = desk.context.start_reports.withdraw(clock.now())
-    second = desk.ask("b1", first.number)
-    assert not desk.context.start_reports.is_complete(withdrawal, clock.now())
-    desk.ask("b1", second.number, [JOB])
-    assert desk.context.start_reports.is_complete(withdrawal, clock.now())
-    assert JOB in desk.context.cancellations.jobs
+    harness = ReportingLeader()
+    first = harness.ask()
+    withdrawal = harness.context.start_reports.withdraw(clock.now())
+    second = harness.ask("b1", first.number)
+    assert not harness.context.start_reports.is_complete(withdrawal, clock.now())
+    harness.ask("b1", second.number, [JOB])
+    assert harness.context.start_reports.is_complete(withdrawal, clock.now())
+    assert JOB in harness.context.cancellations.jobs
 
 
 async def test_an_acknowledgement_of_a_former_incarnations_report_does_not_count():
-    """Guards against numbers that begin anew with the process."""
-    desk = LeaderDesk()
-    desk.ask()
-    withdrawal = desk.context.start_reports.withdraw(clock.now())
-    desk.ask("b0", 500)
-    assert not desk.context.start_reports.is_complete(withdrawal, clock.now())
+    """Guards against report numbers that restart with the process."""
+    harness = ReportingLeader()
+    harness.ask()
+    withdrawal = harness.context.start_reports.withdraw(clock.now())
+    harness.ask("b0", 500)
+    assert not harness.context.start_reports.is_complete(withdrawal, clock.now())
 
 
 async def test_a_malformed_request_is_refused():
     with pytest.raises(FrameError):
-        LeaderDesk().service.on_call("node-0", b"\x00")
+        ReportingLeader().service.on_call("node-0", b"\x00")
--- a/roadbend/peers/test_peers.py
+++ b/roadbend/peers/test_peers.py
@@ -120,9 +120,9 @@
 def test_a_question_for_starts_in_doubt_comes_back_as_it_went(message):
     payload = message.pack()
     assert type(message).unpack(payload) == message
-    for spoilt in (payload[:-1], payload + b"x", b""):
+    for malformed in (payload[:-1], payload + b"x", b""):
         with pytest.raises(FrameError):
-            type(message).unpack(spoilt)
+            type(message).unpack(malformed)
 
 
 @pytest.mark.parametrize(
