--- a/roadbend/bidding/messages.py
+++ b/roadbend/bidding/messages.py
@@ -9,7 +9,7 @@
 
 from roadbend.bidding.casa import Bid
 from roadbend.clock import ZERO
-from roadbend.peers.frames import PayloadReader, PayloadWriter, finite
+from roadbend.peers.frames import PayloadReader, PayloadWriter, require_finite
 from roadbend.store.records import JobSpec, Resources
 
 # What stands for an absent duration, and for an absent list of machine types.
@@ -95,11 +95,11 @@
         reader.text(),
         reader.read("?BI"),
     )
-    cpus, gpus, memory = (finite(value) for value in reader.read("ddd"))
+    cpus, gpus, memory = (require_finite(value) for value in reader.read("ddd"))
     count = reader.read_one("h")
     machine_types = None if count < 0 else tuple(reader.text() for _ in range(count))
     zone, (together, apart, spot) = reader.optional_text(), reader.read("???")
-    image, image_gb = reader.text(), finite(reader.read_one("d"))
+    image, image_gb = reader.text(), require_finite(reader.read_one("d"))
     expected_duration, checkpoint, save = (_duration(value) for value in reader.read("ddd"))
     due = _optional_duration(reader.read_one("d"))
     return JobSpec(
@@ -128,7 +128,7 @@
 
 
 def _duration(seconds: float) -> timedelta:
-    return timedelta(seconds=min(MAX_SECONDS, finite(seconds)))
+    return timedelta(seconds=min(MAX_SECONDS, require_finite(seconds)))
 
 
 def _optional_duration(seconds: float) -> timedelta | None:
--- a/roadbend/peers/__init__.py
+++ b/roadbend/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Calls between controllers: binary frames over TCP on the `back` address, and heartbeats."""
+"""Calls and heartbeats between controllers: binary frames over TCP on the `back` address."""
--- a/roadbend/peers/frames.py
+++ b/roadbend/peers/frames.py
@@ -1,7 +1,8 @@
 """Encode and decode frames and their payloads.
 
-A frame: length (4 bytes, of what follows), version (1), kind (1), call number (4), payload. A reply
-carries its call's number and its kind with the top bit set. docs/peers.md describes the payloads.
+A frame: length of the rest (4 bytes), version (1), kind (1), call number (4), payload. A reply has
+the number of its call, and the kind of its call with the top bit set. docs/peers.md describes the
+payloads.
 """
 
 import enum
@@ -15,29 +16,29 @@
 VERSION = 2
 HEADER = struct.Struct("!IBBI")
 LENGTH_BYTES = 4
-# What the length counts beside the payload.
+# The header bytes that the length field counts in addition to the payload.
 COUNTED_HEADER_BYTES = HEADER.size - LENGTH_BYTES
 MAX_PAYLOAD = 256 * 1024
 MAX_TEXT = 0xFFFF
 REPLY_BIT = 0x80
 
-# The end of the incarnation, which every heartbeat brings, of controllers that understand frames
-# about gangs.
+# Suffix of the incarnation, which every heartbeat contains, of controllers that support frames for
+# gangs.
 GANGS_EXTENSION = "+gangs"
-# The same of controllers that answer which cancelled jobs have starts in doubt, too.
+# The suffix of controllers that also answer which cancelled jobs have starts in doubt.
 STARTS_EXTENSION = "+starts" + GANGS_EXTENSION
-# The same of controllers that report which starts are settled, and go on from a machine's token
-# that a peer has raised.
+# The suffix of controllers that also report which starts are settled, and can continue from a
+# machine's fencing token that a peer has raised.
 SETTLED_EXTENSION = "+settled" + STARTS_EXTENSION
 
 
 def supports(incarnation: str, extension: str) -> bool:
-    """Tell from a controller's incarnation whether it understands an extension of version 2."""
+    """Return whether the controller with this incarnation supports an extension of version 2."""
     return incarnation.endswith(extension)
 
 
 class FrameKind(enum.IntEnum):
-    """What a frame is about."""
+    """The kind of a frame."""
 
     HELLO = 1
     HEARTBEAT = 2
@@ -45,23 +46,23 @@
     ASSIGN = 4
     REVOKE = 5
     INFORM = 6
-    # As REQUEST and INFORM, for a gang. They go only to peers with the extension for gangs: others
-    # drop a connection on which a kind comes that they don't know.
+    # Like REQUEST and INFORM, for a gang. Sent only to peers with the gangs extension: others close
+    # a connection on which they receive a frame of unknown kind.
     GANG_REQUEST = 7
     GANG_INFORM = 8
-    # Asks which cancelled jobs have starts in doubt. It goes only to peers with the extension for
-    # starts.
+    # Queries which cancelled jobs have starts in doubt. Sent only to peers with the starts
+    # extension.
     STARTS_IN_DOUBT = 9
-    # Asks for a report of settled starts. It goes only to peers with the extension for that.
+    # Requests a report of settled starts. Sent only to peers with the settled extension.
     SETTLED_STARTS = 10
 
 
 class FrameError(PermanentError):
-    """Not a frame of this protocol; the connection is dropped."""
+    """A malformed or unexpected frame; the connection is closed."""
 
 
 class Frame(NamedTuple):
-    """A frame as it came; its kind may be unknown, and has the top bit set in a reply."""
+    """A received frame; its kind may be unknown, and has the top bit set in a reply."""
 
     kind: int
     number: int
@@ -75,7 +76,7 @@
     return HEADER.pack(len(payload) + COUNTED_HEADER_BYTES, VERSION, kind, number) + payload
 
 
-def finite(value: float) -> float:
+def require_finite(value: float) -> float:
     """Return a finite number that is not negative; raise `FrameError` for any other."""
     if not math.isfinite(value) or value < 0:
         raise FrameError("number")
@@ -83,15 +84,15 @@
 
 
 class FrameDecoder:
-    """Cuts a stream of bytes into frames."""
+    """Splits a byte stream into frames."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
 
     def feed(self, data: bytes | bytearray) -> Iterator[Frame]:
-        """Take in bytes, and yield the frames that are whole now.
+        """Append received bytes, and yield the frames that are complete.
 
-        Raises `FrameError` at the first one that is malformed.
+        Raises `FrameError` at the first malformed frame.
         """
         buffer = self._buffer
         buffer += data
@@ -113,48 +114,48 @@
     """Encodes a frame's payload, value by value."""
 
     def __init__(self) -> None:
-        self._parts: list[bytes] = []
+        self._chunks: list[bytes] = []
 
     def put(self, layout: str, *values: float) -> "PayloadWriter":
-        """Append numbers in a layout of the module `struct`, big-endian."""
-        self._parts.append(struct.pack("!" + layout, *values))
+        """Append numbers in a big-endian `struct` layout."""
+        self._chunks.append(struct.pack("!" + layout, *values))
         return self
 
     def text(self, value: str) -> "PayloadWriter":
-        """Append text: its length in two bytes, and UTF-8."""
+        """Append a text: its length in two bytes, then its UTF-8 bytes."""
         data = value.encode()
         if len(data) > MAX_TEXT:
             raise FrameError("text too long")
         self.put("H", len(data))
-        self._parts.append(data)
+        self._chunks.append(data)
         return self
 
     def optional_text(self, value: str | None) -> "PayloadWriter":
-        """Append whether there is a text, and the text if there is one."""
+        """Append a flag for whether there is a text, then the text if there is one."""
         self.put("?", value is not None)
         return self if value is None else self.text(value)
 
     def texts(self, values: tuple[str, ...]) -> "PayloadWriter":
-        """Append texts: their count in two bytes, and each."""
+        """Append texts: their count in two bytes, then each of them."""
         self.put("H", len(values))
         for value in values:
             self.text(value)
         return self
 
     def payload(self) -> bytes:
-        """Return all that was appended."""
-        return b"".join(self._parts)
+        """Return the encoded payload."""
+        return b"".join(self._chunks)
 
 
 class PayloadReader:
-    """Decodes a frame's payload, value by value; raises `FrameError` where it is malformed."""
+    """Decodes a frame's payload, value by value; raises `FrameError` if it is malformed."""
 
     def __init__(self, payload: bytes) -> None:
         self._payload = payload
         self._position = 0
 
     def read(self, layout: str) -> tuple[Any, ...]:
-        """Read numbers in a layout of the module `struct`, big-endian."""
+        """Read numbers in a big-endian `struct` layout."""
         layout = "!" + layout
         try:
             values = struct.unpack_from(layout, self._payload, self._position)
@@ -168,7 +169,7 @@
         return self.read(layout)[0]
 
     def text(self) -> str:
-        """Read text."""
+        """Read a text that `PayloadWriter.text` wrote."""
         length = self.read_one("H")
         end = self._position + length
         if end > len(self._payload):
@@ -181,14 +182,14 @@
         return value
 
     def optional_text(self) -> str | None:
-        """Read what `PayloadWriter.optional_text` wrote."""
+        """Read a text, or None, that `PayloadWriter.optional_text` wrote."""
         return self.text() if self.read_one("?") else None
 
     def texts(self) -> tuple[str, ...]:
-        """Read texts."""
+        """Read texts that `PayloadWriter.texts` wrote."""
         return tuple(self.text() for _ in range(self.read_one("H")))
 
     def expect_end(self) -> None:
-        """Raise `FrameError` unless all has been read."""
+        """Raise `FrameError` unless the whole payload has been read."""
         if self._position != len(self._payload):
             raise FrameError("bytes left over")
--- a/roadbend/peers/heartbeat.py
+++ b/roadbend/peers/heartbeat.py
@@ -1,4 +1,4 @@
-"""The heartbeats of controllers, and what is known of a peer by them."""
+"""Heartbeats between controllers, and the state of a peer that they provide."""
 
 from dataclasses import dataclass, field
 from datetime import datetime, timedelta
@@ -7,17 +7,17 @@
 from roadbend.clock import DRIFT, ZERO
 from roadbend.peers.frames import PayloadReader, PayloadWriter, supports
 
-# A peer that was heard this lately counts as alive.
+# A peer counts as alive if it answered a heartbeat within this time.
 ALIVE_FOR = timedelta(seconds=3.5)
-# What stands in a frame for the age of a contact that never was; other durations end at it.
+# Encodes a contact age of None; also the upper limit of other encoded durations.
 _NO_CONTACT = 0xFFFFFFFF
-# Durations in a heartbeat are whole milliseconds; one more keeps out what was told at the very edge
-# of the list.
+# Durations in a heartbeat are whole milliseconds. The second millisecond excludes a cancellation
+# that was confirmed exactly at the start of the span that the list covers.
 _ROUNDING = timedelta(milliseconds=2)
 
 
 class RequestRates(NamedTuple):
-    """What a controller used of the common limits lately, a second."""
+    """The request rates per second that a controller recently used of the shared limits."""
 
     state_requests: float
     state_changes: float
@@ -26,16 +26,18 @@
 
 @dataclass(frozen=True)
 class PeerHeartbeat:
-    """What a controller tells each of the others every second."""
+    """The state that a controller reports to each of the others every second."""
 
     incarnation: str
     uptime: timedelta
-    # Age of the last answered read of the state store; None: none since the process began.
+    # Time since the last answered read of the state store began; None: none since the process
+    # started.
     contact_age: timedelta | None
     request_rates: RequestRates
     # The partitions that the sender leads, with their terms.
     led_partitions: dict[str, int] = field(default_factory=dict)
-    # Machines heard lately by partition, for partitions that the sender does not lead.
+    # Machines that recently sent heartbeats to this sender, by partition, for partitions that it
+    # does not lead.
     reporting_machines: dict[str, tuple[str, ...]] = field(default_factory=dict)
     # Cancellations that the sender confirmed to users, complete for the last `cancellations_span`.
     cancellations_span: timedelta = ZERO
@@ -94,14 +96,14 @@
 
 @dataclass
 class PeerState:
-    """What is known of a peer by its last answer to a heartbeat."""
+    """The state of a peer according to its last reply to a heartbeat."""
 
     heartbeat: PeerHeartbeat | None = None
-    # When the heartbeat that it answered was sent, and when the answer came.
+    # When the heartbeat that it answered was sent, and when its reply was received.
     requested_at: datetime | None = None
     received_at: datetime | None = None
-    # All cancellations that the peer confirmed to users before this instant are known here, by its
-    # own word.
+    # All cancellations that the peer confirmed to users before this time are known here, from the
+    # peer's own lists.
     cancellation_watermark: datetime | None = None
 
     def update(
@@ -111,12 +113,13 @@
         now: datetime,
         contact: datetime | None,
     ) -> None:
-        """Take in an answer that came now, and raise the cancellation watermark if it may be.
+        """Store a reply received now, and advance the cancellation watermark if possible.
 
-        `contact` is when our last answered read of the state store began. The peer's list closes
-        the gap only if it goes back to what we had, in one life of that process: what a former
-        process confirmed to users, this one can't know. The peer counted back from when it
-        answered, which may have been as late as now, on a clock that may run faster than ours.
+        `contact` is when our last answered read of the state store began. The watermark advances
+        only if the peer's list reaches back to the time up to which we knew its cancellations, and
+        the peer's process has run since then: it can't know what a former process confirmed to
+        users. The peer measures the span back from when it replied, which may be as late as now,
+        and its clock may run faster than ours.
         """
         known_until = self.cancellations_known_until(contact)
         covered = min(heartbeat.uptime, heartbeat.cancellations_span) * (1 - DRIFT) - _ROUNDING
@@ -125,20 +128,20 @@
         self.heartbeat, self.requested_at, self.received_at = heartbeat, requested_at, now
 
     def cancellations_known_until(self, contact: datetime | None) -> datetime | None:
-        """Return before which instant all of the peer's cancellations are known here.
+        """Return the time up to which all of the peer's cancellations are known here.
 
-        They are known from the records, or from the peer's own word. None: nothing is known.
+        They are known from the records, or from the peer's own lists. None: nothing is known.
         """
         known = [at for at in (self.cancellation_watermark, contact) if at is not None]
         return max(known) if known else None
 
     def alive(self, now: datetime) -> bool:
-        """Tell whether the peer was heard lately."""
+        """Return whether the peer answered a heartbeat recently."""
         return self.received_at is not None and now - self.received_at < ALIVE_FOR
 
     def supports(self, extension: str) -> bool:
-        """Tell whether the peer understands an extension of version 2 of the frames.
+        """Return whether the peer supports an extension of version 2 of the frames.
 
-        One that has not been heard may not.
+        False for a peer that has never answered a heartbeat.
         """
         return self.heartbeat is not None and supports(self.heartbeat.incarnation, extension)
--- a/roadbend/peers/incoming.py
+++ b/roadbend/peers/incoming.py
@@ -1,4 +1,4 @@
-"""Answer the calls that come over one connection from another controller."""
+"""Answer the calls on a connection from another controller."""
 
 from collections.abc import Callable, Container, Mapping
 
@@ -8,12 +8,12 @@
 from roadbend.peers.frames import REPLY_BIT, Frame, FrameDecoder, FrameError, FrameKind
 
 RECEIVE_BYTES = 65536
-# Seconds within which the first frame must come, any later one, and a reply must be taken.
+# Timeouts in seconds: for the first frame, for each later one, and for sending replies.
 HELLO_TIMEOUT = 5
 IDLE_TIMEOUT = 30
 REPLY_TIMEOUT = 5
 
-# Gets the sender's name and a payload, and returns the reply's payload; None: no reply.
+# Receives the sender's name and a payload, and returns the reply's payload; None: no reply.
 Handler = Callable[[str, bytes], bytes | None]
 
 
@@ -23,7 +23,7 @@
     def __init__(
         self, stream: trio.abc.Stream, peers: Container[str], handlers: Mapping[int, Handler]
     ) -> None:
-        # Who sent the first frame; None until it has come.
+        # The controller named in the first frame; None until that is received.
         self.sender: str | None = None
         self._stream = stream
         self._peers = peers
@@ -31,7 +31,7 @@
         self._decoder = FrameDecoder()
 
     async def run(self) -> None:
-        """Answer calls until the peer ends the connection.
+        """Answer calls until the peer closes the connection.
 
         Raises `FrameError` for a malformed or unknown frame, `trio.TooSlowError` for silence, and
         what the stream raises.
@@ -50,20 +50,20 @@
         replies = b""
         for frame in self._decoder.feed(data):
             if self.sender is None:
-                self._greet(frame)
+                self._identify_sender(frame)
             else:
                 replies += self._call_handler(self.sender, frame)
         return replies
 
-    def _greet(self, frame: Frame) -> None:
+    def _identify_sender(self, frame: Frame) -> None:
         self.sender = frame.payload.decode("utf-8", "replace")
         if frame.kind != FrameKind.HELLO or self.sender not in self._peers:
-            raise FrameError("no hello")
+            raise FrameError("first frame is not a hello from a known peer")
 
     def _call_handler(self, sender: str, frame: Frame) -> bytes:
         handler = self._handlers.get(frame.kind)
         if handler is None:
-            raise FrameError(f"kind {frame.kind}")
+            raise FrameError(f"unknown frame kind {frame.kind}")
         reply = handler(sender, frame.payload)
         if reply is None:
             return b""
--- a/roadbend/peers/links.py
+++ b/roadbend/peers/links.py
@@ -1,7 +1,7 @@
 """Links to the other controllers: calls with replies, and a heartbeat every second.
 
-Each controller opens a connection to every other one. Calls go one way, their replies come back on
-the same connection.
+Each controller opens a connection to every other one. It sends its calls on that connection, and
+receives their replies on it.
 """
 
 import contextlib
@@ -27,16 +27,16 @@
 
 HEARTBEAT_INTERVAL = timedelta(seconds=1)
 HEARTBEAT_TIMEOUT = timedelta(seconds=1.5)
-# After so many heartbeats in a row without an answer the connection is opened anew.
+# After this many consecutive heartbeats without a reply, the connection is reopened.
 MAX_MISSED_HEARTBEATS = 2
 # Seconds.
 CONNECT_TIMEOUT = 2
 NOTIFY_TIMEOUT = 0.5
-RECONNECT_FIRST = timedelta(milliseconds=200)
-RECONNECT_MOST = timedelta(seconds=1)
-# Connections that other controllers may have open here; those beyond are closed at once.
+MIN_RECONNECT_DELAY = timedelta(milliseconds=200)
+MAX_RECONNECT_DELAY = timedelta(seconds=1)
+# Incoming connections from other controllers; further ones are closed at once.
 MAX_INCOMING = 32
-# Calls that wait for a peer's reply; those beyond count as unanswered.
+# Calls per peer that wait for a reply; further ones fail at once with `NoReplyError`.
 MAX_WAITING = 256
 MAX_CALL_NUMBER = 0xFFFFFFFF
 
@@ -46,17 +46,17 @@
 
 
 class HeartbeatExchange(Protocol):
-    """Builds the heartbeats that peers get, and takes in their answers."""
+    """Builds the heartbeats sent to peers, and processes their replies."""
 
     def build(self) -> PeerHeartbeat:
-        """Build a heartbeat of what is known now."""
+        """Build a heartbeat from the current state."""
 
     def on_reply(self, link: "Link", heartbeat: PeerHeartbeat, requested_at: datetime) -> None:
-        """Take in a peer's answer to a heartbeat that was sent at `requested_at`."""
+        """Process a peer's reply to a heartbeat that was sent at `requested_at`."""
 
 
 class Link:
-    """The connection to one other controller, and what is known of it."""
+    """The connection to another controller, and the last known state of that."""
 
     def __init__(self, net: Net, peer: Peer, controller: str, rng: random.Random) -> None:
         self.peer = peer
@@ -67,15 +67,15 @@
         self._stream: trio.abc.Stream | None = None
         self._sending = trio.Lock()
         self._last_number = 0
-        # The calls that wait for a reply, by number.
+        # The calls that wait for a reply, by call number.
         self._waiting: dict[int, trio.MemorySendChannel[bytes]] = {}
 
     def alive(self, now: datetime) -> bool:
-        """Tell whether the peer was heard lately."""
+        """Return whether the peer answered a heartbeat recently."""
         return self.peer_state.alive(now)
 
     async def call(self, kind: FrameKind, payload: bytes, within: timedelta) -> bytes:
-        """Send a call, and return its reply's payload; raise `NoReplyError` if none comes."""
+        """Send a call and return its reply's payload; raise `NoReplyError` if none is received."""
         if self._stream is None or len(self._waiting) >= MAX_WAITING:
             raise NoReplyError(self.peer.name)
         self._last_number = (self._last_number + 1) & MAX_CALL_NUMBER
@@ -97,7 +97,7 @@
             self._waiting.pop(number, None)
 
     async def notify(self, kind: FrameKind, payload: bytes) -> None:
-        """Send what needs no reply; raise `NoReplyError` if it can't be sent."""
+        """Send a call that needs no reply; raise `NoReplyError` if it can't be sent."""
         try:
             with trio.fail_after(NOTIFY_TIMEOUT):
                 await self._send(frames.pack(kind, 0, payload))
@@ -109,26 +109,26 @@
             stream = self._stream
             if stream is None:
                 raise trio.BrokenResourceError
-            whole = False
+            is_sent = False
             try:
                 await stream.send_all(data)
-                whole = True
+                is_sent = True
             finally:
-                # A frame that was cut short would spoil all that follow.
-                if not whole and self._stream is stream:
+                # After a partially sent frame the peer could not decode those that follow.
+                if not is_sent and self._stream is stream:
                     self._stream = None
                     await trio.aclose_forcefully(stream)
 
     async def run(self, exchange: HeartbeatExchange) -> None:
-        """Keep a connection open and heartbeats going, for ever."""
-        backoff = Backoff(RECONNECT_FIRST, RECONNECT_MOST, self._rng)
+        """Keep a connection open and exchange heartbeats on it, until cancelled."""
+        backoff = Backoff(MIN_RECONNECT_DELAY, MAX_RECONNECT_DELAY, self._rng)
         while True:
             try:
                 await self._run_connection(exchange, backoff)
             except (OSError, trio.TooSlowError, trio.BrokenResourceError, trio.ClosedResourceError):
                 pass
             except Exception:
-                # Whatever failed, the peer must be reached again.
+                # After any failure the link must reconnect.
                 log.crash("peer-link-failed", peer=self.peer.name)
             for send in list(self._waiting.values()):
                 send.close()
@@ -149,7 +149,7 @@
             await trio.aclose_forcefully(stream)
 
     async def exchange_heartbeats(self, exchange: HeartbeatExchange) -> bool:
-        """Exchange heartbeats once; return whether the peer has taken in ours."""
+        """Exchange heartbeats once; return whether the peer has received ours."""
         requested_at = clock.now()
         try:
             reply = await self.call(FrameKind.HEARTBEAT, exchange.build().pack(), HEARTBEAT_TIMEOUT)
@@ -159,7 +159,7 @@
         return True
 
     async def _send_heartbeats(self, exchange: HeartbeatExchange, scope: trio.CancelScope) -> None:
-        """Exchange heartbeats every second, until the peer misses too many."""
+        """Exchange heartbeats every second, until too many in a row are not answered."""
         missed = 0
         while True:
             if await self.exchange_heartbeats(exchange):
@@ -172,14 +172,14 @@
             await clock.pause(HEARTBEAT_INTERVAL)
 
     async def _read_replies(self, stream: trio.abc.Stream, scope: trio.CancelScope) -> None:
-        """Hand replies to the calls that wait for them, until the connection ends."""
+        """Pass replies to the calls that wait for them, until the connection ends."""
         decoder = FrameDecoder()
         try:
             while data := await stream.receive_some(RECEIVE_BYTES):
                 for kind, number, payload in decoder.feed(data):
                     waiting = self._waiting.get(number)
                     if waiting is not None and kind & REPLY_BIT:
-                        # A call that has given up, or has its reply already, needs none.
+                        # The call may have timed out, or have its reply already.
                         with contextlib.suppress(trio.WouldBlock, trio.BrokenResourceError):
                             waiting.send_nowait(payload)
         except (OSError, trio.BrokenResourceError, trio.ClosedResourceError):
@@ -190,7 +190,7 @@
 
 
 class Peers:
-    """The links to all other controllers, and the calls that come from them."""
+    """The links to all other controllers, and the handlers of calls from them."""
 
     def __init__(
         self,
@@ -201,22 +201,22 @@
     ) -> None:
         rng = rng or random.Random()
         self.links = {peer.name: Link(net, peer, controller, rng) for peer in peers}
-        # What answers calls, by the kind of frame.
+        # The handlers of calls, by frame kind.
         self.handlers: dict[int, Handler] = {}
         self._incoming = 0
 
     def alive(self, now: datetime) -> list[str]:
-        """List the controllers that were heard lately."""
+        """Return the controllers that answered a heartbeat recently."""
         return [name for name, link in self.links.items() if link.alive(now)]
 
     def reporting_machines(self, partition: str, now: datetime) -> Iterator[tuple[str, ...]]:
-        """Yield which machines of a partition each live controller hears without leading it."""
+        """Yield the partition's machines that send heartbeats to each live non-leader."""
         for link in self.links.values():
             if link.alive(now) and link.peer_state.heartbeat is not None:
                 yield link.peer_state.heartbeat.reporting_machines.get(partition, ())
 
     async def serve(self, stream: trio.abc.Stream) -> None:
-        """Answer the calls of one connection until it ends."""
+        """Answer the calls on an incoming connection until it ends."""
         if self._incoming >= MAX_INCOMING:
             await trio.aclose_forcefully(stream)
             return
@@ -229,7 +229,7 @@
         except (OSError, trio.BrokenResourceError, trio.ClosedResourceError, trio.TooSlowError):
             pass
         except Exception:
-            # A handler's fault must not end the controller; the peer opens the connection anew.
+            # A failing handler must not stop the controller; the peer reconnects.
             log.crash("peer-connection-failed", peer=connection.sender)
         finally:
             self._incoming -= 1
--- a/roadbend/peers/settled_starts.py
+++ b/roadbend/peers/settled_starts.py
@@ -1,4 +1,4 @@
-"""Frames by which controllers report to each other which starts are settled."""
+"""Frames in which controllers report to each other which starts are settled."""
 
 from typing import NamedTuple
 
@@ -6,12 +6,12 @@
 
 
 class SettledStartsRequest(NamedTuple):
-    """Asks a controller for its report, and acknowledges the last one."""
+    """Requests a controller's next report, and acknowledges the last one received."""
 
-    # The incarnation and the number of the last report that came; empty and 0: none.
+    # The incarnation and the number of the last report received; empty and 0: none.
     incarnation: str
     number: int
-    # Cancellations that the sender has noted lately, by whatever report it confirmed them.
+    # Cancellations that the sender recently recorded, whichever report it confirmed them by.
     cancellations: tuple[str, ...]
 
     def pack(self) -> bytes:
@@ -29,23 +29,23 @@
 
 
 class SettledStarts(NamedTuple):
-    """What the leader of a partition says about its starts.
+    """A leader's report of the starts in its partition.
 
-    Every attempt that was recorded at `revision` or before is terminated, or its machine holds it,
-    unless it is one of `unsettled_jobs`.
+    Every attempt that was recorded at `revision` or before is terminated or held by its machine,
+    unless it belongs to one of `unsettled_jobs`.
     """
 
     partition: str
-    # Of the leadership under which it says so.
+    # The term of the reporting leader.
     term: int
     revision: int
     unsettled_jobs: tuple[str, ...]
 
 
 class SettledStartsReport(NamedTuple):
-    """What a controller says for each partition that it leads, and for which it can say it."""
+    """A controller's report for the partitions that it leads, as far as it can make one."""
 
-    # The sender's incarnation, and the report's number in it.
+    # The sender's incarnation, and the report's number within that incarnation.
     incarnation: str
     number: int
     partitions: tuple[SettledStarts, ...]
--- a/roadbend/peers/starts_in_doubt.py
+++ b/roadbend/peers/starts_in_doubt.py
@@ -1,4 +1,4 @@
-"""Frames by which a controller asks leaders whether starts of cancelled jobs may be carried out."""
+"""Frames that query leaders for starts of cancelled jobs that may still be carried out."""
 
 from collections.abc import Mapping
 from typing import NamedTuple
@@ -7,7 +7,7 @@
 
 
 class StartsInDoubtRequest(NamedTuple):
-    """Asks a controller about cancelled jobs; with that it knows that they are cancelled."""
+    """Queries a controller about cancelled jobs; it also notifies it of their cancellation."""
 
     jobs: tuple[str, ...]
 
@@ -25,20 +25,20 @@
 
 
 class PartitionStartsInDoubt(NamedTuple):
-    """What the leader of a partition says about the jobs that it was asked about."""
+    """A leader's answer for its partition about the queried jobs."""
 
     partition: str
-    # Of the leadership under which it says so.
+    # The term of the answering leader.
     term: int
-    # Those of which a start may still be carried out on a machine of the partition.
+    # The queried jobs of which a start may still be carried out on a machine of the partition.
     jobs: tuple[str, ...]
 
 
 class StartsInDoubtReply(NamedTuple):
-    """The answer of a controller, for each partition that it leads."""
+    """A controller's answer for each partition that it leads."""
 
     partitions: tuple[PartitionStartsInDoubt, ...]
-    # The latest terms of all partitions by the sender's records; empty until it has read them.
+    # The latest terms of all partitions in the sender's records; empty until it has read them.
     terms: Mapping[str, int]
 
     def pack(self) -> bytes:
--- a/roadbend/peers/test_peers.py
+++ b/roadbend/peers/test_peers.py
@@ -79,23 +79,23 @@
     t = clock.ORIGIN + 1000 * S
     alive = PeerHeartbeat("b1", 500 * S, 20 * S, RequestRates(0, 0, 0), cancellations_span=100 * S)
     assert known(alive, t, t - 20 * S).cancellations_known_until(t - 20 * S) == t
-    # It restarted after our last contact: what its former process told users is unknown.
+    # It restarted after our last contact: what its former process confirmed is unknown.
     newborn = PeerHeartbeat("b2", 5 * S, None, RequestRates(0, 0, 0), cancellations_span=100 * S)
     assert known(newborn, t, t - 20 * S).cancellations_known_until(t - 20 * S) == t - 20 * S
-    # Its list does not go back far enough.
+    # Its list does not reach back far enough.
     short = PeerHeartbeat("b1", 500 * S, 20 * S, RequestRates(0, 0, 0), cancellations_span=10 * S)
     assert known(short, t, t - 20 * S).cancellations_known_until(t - 20 * S) == t - 20 * S
-    # It may have counted back from when its answer came, not from when it was asked: it restarted
-    # just after our last contact, and its answer took 1.4 s.
+    # It may have measured the span back from when its reply was received, not from when the request
+    # was sent: it restarted just after our last contact, and its reply took 1.4 s.
     slow = PeerHeartbeat("b2", 1.2 * S, None, RequestRates(0, 0, 0), cancellations_span=100 * S)
     assert known(slow, t, t - 1 * S, 1.4 * S).cancellations_known_until(t - 1 * S) == t - 1 * S
     assert (
         known(slow, t, t - 1.3 * S, 1.4 * S).cancellations_known_until(t - 1.3 * S) == t - 1.3 * S
     )
-    # Its clock may run fast, and what it told at the very edge of its list may have been cut off.
+    # Its clock may run fast, and its list may lack what it confirmed at the very start of the span.
     edge = PeerHeartbeat("b1", 500 * S, 20 * S, RequestRates(0, 0, 0), cancellations_span=20 * S)
     assert known(edge, t, t - 20 * S).cancellations_known_until(t - 20 * S) == t - 20 * S
-    # Without any contact of our own there is nothing to build on.
+    # Without any contact of our own nothing is known.
     assert known(alive, t, None).cancellations_known_until(None) is None
 
 
@@ -107,7 +107,7 @@
 
 
 def test_a_question_for_starts_in_doubt_has_these_bytes():
-    """Controllers of different versions ask each other."""
+    """Controllers of different versions exchange these frames."""
     assert REQUEST.pack().hex() == "0002000572756e2d31000572756e2d32"
     assert REPLY.pack().hex() == (
         "0002000465617374000001000000000000010005" + b"run-2".hex() + "00056e6f727468"
--- a/roadbend/peers/test_settled_starts.py
+++ b/roadbend/peers/test_settled_starts.py
@@ -30,7 +30,7 @@
 
 @pytest.mark.parametrize("message", [REQUEST, REPORT], ids=["request", "report"])
 def test_a_truncated_or_longer_one_is_malformed(message):
-    """Guards against a cut list that counts as `nothing is in doubt`."""
+    """Guards against a truncated list of jobs being read as `nothing is in doubt`."""
     payload = message.pack()
     assert type(message).unpack(payload) == message
     for end in range(len(payload)):
