--- a/roadbend/controller/cancellation_check.py
+++ b/roadbend/controller/cancellation_check.py
@@ -9,9 +9,13 @@
 
     # The leaders of all partitions answered, without a read of the records.
     ALL_LEADERS = "all-leaders"
+    # The leader of the partition answered that it has no start in doubt.
     LEADER = "leader"
+    # The leader's last report lists all starts of the job as settled.
     REPORT = "report"
+    # The machines hold the attempts, or refuse their starts.
     MACHINES = "machines"
+    # No start can be carried out after this much time, whatever fails.
     TIME = "time"
 
 
--- a/roadbend/controller/machine_evidence.py
+++ b/roadbend/controller/machine_evidence.py
@@ -29,7 +29,7 @@
     def _followed_term(self, partition: str) -> int | None:
         """Return the partition's term if its leader can continue from a token that a peer raised.
 
-        Under any other leader, the machine's lease would not be renewed and expire.
+        The machine would refuse the answers of any other leader, and its lease would expire.
         """
         term = self._view.terms.get(partition)
         leader = self._view.partition_leaders.get(partition)
--- a/roadbend/partitions/election.py
+++ b/roadbend/partitions/election.py
@@ -35,8 +35,8 @@
 
 log = Log("partitions")
 
-# A leader starts tasks only if it has read the records within this time. So after a cancellation is
-# recorded, it is known from when on no leader can start the job's tasks in ignorance of it.
+# A leader starts tasks only if it has read the records within this time. So it is known how long
+# after a cancellation was recorded a leader may still start the job's tasks in ignorance of it.
 START_FRESHNESS = timedelta(seconds=2)
 # Partitions are acquired, released and failed back only if the records were read within this time.
 DECISION_FRESHNESS = timedelta(seconds=2)
--- a/roadbend/peers/heartbeat.py
+++ b/roadbend/peers/heartbeat.py
@@ -36,7 +36,7 @@
     request_rates: RequestRates
     # The partitions that the sender leads, with their terms.
     led_partitions: dict[str, int] = field(default_factory=dict)
-    # Machines that recently sent heartbeats to this sender, by partition, for partitions that it
+    # Machines that recently sent heartbeats to the sender, by partition, for partitions that it
     # does not lead.
     reporting_machines: dict[str, tuple[str, ...]] = field(default_factory=dict)
     # Cancellations that the sender confirmed to users, complete for the last `cancellations_span`.
--- a/roadbend/peers/links.py
+++ b/roadbend/peers/links.py
@@ -56,7 +56,7 @@
 
 
 class Link:
-    """The connection to another controller, and the last known state of that."""
+    """The connection to another controller, and the last known state of that controller."""
 
     def __init__(self, net: Net, peer: Peer, controller: str, rng: random.Random) -> None:
         self.peer = peer
@@ -210,7 +210,7 @@
         return [name for name, link in self.links.items() if link.alive(now)]
 
     def reporting_machines(self, partition: str, now: datetime) -> Iterator[tuple[str, ...]]:
-        """Yield the partition's machines that send heartbeats to each live non-leader."""
+        """Yield, for each live peer, the machines that send it heartbeats as a non-leader."""
         for link in self.links.values():
             if link.alive(now) and link.peer_state.heartbeat is not None:
                 yield link.peer_state.heartbeat.reporting_machines.get(partition, ())
