--- a/roadbend/controller/availability.py
+++ b/roadbend/controller/availability.py
@@ -42,4 +42,4 @@
     heartbeat, received_at = peer.heartbeat, peer.received_at
     if heartbeat is None or received_at is None or now - received_at > PEER_HEARTBEAT_FRESHNESS:
         return False
-    return heartbeat.contact_age is not None and heartbeat.contact_age < PEER_CONTACT_FRESHNESS
+    return heartbeat.last_read_age is not None and heartbeat.last_read_age < PEER_CONTACT_FRESHNESS
--- a/roadbend/controller/heartbeats.py
+++ b/roadbend/controller/heartbeats.py
@@ -44,7 +44,7 @@
         return PeerHeartbeat(
             incarnation=self._incarnation,
             uptime=now - self.began_at,
-            contact_age=None if contact is None else now - contact,
+            last_read_age=None if contact is None else now - contact,
             request_rates=RequestRates(*self._budget.used, self._cloud.used),
             led_partitions={
                 partition: leadership.term
--- a/roadbend/partitions/policy.py
+++ b/roadbend/partitions/policy.py
@@ -32,7 +32,7 @@
 ]
 
 # A partition fails back only to a controller that has read the records within this time.
-FAILBACK_CONTACT_AGE = timedelta(seconds=2)
+FAILBACK_MAX_READ_AGE = timedelta(seconds=2)
 
 
 def decide(
@@ -160,12 +160,12 @@
     """Return whether a peer answers heartbeats and has read the records recently."""
     if not peer.alive(now) or peer.heartbeat is None:
         return False
-    contact_age = peer.heartbeat.contact_age
-    return contact_age is not None and contact_age <= FAILBACK_CONTACT_AGE
+    last_read_age = peer.heartbeat.last_read_age
+    return last_read_age is not None and last_read_age <= FAILBACK_MAX_READ_AGE
 
 
 def renew_until(
-    contact: datetime | None,
+    last_read_at: datetime | None,
     peers: Iterable[PeerState],
     cancel_within: timedelta,
     lease: timedelta,
@@ -180,9 +180,10 @@
     `cancel_within - lease` after that time at the latest, less clock drift and margin.
     docs/meetings.md has the full argument.
     """
-    if contact is None:
+    if last_read_at is None:
         return None
     known = min(
-        (peer.cancellations_known_until(contact) or contact for peer in peers), default=contact
+        (peer.cancellations_known_until(last_read_at) or last_read_at for peer in peers),
+        default=last_read_at,
     )
     return known + (cancel_within - lease) * (1 - 2 * DRIFT) - margin
--- a/roadbend/partitions/test_election.py
+++ b/roadbend/partitions/test_election.py
@@ -15,9 +15,9 @@
 T = clock.ORIGIN + 1000 * S
 
 
-def until(contact, *watermarks):
+def until(last_read_at, *watermarks):
     peers = [PeerState(cancellation_watermark=at) for at in watermarks]
-    return policy.renew_until(contact, peers, 38 * S, 18 * S, 2 * S)
+    return policy.renew_until(last_read_at, peers, 38 * S, 18 * S, 2 * S)
 
 
 def test_a_refused_controller_renews_only_as_long_as_a_cancellation_leaves_time():
--- a/roadbend/partitions/test_policy.py
+++ b/roadbend/partitions/test_policy.py
@@ -119,8 +119,8 @@
 def test_a_partition_does_not_fail_back_to_a_controller_that_could_not_lead_it():
     state, known = partition(recorded=OURS, leadership=LEADING), controllers(n2=T - 100 * S)
     peer = known.peers["n2"]
-    for contact_age in (None, 2.1 * S):
-        heartbeat = replace(peer.heartbeat, contact_age=contact_age)
+    for last_read_age in (None, 2.1 * S):
+        heartbeat = replace(peer.heartbeat, last_read_age=last_read_age)
         deaf = replace(known, peers={"n2": replace(peer, heartbeat=heartbeat)})
         assert decision(state, deaf).action is Action.NOTHING
     silent = replace(known, peers={"n2": replace(peer, received_at=T - 10 * S)})
--- a/roadbend/peers/heartbeat.py
+++ b/roadbend/peers/heartbeat.py
@@ -9,8 +9,8 @@
 
 # A peer counts as alive if it answered a heartbeat within this time.
 ALIVE_FOR = timedelta(seconds=3.5)
-# Encodes a contact age of None; also the upper limit of other encoded durations.
-_NO_CONTACT = 0xFFFFFFFF
+# Encodes a last read age of None; also the upper limit of other encoded durations.
+_NEVER = 0xFFFFFFFF
 # Durations in a heartbeat are whole milliseconds. The second millisecond excludes a cancellation
 # that was confirmed exactly at the start of the span that the list covers.
 _ROUNDING = timedelta(milliseconds=2)
@@ -32,7 +32,7 @@
     uptime: timedelta
     # Time since the last answered read of the state store began; None: none since the process
     # started.
-    contact_age: timedelta | None
+    last_read_age: timedelta | None
     request_rates: RequestRates
     # The partitions that the sender leads, with their terms.
     led_partitions: dict[str, int] = field(default_factory=dict)
@@ -46,8 +46,8 @@
     def pack(self) -> bytes:
         """Encode the payload of a frame."""
         writer = PayloadWriter().text(self.incarnation).put("Q", _milliseconds(self.uptime))
-        writer.put("I", _contact_milliseconds(self.contact_age))
-        span = min(_milliseconds(self.cancellations_span), _NO_CONTACT)
+        writer.put("I", _read_age_milliseconds(self.last_read_age))
+        span = min(_milliseconds(self.cancellations_span), _NEVER)
         writer.put("fffI", *self.request_rates, span)
         writer.put("H", len(self.led_partitions))
         for partition, term in self.led_partitions.items():
@@ -62,7 +62,7 @@
         """Decode the payload of a frame; raise `FrameError` if it is malformed."""
         reader = PayloadReader(payload)
         incarnation = reader.text()
-        uptime, contact_age = reader.read_one("Q"), reader.read_one("I")
+        uptime, last_read_age = reader.read_one("Q"), reader.read_one("I")
         state_requests, state_changes, cloud_requests, span = reader.read("fffI")
         led_partitions = {}
         for _ in range(reader.read_one("H")):
@@ -77,7 +77,9 @@
         return PeerHeartbeat(
             incarnation=incarnation,
             uptime=timedelta(milliseconds=uptime),
-            contact_age=None if contact_age == _NO_CONTACT else timedelta(milliseconds=contact_age),
+            last_read_age=None
+            if last_read_age == _NEVER
+            else timedelta(milliseconds=last_read_age),
             request_rates=RequestRates(state_requests, state_changes, cloud_requests),
             led_partitions=led_partitions,
             reporting_machines=reporting_machines,
@@ -90,8 +92,8 @@
     return max(0, round(duration.total_seconds() * 1000))
 
 
-def _contact_milliseconds(age: timedelta | None) -> int:
-    return _NO_CONTACT if age is None else min(_milliseconds(age), _NO_CONTACT - 1)
+def _read_age_milliseconds(age: timedelta | None) -> int:
+    return _NEVER if age is None else min(_milliseconds(age), _NEVER - 1)
 
 
 @dataclass
@@ -111,28 +113,28 @@
         heartbeat: PeerHeartbeat,
         requested_at: datetime,
         now: datetime,
-        contact: datetime | None,
+        last_read_at: datetime | None,
     ) -> None:
         """Store a reply received now, and advance the cancellation watermark if possible.
 
-        `contact` is when our last answered read of the state store began. The watermark advances
-        only if the peer's list reaches back to the time up to which we knew its cancellations, and
-        the peer's process has run since then: it can't know what a former process confirmed to
-        users. The peer measures the span back from when it replied, which may be as late as now,
-        and its clock may run faster than ours.
+        `last_read_at` is when our last answered read of the state store began. The watermark
+        advances only if the peer's list reaches back to the time up to which we knew its
+        cancellations, and the peer's process has run since then: it can't know what a former
+        process confirmed to users. The peer measures the span back from when it replied, which may
+        be as late as now, and its clock may run faster than ours.
         """
-        known_until = self.cancellations_known_until(contact)
+        known_until = self.cancellations_known_until(last_read_at)
         covered = min(heartbeat.uptime, heartbeat.cancellations_span) * (1 - DRIFT) - _ROUNDING
         if known_until is not None and now - covered <= known_until:
             self.cancellation_watermark = max(known_until, requested_at)
         self.heartbeat, self.requested_at, self.received_at = heartbeat, requested_at, now
 
-    def cancellations_known_until(self, contact: datetime | None) -> datetime | None:
+    def cancellations_known_until(self, last_read_at: datetime | None) -> datetime | None:
         """Return the time up to which all of the peer's cancellations are known here.
 
         They are known from the records, or from the peer's own lists. None: nothing is known.
         """
-        known = [at for at in (self.cancellation_watermark, contact) if at is not None]
+        known = [at for at in (self.cancellation_watermark, last_read_at) if at is not None]
         return max(known) if known else None
 
     def alive(self, now: datetime) -> bool:
--- a/roadbend/peers/test_peers.py
+++ b/roadbend/peers/test_peers.py
@@ -69,9 +69,9 @@
     assert PeerHeartbeat.unpack(heartbeat.pack()) == heartbeat
 
 
-def known(heartbeat, asked, contact, waited=0 * S):
+def known(heartbeat, asked, last_read_at, waited=0 * S):
     state = PeerState()
-    state.update(heartbeat, asked, asked + waited, contact)
+    state.update(heartbeat, asked, asked + waited, last_read_at)
     return state
 
 
@@ -79,14 +79,14 @@
     t = clock.ORIGIN + 1000 * S
     alive = PeerHeartbeat("b1", 500 * S, 20 * S, RequestRates(0, 0, 0), cancellations_span=100 * S)
     assert known(alive, t, t - 20 * S).cancellations_known_until(t - 20 * S) == t
-    # It restarted after our last contact: what its former process confirmed is unknown.
+    # It restarted after our last read: what its former process confirmed is unknown.
     newborn = PeerHeartbeat("b2", 5 * S, None, RequestRates(0, 0, 0), cancellations_span=100 * S)
     assert known(newborn, t, t - 20 * S).cancellations_known_until(t - 20 * S) == t - 20 * S
     # Its list does not reach back far enough.
     short = PeerHeartbeat("b1", 500 * S, 20 * S, RequestRates(0, 0, 0), cancellations_span=10 * S)
     assert known(short, t, t - 20 * S).cancellations_known_until(t - 20 * S) == t - 20 * S
     # It may have measured the span back from when its reply was received, not from when the request
-    # was sent: it restarted just after our last contact, and its reply took 1.4 s.
+    # was sent: it restarted just after our last read, and its reply took 1.4 s.
     slow = PeerHeartbeat("b2", 1.2 * S, None, RequestRates(0, 0, 0), cancellations_span=100 * S)
     assert known(slow, t, t - 1 * S, 1.4 * S).cancellations_known_until(t - 1 * S) == t - 1 * S
     assert (
@@ -95,7 +95,7 @@
     # Its clock may run fast, and its list may lack what it confirmed at the very start of the span.
     edge = PeerHeartbeat("b1", 500 * S, 20 * S, RequestRates(0, 0, 0), cancellations_span=20 * S)
     assert known(edge, t, t - 20 * S).cancellations_known_until(t - 20 * S) == t - 20 * S
-    # Without any contact of our own nothing is known.
+    # Without any read of our own nothing is known.
     assert known(alive, t, None).cancellations_known_until(None) is None
 
 
--- a/tests/compatibility/adapter.py
+++ b/tests/compatibility/adapter.py
@@ -186,7 +186,7 @@
     return {
         "boot": heartbeat.incarnation,
         "uptime_s": _seconds(heartbeat.uptime),
-        "contact_age_s": _seconds(heartbeat.contact_age),
+        "contact_age_s": _seconds(heartbeat.last_read_age),
         "used_per_s": list(heartbeat.request_rates),
         "owned_terms": heartbeat.led_partitions,
         "machines_heard": {
