--- a/roadbend/fleet/deletions.py
+++ b/roadbend/fleet/deletions.py
@@ -21,7 +21,7 @@
     """Deletions that are sent in one request."""
 
     def __init__(self) -> None:
-        self.names: list[str] = []
+        self.machine_ids: list[str] = []
         self.began = clock.now()
         self.done = trio.Event()
         # Until the request has succeeded, no machine is certainly deleted.
@@ -38,21 +38,21 @@
         self._cloud = cloud
         self._open: _DeletionBatch | None = None
 
-    async def delete(self, name: str) -> None:
+    async def delete(self, machine_id: str) -> None:
         """Delete a machine, in one request with others.
 
         Raises the error of the request: with `CloudBusyError` it was not executed, with any other
         it may still be.
         """
         batch = self._open
-        if batch is not None and len(batch.names) < MAX_DELETIONS:
-            batch.names.append(name)
+        if batch is not None and len(batch.machine_ids) < MAX_DELETIONS:
+            batch.machine_ids.append(machine_id)
             await batch.done.wait()
             if batch.error is not None:
                 raise batch.error
             return
         batch = self._open = _DeletionBatch()
-        batch.names.append(name)
+        batch.machine_ids.append(machine_id)
         await clock.pause(BATCH_WINDOW)
         if self._open is batch:
             self._open = None
@@ -62,7 +62,7 @@
         """Send a batch, and pass its outcome to all callers that wait for it."""
         try:
             await self._cloud.delete_machines(
-                batch.names, urgent=True, precondition=batch.is_recent
+                batch.machine_ids, urgent=True, precondition=batch.is_recent
             )
             batch.error = None
         except (NoAnswerError, CloudBusyError, NoCapacityError) as error:
--- a/roadbend/fleet/direct_commands.py
+++ b/roadbend/fleet/direct_commands.py
@@ -42,7 +42,7 @@
 # How often due stops are collected, and after how long a stop without effect is sent again.
 STOP_POLL_INTERVAL = timedelta(milliseconds=200)
 STOP_RETRY_INTERVAL = timedelta(seconds=3)
-# Statuses of a worker's response: executed; malformed, and refused for its token or epoch.
+# Statuses of a worker's response: executed; refused as malformed, or for its token or epoch.
 EXECUTED = 200
 REFUSED = (400, 409)
 
@@ -54,7 +54,7 @@
     stop: StopOrder
 
 
-class _StartAnswer(NamedTuple):
+class _StartOutcome(NamedTuple):
     """The outcome of a direct start; unknown if neither refused nor with a heartbeat."""
 
     refused: bool
@@ -106,25 +106,25 @@
         if self._nursery is not None:
             self._nursery.start_soon(self._order_now, leader, machine, starts)
 
-    async def _order_now(self, leader: Leader, name: str, starts: Starts) -> None:
+    async def _order_now(self, leader: Leader, machine_id: str, starts: Starts) -> None:
         try:
-            await self._start_directly(leader, name, starts)
+            await self._start_directly(leader, machine_id, starts)
         except Exception:
             # The response to the next heartbeat carries the starts; the controller must go on.
-            log.crash("direct-start-failed", machine=name)
+            log.crash("direct-start-failed", machine=machine_id)
 
-    async def _start_directly(self, leader: Leader, name: str, starts: Starts) -> None:
+    async def _start_directly(self, leader: Leader, machine_id: str, starts: Starts) -> None:
         """Send starts without waiting for the machine's next heartbeat.
 
         Each start is sent once. If its outcome stays unknown, the machine's token is raised, so
         that the start is refused should it arrive later (`machines.DirectStart`).
         """
-        machine = leader.machines.get(name)
+        machine = leader.machines.get(machine_id)
         if machine is None or machine.token.incarnation >= MAX_INCARNATIONS:
             return
         async with self._connections:
             now = clock.now()
-            starts = direct_starts.still_wanted(leader, name, starts, now)
+            starts = direct_starts.still_wanted(leader, machine_id, starts, now)
             if not starts or not self._may_start_on(leader, machine, now):
                 return
             epoch = direct_starts.record_starts(leader, machine, starts, now)
@@ -134,7 +134,7 @@
                 log.debug(
                     "direct-start-sent",
                     partition=leader.partition,
-                    machine=name,
+                    machine=machine_id,
                     task=f"{key.job}/{key.task_index}",
                     attempt=attempt.number,
                     token=leader.heartbeats.token(machine),
@@ -143,11 +143,11 @@
             if answer.refused:
                 direct_starts.remove_starts(machine, starts)
                 return
-        if answer.heartbeat is not None and answer.heartbeat.machine == name:
+        if answer.heartbeat is not None and answer.heartbeat.machine == machine_id:
             direct_starts.acknowledge_starts(machine, starts, answer.heartbeat)
             return
-        log.info("direct-start-unanswered", partition=leader.partition, machine=name)
-        if leader.machines.get(name) is machine:
+        log.info("direct-start-unanswered", partition=leader.partition, machine=machine_id)
+        if leader.machines.get(machine_id) is machine:
             machine.raise_token()
             await self._raise_token(leader, machine)
 
@@ -164,7 +164,7 @@
             and election.may_start(now)
         )
 
-    async def _send_starts(self, machine: Machine, body: messages.Body) -> _StartAnswer:
+    async def _send_starts(self, machine: Machine, body: messages.Body) -> _StartOutcome:
         client = Client(self._net, machine.address, most=1, keep=0)
         heartbeat = None
         try:
@@ -173,10 +173,10 @@
                 heartbeat = messages.parse_heartbeat(answer)
             elif status in REFUSED:
                 # Nothing was executed or ever will be.
-                return _StartAnswer(refused=True, heartbeat=None)
+                return _StartOutcome(refused=True, heartbeat=None)
         except (NoAnswerError, MalformedError) as error:
             log.debug("direct-command-lost", machine=machine.id, error=error)
-        return _StartAnswer(refused=False, heartbeat=heartbeat)
+        return _StartOutcome(refused=False, heartbeat=heartbeat)
 
     async def _raise_token(self, leader: Leader, machine: Machine) -> None:
         """Send the machine its raised token at once, by a command without orders.
@@ -234,20 +234,20 @@
                     due.setdefault(stop.machine, []).append(_DueStop(key, stop))
         return due
 
-    async def _send_stops_to(self, leader: Leader, name: str, stops: list[_DueStop]) -> None:
+    async def _send_stops_to(self, leader: Leader, machine_id: str, stops: list[_DueStop]) -> None:
         """Send stops to a machine; if it executes them, record that as their receipt."""
-        machine = leader.machines.get(name)
+        machine = leader.machines.get(machine_id)
         if machine is None:
             return
         incarnation = machine.token.incarnation
         orders: list[WorkerOrder] = [
             StopTask(*key, stop.attempt, stop.grace) for key, stop in stops
         ]
-        self._stopping.add(name)
+        self._stopping.add(machine_id)
         try:
-            position = await self.command(leader, name, orders)
+            position = await self.command(leader, machine_id, orders)
         finally:
-            self._stopping.discard(name)
+            self._stopping.discard(machine_id)
         if position is not None:
             for _, stop in stops:
                 stop.receipt = StopReceipt(incarnation, position)
--- a/roadbend/fleet/direct_starts.py
+++ b/roadbend/fleet/direct_starts.py
@@ -11,9 +11,9 @@
 Starts = list[tuple[TaskKey, Attempt]]
 
 
-def still_wanted(leader: Leader, name: str, starts: Starts, now: datetime) -> Starts:
+def still_wanted(leader: Leader, machine_id: str, starts: Starts, now: datetime) -> Starts:
     """Return the starts whose attempts are still recorded on the machine and should run."""
-    recorded = leader.records.attempts_by_machine().get(name, {})
+    recorded = leader.records.attempts_by_machine().get(machine_id, {})
     return [
         (key, attempt)
         for key, attempt in starts
@@ -22,7 +22,7 @@
         and key not in leader.stops
         and key not in leader.terminations
         and leader.records.live_job(key[0])
-        and leader.unheld.may_send(name, key, attempt.number, now)
+        and leader.unheld.may_send(machine_id, key, attempt.number, now)
     ]
 
 
--- a/roadbend/fleet/failure_detector.py
+++ b/roadbend/fleet/failure_detector.py
@@ -76,36 +76,37 @@
                     # The other partitions still have to be checked.
                     log.crash("failure-detection-failed", partition=leader.partition)
 
-    def paused_since(self, instant: datetime) -> bool:
+    def has_paused_since(self, instant: datetime) -> bool:
         """Return whether this process has resumed from a pause since an instant."""
-        return self._pauses.any_since(instant)
+        return self._pauses.has_ended_since(instant)
 
     def _start_probes(self, leader: Leader, nursery: trio.Nursery) -> None:
         """Start to probe a partition's silent machines, the longest silent first."""
         now = clock.now()
         recorded = leader.records.attempts_by_machine()
         known = leader.machines.keys() | recorded.keys()
-        silent = [name for name in known if self._is_silent(leader, name, now)]
+        silent = [machine_id for machine_id in known if self._is_silent(leader, machine_id, now)]
         self._reachability.update(leader, recorded.keys(), now)
         since = leader.leadership.acquired_at
         silent_since = {
-            name: _acknowledged_at(leader.machines.get(name)) or since for name in silent
+            machine_id: _acknowledged_at(leader.machines.get(machine_id)) or since
+            for machine_id in silent
         }
-        for name in sorted(silent, key=silent_since.__getitem__):
+        for machine_id in sorted(silent, key=silent_since.__getitem__):
             if len(self._probing) >= MAX_SUSPECTS:
                 break
-            if (leader.partition, name) not in self._probing:
-                self._probing.add((leader.partition, name))
-                nursery.start_soon(self._probe, leader, name)
+            if (leader.partition, machine_id) not in self._probing:
+                self._probing.add((leader.partition, machine_id))
+                nursery.start_soon(self._probe, leader, machine_id)
 
-    def _is_silent(self, leader: Leader, name: str, now: datetime) -> bool:
+    def _is_silent(self, leader: Leader, machine_id: str, now: datetime) -> bool:
         """Return whether a machine has to be probed.
 
         What matters is not whether it sends heartbeats, but whether it receives the responses.
         """
-        machine = leader.machines.get(name)
+        machine = leader.machines.get(machine_id)
         suspected = machine is not None and machine.contact.suspected
-        if suspected or self._inventory.is_failed(name):
+        if suspected or self._inventory.is_failed(machine_id):
             return True
         operator, interval = self._controller.operator, self._controller.settings.heartbeat_interval
         last = _acknowledged_at(machine)
@@ -117,18 +118,18 @@
         reclaimed = liveness_policy.is_reclaimed(machine, now)
         return reclaimed and now - last > interval * RECLAIMED_SILENT_INTERVALS
 
-    async def _probe(self, leader: Leader, name: str) -> None:
+    async def _probe(self, leader: Leader, machine_id: str) -> None:
         try:
-            await self._probe_once(leader, name)
+            await self._probe_once(leader, machine_id)
         except Exception:
             # The machine is probed again later; an error here must not end the controller.
-            log.crash("machine-probe-failed", machine=name)
+            log.crash("machine-probe-failed", machine=machine_id)
         finally:
-            self._probing.discard((leader.partition, name))
+            self._probing.discard((leader.partition, machine_id))
 
-    async def _probe_once(self, leader: Leader, name: str) -> None:
+    async def _probe_once(self, leader: Leader, machine_id: str) -> None:
         """Probe a silent machine; delete it without any sign that it is alive."""
-        probe = await self._probes.probe(leader, name)
+        probe = await self._probes.probe(leader, machine_id)
         settings = self._controller.settings
         if probe.answered and probe.silence() < settings.lease * ANSWERING_LEASES:
             # It is alive and will send a heartbeat, or its lease will expire; until then it is
@@ -138,7 +139,7 @@
         if probe.duration > MAX_PROBE_DURATION:
             # This process paused during the probe, so responses may be waiting unread.
             return
-        machine = leader.machines.get(name)
+        machine = leader.machines.get(machine_id)
         if machine is not None:
             machine.contact.suspected = False
             if liveness_policy.was_recently_acknowledged(
@@ -149,10 +150,10 @@
             return
         unreachable = self._unreachable(leader, machine, probe, clock.now())
         if liveness_policy.may_be_alive(unreachable, settings.lease):
-            log.info("machine-suspected", partition=leader.partition, machine=name)
-        elif await self._fencing.fence(leader, name):
+            log.info("machine-suspected", partition=leader.partition, machine=machine_id)
+        elif await self._fencing.fence(leader, machine_id):
             return
-        self._fencing.expire(leader, name)
+        self._fencing.expire(leader, machine_id)
         await clock.pause(PROBE_PAUSE)
 
     def _unreachable(
@@ -166,8 +167,8 @@
             reclaimed=liveness_policy.is_reclaimed(machine, now),
             unacknowledged=heartbeat_at is not None
             and heartbeat_at - probe.silent_since > liveness_policy.UNACKNOWLEDGED_AFTER,
-            reaches_peers=self._reaches_peers(leader.partition, probe.name, now),
-            common_cause=self._reachability.has_common_cause(leader, probe.name, now),
+            reaches_peers=self._reaches_peers(leader.partition, probe.machine_id, now),
+            common_cause=self._reachability.has_common_cause(leader, probe.machine_id, now),
         )
 
 
--- a/roadbend/fleet/fencing.py
+++ b/roadbend/fleet/fencing.py
@@ -20,45 +20,45 @@
     def __init__(self, controller: Controller, deletions: Deletions) -> None:
         self._controller, self._deletions = controller, deletions
 
-    async def fence(self, leader: Leader, name: str) -> bool:
+    async def fence(self, leader: Leader, machine_id: str) -> bool:
         """Delete a machine; return whether its attempts are certainly terminated."""
-        machine = leader.machines.get(name)
+        machine = leader.machines.get(machine_id)
         if machine is not None:
             # From here on no orders are sent to it, so the deletion can't overtake one.
             machine.lifecycle.fencing = True
         try:
-            await self._deletions.delete(name)
+            await self._deletions.delete(machine_id)
         except CloudBusyError as error:
             # The deletion was not executed.
-            log.info("machine-fence-refused", **_log_fields(leader, name, error))
+            log.info("machine-fence-refused", **_log_fields(leader, machine_id, error))
             if machine is not None:
                 machine.lifecycle.fencing = False
             return False
         except (NoAnswerError, NoCapacityError) as error:
-            log.info("machine-fence-failed", **_log_fields(leader, name, error))
+            log.info("machine-fence-failed", **_log_fields(leader, machine_id, error))
             if machine is not None:
                 # The deletion may still be executed, so the machine is given no new tasks should it
                 # send a heartbeat again.
                 machine.lifecycle.draining, machine.lifecycle.fencing = "fence", False
             return False
-        log.info("machine-fenced", partition=leader.partition, machine=name)
-        leader.terminate_attempts(name, TerminationEvidence.DELETED)
+        log.info("machine-fenced", partition=leader.partition, machine=machine_id)
+        leader.terminate_attempts(machine_id, TerminationEvidence.DELETED)
         return True
 
-    def expire(self, leader: Leader, name: str) -> None:
+    def expire(self, leader: Leader, machine_id: str) -> None:
         """Mark the attempts of a machine as terminated if its worker's lease has expired."""
         settings, operator = self._controller.settings, self._controller.operator
         times = LeaseTimes.of(leader.leadership, settings, operator)
-        expired = is_lease_expired(leader.machines.get(name), times, clock.now())
-        if expired and leader.records.attempts_by_machine().get(name):
-            log.info("worker-lease-expired", partition=leader.partition, machine=name)
-            leader.terminate_attempts(name, TerminationEvidence.LEASE)
+        expired = is_lease_expired(leader.machines.get(machine_id), times, clock.now())
+        if expired and leader.records.attempts_by_machine().get(machine_id):
+            log.info("worker-lease-expired", partition=leader.partition, machine=machine_id)
+            leader.terminate_attempts(machine_id, TerminationEvidence.LEASE)
 
 
-def _log_fields(leader: Leader, name: str, error: Exception) -> dict[str, str]:
+def _log_fields(leader: Leader, machine_id: str, error: Exception) -> dict[str, str]:
     """Return the log fields for a failed deletion."""
     return {
         "partition": leader.partition,
-        "machine": name,
+        "machine": machine_id,
         "error": str(error)[:MAX_LOGGED_ERROR_LENGTH],
     }
--- a/roadbend/fleet/liveness_policy.py
+++ b/roadbend/fleet/liveness_policy.py
@@ -66,8 +66,8 @@
         # It runs its tasks until its lease expires; then it is replaced.
         return machine.silence < lease * UNACKNOWLEDGED_LEASE_SHARE or machine.common_cause
     # A machine whose heartbeats reach peers is alive; it is this controller that is unreachable.
-    elsewhere = machine.reaches_peers and machine.silence < lease * ANSWERING_LEASES
-    return elsewhere or machine.common_cause
+    reaches_only_peers = machine.reaches_peers and machine.silence < lease * ANSWERING_LEASES
+    return reaches_only_peers or machine.common_cause
 
 
 @dataclass(frozen=True)
--- a/roadbend/fleet/machine_probe.py
+++ b/roadbend/fleet/machine_probe.py
@@ -27,7 +27,7 @@
 class Probe:
     """The result of probing a silent machine."""
 
-    name: str
+    machine_id: str
     answered: bool
     # The cloud lists it as failed.
     failed: bool
@@ -59,46 +59,48 @@
         self._net, self._inventory = net, inventory
         self._connections = trio.CapacityLimiter(MAX_PROBES)
 
-    async def probe(self, leader: Leader, name: str) -> Probe:
+    async def probe(self, leader: Leader, machine_id: str) -> Probe:
         """Probe a machine once a connection is available."""
         async with self._connections:
-            machine, listed = leader.machines.get(name), self._inventory.rows.get(name)
+            machine, listed = leader.machines.get(machine_id), self._inventory.rows.get(machine_id)
             address = machine.address if machine else (listed.address if listed else "")
-            failed = self._inventory.is_failed(name)
+            failed = self._inventory.is_failed(machine_id)
             began = clock.now()
             acknowledged_at = machine.contact.acknowledged_at if machine else None
-            answered = bool(address) and not failed and await self._inspect(leader, name, address)
+            answered = (
+                bool(address) and not failed and await self._inspect(leader, machine_id, address)
+            )
             duration = clock.now() - began
         silent_since = acknowledged_at or leader.leadership.acquired_at
-        return Probe(name, answered, failed, duration, acknowledged_at, silent_since)
+        return Probe(machine_id, answered, failed, duration, acknowledged_at, silent_since)
 
-    async def _inspect(self, leader: Leader, name: str, address: str) -> bool:
+    async def _inspect(self, leader: Leader, machine_id: str, address: str) -> bool:
         """Inspect a machine; return whether it answered.
 
-        The response is newer than all heartbeats that arrived before the probe. If it shows a lower
-        position than they did, or a lower token than the machine has reported, the machine has
-        restarted.
+        The response is newer than all heartbeats that arrived before the probe. If its position is
+        not higher than theirs, or its token is lower than the one that the machine has confirmed,
+        the machine has restarted.
         """
-        known = _snapshot(leader.machines.get(name))
+        known = _snapshot(leader.machines.get(machine_id))
         for _ in range(PROBE_ATTEMPTS):
-            heartbeat = await inspect_machine(self._net, address, name)
+            heartbeat = await inspect_machine(self._net, address, machine_id)
             if heartbeat is None:
                 continue
-            if known is not None and leader.machines.get(name) is known.machine:
+            if known is not None and leader.machines.get(machine_id) is known.machine:
                 _record_answer(leader, known, heartbeat)
             return True
         return False
 
 
-async def inspect_machine(net: Net, address: str, name: str) -> WorkerHeartbeat | None:
-    """Inspect the machine at an address once; None unless the machine of this name answers."""
+async def inspect_machine(net: Net, address: str, machine_id: str) -> WorkerHeartbeat | None:
+    """Inspect the machine at an address once; None unless the machine of this id answers."""
     client = Client(net, address, most=1, keep=0)
     try:
         status, body = await client.request("GET", "/inspect", within=PROBE_TIMEOUT)
         heartbeat = messages.parse_heartbeat(body) if status == OK else None
     except (NoAnswerError, MalformedError):
         return None
-    return heartbeat if heartbeat is not None and heartbeat.machine == name else None
+    return heartbeat if heartbeat is not None and heartbeat.machine == machine_id else None
 
 
 def _snapshot(machine: Machine | None) -> _MachineSnapshot | None:
--- a/roadbend/fleet/machine_reach.py
+++ b/roadbend/fleet/machine_reach.py
@@ -24,7 +24,7 @@
     def __init__(self, net: Net, inventory: CloudInventory, view: RecordView) -> None:
         self._net, self._inventory, self._view = net, inventory, view
         # By partition, until when it counts as unreachable.
-        self._out_of_reach: dict[str, datetime] = {}
+        self._unreachable_until: dict[str, datetime] = {}
 
     async def is_reachable(self, partition: str) -> bool:
         """Return whether a partition's machines with gangs answer, or no machine runs anything.
@@ -33,41 +33,47 @@
         controller can't reach would end its gang. Also False while the cloud's list lacks one.
         """
         now = clock.now()
-        if now < self._out_of_reach.get(partition, now):
+        if now < self._unreachable_until.get(partition, now):
             return False
-        names = [name for name in self._choose(partition) if not self._inventory.is_failed(name)]
-        if not all(name in self._inventory.rows for name in names):
+        machine_ids = [
+            machine_id
+            for machine_id in self._choose(partition)
+            if not self._inventory.is_failed(machine_id)
+        ]
+        if not all(machine_id in self._inventory.rows for machine_id in machine_ids):
             return False
-        if await self._all_answer(names):
+        if await self._all_answer(machine_ids):
             return True
-        self._out_of_reach[partition] = clock.now() + RETRY_INTERVAL
+        self._unreachable_until[partition] = clock.now() + RETRY_INTERVAL
         return False
 
     def _choose(self, partition: str) -> Sequence[str]:
-        """Choose machines that run gangs, or else any tasks, evenly spread by name."""
+        """Choose machines that run gangs, or else any tasks, evenly spread by id."""
         running = self._view.attempts_by_machine.get(partition, {})
         gangs = self._view.gangs
         with_gangs = [
-            name for name, attempts in running.items() if any(job in gangs for job, _ in attempts)
+            machine_id
+            for machine_id, attempts in running.items()
+            if any(job in gangs for job, _ in attempts)
         ]
         return _spread(sorted(with_gangs or running), MAX_PROBED)
 
-    async def _all_answer(self, names: Sequence[str]) -> bool:
+    async def _all_answer(self, machine_ids: Sequence[str]) -> bool:
         silent = []
 
-        async def ask(name: str) -> None:
-            address = self._inventory.rows[name].address
-            if await inspect_machine(self._net, address, name) is None:
-                silent.append(name)
+        async def probe(machine_id: str) -> None:
+            address = self._inventory.rows[machine_id].address
+            if await inspect_machine(self._net, address, machine_id) is None:
+                silent.append(machine_id)
 
         async with trio.open_nursery() as nursery:
-            for name in names:
-                nursery.start_soon(ask, name)
+            for machine_id in machine_ids:
+                nursery.start_soon(probe, machine_id)
         return not silent
 
 
-def _spread(names: Sequence[str], max_count: int) -> Sequence[str]:
-    """Return at most `max_count` of the names, evenly spread."""
-    if len(names) <= max_count:
-        return names
-    return [names[at * len(names) // max_count] for at in range(max_count)]
+def _spread(machine_ids: Sequence[str], max_count: int) -> Sequence[str]:
+    """Return at most `max_count` of the ids, evenly spread."""
+    if len(machine_ids) <= max_count:
+        return machine_ids
+    return [machine_ids[at * len(machine_ids) // max_count] for at in range(max_count)]
--- a/roadbend/fleet/process_pauses.py
+++ b/roadbend/fleet/process_pauses.py
@@ -32,7 +32,7 @@
             log.info("process-paused", paused_s=f"{paused.total_seconds():.1f}")
             self._pauses.append((now, paused))
 
-    def any_since(self, instant: datetime) -> bool:
+    def has_ended_since(self, instant: datetime) -> bool:
         """Return whether a pause ended after an instant."""
         return bool(self._pauses) and self._pauses[-1][0] > instant
 
--- a/roadbend/fleet/service.py
+++ b/roadbend/fleet/service.py
@@ -125,7 +125,7 @@
         None right after a pause of this process: heartbeats that arrived during the pause look as
         if they arrived now.
         """
-        if self.failure_detector.paused_since(now - UNSERVED_ROUND):
+        if self.failure_detector.has_paused_since(now - UNSERVED_ROUND):
             return set()
         return self.foreign_heartbeats.find_unserved(question, now)
 
--- a/roadbend/fleet/zone_reachability.py
+++ b/roadbend/fleet/zone_reachability.py
@@ -17,8 +17,8 @@
 RECENTLY_SILENT_INTERVALS = 1.3
 # After so many intervals of leadership every machine has had time for a heartbeat.
 SETTLED_INTERVALS = 3
-# At least so many machines must be silent to have fallen silent together: while their zone is not
-# marked as unreachable and a large share of it is silent, and in all other cases.
+# At least so many machines must be silent for a common cause. The first bound applies if the zone
+# is not marked as unreachable and most of its machines are silent, the second one otherwise.
 MIN_SILENT_BEFORE_UNREACHABLE = 2
 MIN_SILENT_OF_COMMON_CAUSE = 3
 # After so many leases without a response a machine's lease has certainly expired.
@@ -89,7 +89,7 @@
             and now - zone.since < self._controller.settings.lease * MAX_UNREACHABLE_LEASES
         )
 
-    def has_common_cause(self, leader: Leader, name: str, now: datetime) -> bool:
+    def has_common_cause(self, leader: Leader, machine_id: str, now: datetime) -> bool:
         """Return whether a machine's silence is more likely caused by the network.
 
         This is so if several machines fell silent together, since deleting machines that are merely
@@ -106,7 +106,7 @@
             and leader.partition not in self._unreachable
         ):
             return True
-        if self._has_lease_expired(leader, name, now) or self._inventory.has_left(name):
+        if self._has_lease_expired(leader, machine_id, now) or self._inventory.has_left(machine_id):
             return False
         if (
             counts.silent < MIN_SILENT_OF_COMMON_CAUSE
@@ -115,9 +115,9 @@
             return False
         return not counts.only_spot
 
-    def _has_lease_expired(self, leader: Leader, name: str, now: datetime) -> bool:
+    def _has_lease_expired(self, leader: Leader, machine_id: str, now: datetime) -> bool:
         """Return whether a machine's lease has expired, so that its tasks have stopped anyway."""
-        machine = leader.machines.get(name)
+        machine = leader.machines.get(machine_id)
         if machine is None or machine.contact.acknowledged_at is None:
             return True
         silence = now - machine.contact.acknowledged_at
