--- a/roadbend/fleet/leader.py
+++ b/roadbend/fleet/leader.py
@@ -43,7 +43,7 @@
         """Record that a machine has restarted."""
 
 
-class StopSpacing(Protocol):
+class StopDelayPolicy(Protocol):
     """Decides whether direct commands to stop may wait."""
 
     def should_delay_stop(self, key: TaskKey, stop: StopOrder, now: datetime) -> bool:
@@ -142,7 +142,7 @@
         """Handles the heartbeats of the leader's machines."""
 
     @property
-    def recovery(self) -> StopSpacing:
+    def recovery(self) -> StopDelayPolicy:
         """Recovery, which may delay stops."""
 
     def terminate_attempts(self, machine: str, evidence: TerminationEvidence) -> None:
--- a/roadbend/fleet/machines.py
+++ b/roadbend/fleet/machines.py
@@ -8,7 +8,7 @@
     NO_HEARTBEAT_YET,
     HeartbeatPosition,
     TaskState,
-    UnreadTasks,
+    UnparsedTasks,
     WorkerHeartbeat,
 )
 from roadbend.fleet.terminations import TaskKey
@@ -154,7 +154,7 @@
 class HeartbeatEvaluationCache:
     """The last evaluated heartbeat. The next one need not be parsed if it reports the same."""
 
-    reported_tasks: UnreadTasks | None = None
+    reported_tasks: UnparsedTasks | None = None
     # Version of the machine's records at the time; None: the next heartbeat is parsed in full.
     unchanged_version: int | None = None
 
--- a/roadbend/fleet/messages.py
+++ b/roadbend/fleet/messages.py
@@ -84,7 +84,7 @@
 
 
 # A heartbeat's decoded but unparsed list of tasks; only compared with other such lists.
-UnreadTasks = list[object]
+UnparsedTasks = list[object]
 
 
 @dataclass(frozen=True)
@@ -103,7 +103,7 @@
     notice: float | None
     tasks: tuple[TaskStatus, ...]
     # The unparsed tasks, to compare the next heartbeat with.
-    reported_tasks: UnreadTasks
+    reported_tasks: UnparsedTasks
 
 
 @dataclass(frozen=True)
@@ -219,7 +219,7 @@
     *,
     previous: HeartbeatPosition,
     token: int,
-    reported_tasks: UnreadTasks | None,
+    reported_tasks: UnparsedTasks | None,
     address: str,
 ) -> HeartbeatPosition | None:
     """Return the position of an unparsed heartbeat that reports the same as the previous one.
--- a/roadbend/fleet/test_machine_incarnations.py
+++ b/roadbend/fleet/test_machine_incarnations.py
@@ -17,7 +17,7 @@
     return next(iter(w.board.where[task]))
 
 
-def late(name, **more):
+def late_heartbeat(name, **more):
     """Return a heartbeat that may arrive at any time, long after it was sent."""
     body = {
         "hitch": name,
@@ -43,16 +43,18 @@
     async with world(count=1) as w:
         controller = w.controllers["node-0"]
         leader = controller.leaders["east"]
-        assert (await w.call(0, "POST", "/hello", late("m-77")))[0] == 200
-        assert (await w.call(0, "POST", "/hello", late("m-78", baton=leader.heartbeats.token())))[
-            0
-        ] == 503
+        assert (await w.call(0, "POST", "/hello", late_heartbeat("m-77")))[0] == 200
+        assert (
+            await w.call(
+                0, "POST", "/hello", late_heartbeat("m-78", baton=leader.heartbeats.token())
+            )
+        )[0] == 503
         assert "m-78" not in leader.machines
         assert await w.submit(0, job(1, **SERVICE), None) == 201
         await trio.sleep(2)
         assert "m-77" not in leader.records.attempts_by_machine()
         assert await w.until(lambda: w.board.running("run-000001"), 60)
-        # It never sends another heartbeat: it is probed, deleted by name, and forgotten.
+        # It never sends another heartbeat: it is probed, deleted by its id, and forgotten.
         assert await w.until(lambda: "m-77" not in leader.machines, 60)
 
 
--- a/roadbend/fleet/test_machines.py
+++ b/roadbend/fleet/test_machines.py
@@ -52,12 +52,12 @@
             KEY: (JobSlice(name, "east", "red", Resources(8, 1, 40)), Attempt(70, "m-1"))
         }
         self.machine = Machine("m-1", "m-1:1", "g2", "east", False)
-        self.stops, self.ended = {}, Terminations()
+        self.stops, self.terminations = {}, Terminations()
         self.jobs = {name: self.job}
         self.may_start = True
         self.elsewhere: dict = {}
 
-    def take(self, *args, **kwargs):
+    def evaluate(self, *args, **kwargs):
         seen = heartbeat(*args, **kwargs)
         assert self.machine.admit(seen, 0, NOW)
         expected = heartbeat_evaluation.MachineExpectation(
@@ -65,7 +65,7 @@
             self.recorded,
             self.jobs,
             self.stops,
-            self.ended,
+            self.terminations,
             self.may_start,
             self.elsewhere.get,
         )
@@ -104,45 +104,45 @@
 
 def test_a_recorded_attempt_is_ordered_again_until_it_shows():
     harness = Harness()
-    assert verbs(harness.take()) == [("run", "run-000001/0", 70)]
-    assert verbs(harness.take(sequence=6, tasks=[("run-000001/0", 70, "fetching", None)])) == []
-    assert not harness.ended
+    assert verbs(harness.evaluate()) == [("run", "run-000001/0", 70)]
+    assert verbs(harness.evaluate(sequence=6, tasks=[("run-000001/0", 70, "fetching", None)])) == []
+    assert not harness.terminations
 
 
 def test_nothing_is_started_without_the_records():
     harness = Harness()
     harness.may_start = False
-    assert harness.take() == [] and not harness.ended
+    assert harness.evaluate() == [] and not harness.terminations
 
 
 def test_an_old_token_proves_presence_but_never_absence():
     harness = Harness()
     harness.jobs = {}
-    assert harness.take(token=TERM - 1) == [] and not harness.ended
+    assert harness.evaluate(token=TERM - 1) == [] and not harness.terminations
     # The same heartbeat under the leader's token does: no order is still in transit.
-    harness.take(sequence=6)
-    assert harness.ended[KEY].cause == "absent" and not harness.ended[KEY].done
+    harness.evaluate(sequence=6)
+    assert harness.terminations[KEY].cause == "absent" and not harness.terminations[KEY].done
 
 
 def test_an_end_under_an_old_token_counts_only_when_it_is_done():
     harness = Harness()
-    harness.take(token=TERM - 1, tasks=[("run-000001/0", 70, "ended", "stopped")])
-    assert not harness.ended
-    harness.take(token=TERM - 1, sequence=6, tasks=[("run-000001/0", 70, "ended", "done")])
-    assert harness.ended[KEY].done
+    harness.evaluate(token=TERM - 1, tasks=[("run-000001/0", 70, "ended", "stopped")])
+    assert not harness.terminations
+    harness.evaluate(token=TERM - 1, sequence=6, tasks=[("run-000001/0", 70, "ended", "done")])
+    assert harness.terminations[KEY].done
 
 
 def test_an_end_is_forgotten_only_once_it_is_recorded():
     harness = Harness()
     ended = [("run-000001/0", 70, "ended", "done")]
-    assert harness.take(tasks=ended) == []
+    assert harness.evaluate(tasks=ended) == []
     harness.recorded = {}
-    assert verbs(harness.take(sequence=6, tasks=ended)) == [("forget", "run-000001/0", 70)]
+    assert verbs(harness.evaluate(sequence=6, tasks=ended)) == [("forget", "run-000001/0", 70)]
 
 
 def test_a_task_that_the_records_do_not_know_is_killed():
     harness = Harness()
-    orders = harness.take(tasks=[("run-000001/0", 69, "running", None)])
+    orders = harness.evaluate(tasks=[("run-000001/0", 69, "running", None)])
     assert ("kill", "run-000001/0", 69) in verbs(orders)
     assert harness.machine.unrecorded_tasks == 1
 
@@ -150,10 +150,10 @@
 def test_a_saving_task_is_ended_by_a_kill_without_grace_when_it_takes_too_long():
     harness = Harness()
     harness.stops[KEY] = StopOrder(70, timedelta(seconds=3), "preempted", NOW, "m-1")
-    first = harness.take(tasks=[("run-000001/0", 70, "flushing", None)])
+    first = harness.evaluate(tasks=[("run-000001/0", 70, "flushing", None)])
     assert messages.order_to_wire(first[0])["windDownS"] == 3.0
     harness.machine.tasks[KEY].since -= timedelta(seconds=10)
-    again = harness.take(sequence=6, tasks=[("run-000001/0", 70, "flushing", None)])
+    again = harness.evaluate(sequence=6, tasks=[("run-000001/0", 70, "flushing", None)])
     assert messages.order_to_wire(again[0])["windDownS"] == 0.0
 
 
@@ -172,10 +172,10 @@
     """Guards against a stop sent twice, and against a lost one that is not sent again."""
     harness = Harness()
     harness.stops[KEY] = StopOrder(70, clock.ZERO, "cancelled", NOW, "m-1", receipt=receipt)
-    orders = harness.take(tasks=[("run-000001/0", 70, "running", None)])
+    orders = harness.evaluate(tasks=[("run-000001/0", 70, "running", None)])
     assert (("kill", "run-000001/0", 70) in verbs(orders)) == sent
     # The next heartbeat still shows it running.
-    orders = harness.take(sequence=7, tasks=[("run-000001/0", 70, "running", None)])
+    orders = harness.evaluate(sequence=7, tasks=[("run-000001/0", 70, "running", None)])
     assert ("kill", "run-000001/0", 70) in verbs(orders)
 
 
@@ -195,28 +195,30 @@
 def test_a_task_moved_elsewhere_is_not_ordered_again():
     harness = Harness()
     harness.jobs = {"run-000001": replace(harness.job, allocation={})}
-    assert harness.take() == []
-    assert KEY in harness.ended
+    assert harness.evaluate() == []
+    assert KEY in harness.terminations
 
 
 def test_an_attempt_that_is_proven_gone_is_not_ordered_while_the_records_name_it():
     for cause in ("lease", "absent", "error", "deleted"):
         harness = Harness()
-        harness.ended.add(KEY, Termination(70, "m-1", False, cause))
-        assert harness.take(epoch=2, sequence=6) == [] and harness.ended[KEY].cause == cause
+        harness.terminations.add(KEY, Termination(70, "m-1", False, cause))
+        assert (
+            harness.evaluate(epoch=2, sequence=6) == [] and harness.terminations[KEY].cause == cause
+        )
 
 
 def test_a_later_report_that_shows_an_attempt_alive_withdraws_the_proof_but_not_a_result(caplog):
     harness = Harness()
-    harness.ended.add(KEY, Termination(70, "m-1", False, "lease"))
+    harness.terminations.add(KEY, Termination(70, "m-1", False, "lease"))
     with caplog.at_level("WARNING"):
-        assert harness.take(tasks=[("run-000001/0", 70, "running", None)]) == []
-    assert KEY not in harness.ended
+        assert harness.evaluate(tasks=[("run-000001/0", 70, "running", None)]) == []
+    assert KEY not in harness.terminations
     for word in ("termination-contradicted", "run-000001", "index=0", "attempt=70", "machine=m-1"):
         assert word in caplog.text
-    harness.take(sequence=6, tasks=[("run-000001/0", 70, "ended", "done")])
-    harness.take(sequence=7, tasks=[("run-000001/0", 70, "running", None)])
-    assert harness.ended[KEY].done
+    harness.evaluate(sequence=6, tasks=[("run-000001/0", 70, "ended", "done")])
+    harness.evaluate(sequence=7, tasks=[("run-000001/0", 70, "running", None)])
+    assert harness.terminations[KEY].done
 
 
 def test_a_task_that_two_machines_show_is_killed_where_the_records_do_not_name_it(caplog):
@@ -224,8 +226,8 @@
     harness.elsewhere = {KEY: Attempt(71, "m-2")}
     harness.recorded = {}
     with caplog.at_level("WARNING"):
-        orders = harness.take(tasks=[("run-000001/0", 70, "running", None)])
-    assert verbs(orders) == [("kill", "run-000001/0", 70)] and not harness.ended
+        orders = harness.evaluate(tasks=[("run-000001/0", 70, "running", None)])
+    assert verbs(orders) == [("kill", "run-000001/0", 70)] and not harness.terminations
     for word in ("task-unrecorded", "machine=m-1", "recorded_machine=m-2", "recorded_attempt=71"):
         assert word in caplog.text
 
--- a/roadbend/fleet/test_silent_leaders.py
+++ b/roadbend/fleet/test_silent_leaders.py
@@ -23,11 +23,11 @@
 MOST, FEW = set(MACHINES[:3]), set(MACHINES[:2])
 
 
-class Watched:
+class Harness:
     """The view of node-1: node-0 leads east and is silent since HEARD; node-2 is live."""
 
-    def __init__(self, turned=MOST, told=()):
-        self.turned, self.told = turned, tuple(told)
+    def __init__(self, turned=MOST, reported=()):
+        self.turned, self.reported = turned, tuple(reported)
         self.view = SimpleNamespace(
             partition_leaders={"east": LEADER},
             attempts_by_machine={"east": dict.fromkeys(MACHINES)},
@@ -53,13 +53,13 @@
         other = self.peers.links["node-2"].known
         other.heard_at = now
         other.heartbeat = PeerHeartbeat(
-            "i2", 100 * S, 0 * S, RequestRates(0, 0, 0), heard_machines={"east": self.told}
+            "i2", 100 * S, 0 * S, RequestRates(0, 0, 0), heard_machines={"east": self.reported}
         )
         self.leaders.check(now)
 
 
 @pytest.mark.parametrize(
-    "turned, told, avoided",
+    "turned, reported, avoided",
     [
         (MOST, (), True),
         (FEW, (), False),
@@ -71,67 +71,67 @@
     ids=["here", "half", "here-and-there", "the-same", "there", "others"],
 )
 def test_a_leader_is_avoided_once_most_of_its_machines_have_turned_to_any_controller(
-    turned, told, avoided
+    turned, reported, avoided
 ):
     """Guards against avoiding a leader that is silent to this controller only."""
-    assert Watched(turned, told).check_until(LIMITS.min_silence) is avoided
+    assert Harness(turned, reported).check_until(LIMITS.min_silence) is avoided
 
 
 def test_a_leader_is_avoided_only_while_a_redirect_may_cost_a_lease():
     """Guards against avoiding a leader that is back soon, and against endless redirects."""
-    watched = Watched()
-    assert not watched.check_until(LIMITS.min_silence - S)
-    assert watched.check_until(LIMITS.min_silence)
-    assert watched.check_until(LIMITS.max_silence - S)
-    assert not watched.check_until(LIMITS.max_silence)
+    harness = Harness()
+    assert not harness.check_until(LIMITS.min_silence - S)
+    assert harness.check_until(LIMITS.min_silence)
+    assert harness.check_until(LIMITS.max_silence - S)
+    assert not harness.check_until(LIMITS.max_silence)
 
 
 def test_a_leader_that_served_its_workers_without_its_peers_is_not_avoided():
     """Guards against avoiding a leader that is silent to its peers but serves its workers."""
-    watched = Watched(turned=FEW)
-    assert not watched.check_until(LIMITS.max_departure)
-    watched.turned = MOST
-    assert not watched.check_until(LIMITS.max_silence - S, first=LIMITS.max_departure + S)
+    harness = Harness(turned=FEW)
+    assert not harness.check_until(LIMITS.max_departure)
+    harness.turned = MOST
+    assert not harness.check_until(LIMITS.max_silence - S, first=LIMITS.max_departure + S)
 
 
 def test_a_leader_whose_workers_have_found_it_is_not_avoided():
     """Guards against avoiding a recovered leader when workers lose contact with it later."""
-    watched = Watched()
-    assert watched.check_until(LIMITS.min_silence)
-    watched.turned = FEW
-    assert not watched.check_until(LIMITS.min_silence + S, first=LIMITS.min_silence + S)
+    harness = Harness()
+    assert harness.check_until(LIMITS.min_silence)
+    harness.turned = FEW
+    assert not harness.check_until(LIMITS.min_silence + S, first=LIMITS.min_silence + S)
 
 
 def test_a_leader_that_is_heard_again_is_not_avoided_from_then_on():
     """Guards against a flapping link: each silence is measured from its own start."""
-    watched = Watched()
-    assert watched.check_until(LIMITS.min_silence)
+    harness = Harness()
+    assert harness.check_until(LIMITS.min_silence)
     heard_again = HEARD + LIMITS.min_silence + S
-    watched.peers.links["node-0"].known.heard_at = heard_again
-    assert not watched.leaders.is_avoided("east", heard_again)
-    watched.check(heard_again + 4 * S)
-    assert not watched.leaders.is_avoided("east", heard_again + 4 * S)
+    harness.peers.links["node-0"].known.heard_at = heard_again
+    assert not harness.leaders.is_avoided("east", heard_again)
+    harness.check(heard_again + 4 * S)
+    assert not harness.leaders.is_avoided("east", heard_again + 4 * S)
     for second in range(5, 10):
-        watched.check(heard_again + second * S)
-    assert watched.leaders.is_avoided("east", heard_again + LIMITS.min_silence)
+        harness.check(heard_again + second * S)
+    assert harness.leaders.is_avoided("east", heard_again + LIMITS.min_silence)
 
 
 @pytest.mark.parametrize("recorded", [None, LeaderRecord(SETTINGS.name, "i1", 5)])
 def test_a_former_leader_is_avoided_until_the_partition_is_led_again(recorded):
     """Guards against workers that try the former leader while the partition has no leader."""
-    watched = Watched()
-    watched.check_until(LIMITS.min_silence - S)
+    harness = Harness()
+    harness.check_until(LIMITS.min_silence - S)
     if recorded is None:
-        del watched.view.partition_leaders["east"]
+        del harness.view.partition_leaders["east"]
     else:
-        watched.view.partition_leaders["east"] = recorded
-    assert watched.check_until(LIMITS.min_silence, first=LIMITS.min_silence)
-    watched.view.partition_leaders["east"] = LeaderRecord("node-2", "i2", 6)
-    assert not watched.leaders.is_avoided("east", HEARD + LIMITS.min_silence)
+        harness.view.partition_leaders["east"] = recorded
+    assert harness.check_until(LIMITS.min_silence, first=LIMITS.min_silence)
+    harness.view.partition_leaders["east"] = LeaderRecord("node-2", "i2", 6)
+    assert not harness.leaders.is_avoided("east", HEARD + LIMITS.min_silence)
 
 
 def test_a_leader_that_was_never_heard_is_not_avoided():
     """Guards against a silence without a start time."""
-    watched = Watched()
-    watched.peers.links["node-0"].known.heard_at = None
-    assert not watched.check_until(LIMITS.min_silence)
+    harness = Harness()
+    harness.peers.links["node-0"].known.heard_at = None
+    assert not harness.check_until(LIMITS.min_silence)
