--- a/roadbend/fleet/direct_starts.py
+++ b/roadbend/fleet/direct_starts.py
@@ -1,4 +1,4 @@
-"""Bookkeeping of direct starts: which are still wanted, and what became of those that were sent."""
+"""Bookkeeping of direct starts: which are still to be sent, and the outcome of those sent."""
 
 from datetime import datetime
 
@@ -11,9 +11,9 @@
 Starts = list[tuple[TaskKey, Attempt]]
 
 
-def still_wanted(leader: Leader, name: str, starts: Starts, now: datetime) -> Starts:
-    """Return the starts whose attempts are still recorded on the machine and are to run."""
-    recorded = leader.records.attempts_by_machine().get(name, {})
+def still_wanted(leader: Leader, machine_id: str, starts: Starts, now: datetime) -> Starts:
+    """Return the starts whose attempts are still recorded on the machine and should run."""
+    recorded = leader.records.attempts_by_machine().get(machine_id, {})
     return [
         (key, attempt)
         for key, attempt in starts
@@ -22,12 +22,12 @@
         and key not in leader.stops
         and key not in leader.terminations
         and leader.records.live_job(key[0])
-        and leader.unheld.may_send(name, key, attempt.number, now)
+        and leader.unheld.may_send(machine_id, key, attempt.number, now)
     ]
 
 
-def note_starts(leader: Leader, machine: Machine, starts: Starts, now: datetime) -> int:
-    """Note starts before they go out; return the epoch for which they hold."""
+def record_starts(leader: Leader, machine: Machine, starts: Starts, now: datetime) -> int:
+    """Record starts before they are sent; return the epoch for which they are valid."""
     epoch = machine.contact.position.epoch
     for key, attempt in starts:
         start = machine.token.direct_starts[key] = DirectStart(attempt.number, epoch)
@@ -37,17 +37,17 @@
     return epoch
 
 
-def forget_starts(machine: Machine, starts: Starts) -> None:
-    """Forget starts that were not carried out, nor will be."""
-    noted = machine.token.direct_starts
+def remove_starts(machine: Machine, starts: Starts) -> None:
+    """Remove starts that the machine refused, so that it will never execute them."""
+    recorded = machine.token.direct_starts
     for key, attempt in starts:
-        if key in noted and noted[key].attempt == attempt.number:
-            noted[key].refused = True
-            del noted[key]
+        if key in recorded and recorded[key].attempt == attempt.number:
+            recorded[key].refused = True
+            del recorded[key]
 
 
 def acknowledge_starts(machine: Machine, starts: Starts, answer: WorkerHeartbeat) -> None:
-    """Note that the machine's answer is from after the starts were carried out."""
+    """Record that the machine sent a response after it had executed the starts."""
     for key, attempt in starts:
         start = machine.token.direct_starts.get(key)
         if start is not None and start.attempt == attempt.number:
--- a/roadbend/fleet/machine_probe.py
+++ b/roadbend/fleet/machine_probe.py
@@ -1,4 +1,4 @@
-"""Asking a silent machine itself."""
+"""Probes of silent machines."""
 
 from dataclasses import dataclass
 from datetime import datetime, timedelta
@@ -15,26 +15,26 @@
 from roadbend.http.net import Net
 from roadbend.http.server import MalformedError
 
-# Machines asked at once; each takes a connection.
+# Machines probed at once; each needs a connection.
 MAX_PROBES = 96
-# How often a machine is asked, and how long each answer may take.
-PROBE_TRIES = 2
+# Attempts per probe, and the time that each may take.
+PROBE_ATTEMPTS = 2
 PROBE_TIMEOUT = timedelta(seconds=0.7)
 OK = 200
 
 
 @dataclass(frozen=True)
 class Probe:
-    """What asking a silent machine brought."""
+    """The result of probing a silent machine."""
 
-    name: str
+    machine_id: str
     answered: bool
     # The cloud lists it as failed.
     failed: bool
-    took: timedelta
-    # When it last received an answer of ours before it was asked.
+    duration: timedelta
+    # When a response had last reached it before the probe.
     acknowledged_at: datetime | None
-    # That, or when our leadership began.
+    # The same, or else when the leadership was acquired.
     silent_since: datetime
 
     def silence(self) -> timedelta:
@@ -43,8 +43,8 @@
 
 
 @dataclass(frozen=True)
-class _KnownBefore:
-    """What was known of a machine before it was asked."""
+class _MachineSnapshot:
+    """What was known of a machine before it was probed."""
 
     machine: Machine
     position: HeartbeatPosition
@@ -53,62 +53,65 @@
 
 
 class MachineProbes:
-    """Asks machines, so many at once."""
+    """Probes machines, a limited number at once."""
 
     def __init__(self, net: Net, inventory: CloudInventory) -> None:
         self._net, self._inventory = net, inventory
         self._connections = trio.CapacityLimiter(MAX_PROBES)
 
-    async def ask(self, leader: Leader, name: str) -> Probe:
-        """Ask a machine once there is a connection for it."""
+    async def probe(self, leader: Leader, machine_id: str) -> Probe:
+        """Probe a machine once a connection is available."""
         async with self._connections:
-            machine, listed = leader.machines.get(name), self._inventory.rows.get(name)
+            machine, listed = leader.machines.get(machine_id), self._inventory.rows.get(machine_id)
             address = machine.address if machine else (listed.address if listed else "")
-            failed = self._inventory.is_failed(name)
+            failed = self._inventory.is_failed(machine_id)
             began = clock.now()
             acknowledged_at = machine.contact.acknowledged_at if machine else None
-            answered = bool(address) and not failed and await self._inspect(leader, name, address)
-            took = clock.now() - began
+            answered = (
+                bool(address) and not failed and await self._inspect(leader, machine_id, address)
+            )
+            duration = clock.now() - began
         silent_since = acknowledged_at or leader.leadership.acquired_at
-        return Probe(name, answered, failed, took, acknowledged_at, silent_since)
+        return Probe(machine_id, answered, failed, duration, acknowledged_at, silent_since)
 
-    async def _inspect(self, leader: Leader, name: str, address: str) -> bool:
-        """Ask the machine itself; say whether it answered.
+    async def _inspect(self, leader: Leader, machine_id: str, address: str) -> bool:
+        """Inspect a machine; return whether it answered.
 
-        Its answer is newer than all that it said before we asked. If it counts from further back,
-        or shows a lower token than it has carried, it has restarted.
+        The response is newer than all heartbeats that arrived before the probe. If its position is
+        not higher than theirs, or its token is lower than the one that the machine has confirmed,
+        the machine has restarted.
         """
-        known = _known_before(leader.machines.get(name))
-        for _ in range(PROBE_TRIES):
-            heartbeat = await inspect_machine(self._net, address, name)
+        known = _snapshot(leader.machines.get(machine_id))
+        for _ in range(PROBE_ATTEMPTS):
+            heartbeat = await inspect_machine(self._net, address, machine_id)
             if heartbeat is None:
                 continue
-            if known is not None and leader.machines.get(name) is known.machine:
-                _take_answer(leader, known, heartbeat)
+            if known is not None and leader.machines.get(machine_id) is known.machine:
+                _record_answer(leader, known, heartbeat)
             return True
         return False
 
 
-async def inspect_machine(net: Net, address: str, name: str) -> WorkerHeartbeat | None:
-    """Ask the machine at an address once; None unless the machine of this name answers."""
+async def inspect_machine(net: Net, address: str, machine_id: str) -> WorkerHeartbeat | None:
+    """Inspect the machine at an address once; None unless the machine of this id answers."""
     client = Client(net, address, most=1, keep=0)
     try:
         status, body = await client.request("GET", "/inspect", within=PROBE_TIMEOUT)
         heartbeat = messages.parse_heartbeat(body) if status == OK else None
     except (NoAnswerError, MalformedError):
         return None
-    return heartbeat if heartbeat is not None and heartbeat.machine == name else None
+    return heartbeat if heartbeat is not None and heartbeat.machine == machine_id else None
 
 
-def _known_before(machine: Machine | None) -> _KnownBefore | None:
+def _snapshot(machine: Machine | None) -> _MachineSnapshot | None:
     if machine is None:
         return None
     token = machine.token
-    return _KnownBefore(machine, machine.contact.position, token.incarnation, token.confirmed)
+    return _MachineSnapshot(machine, machine.contact.position, token.incarnation, token.confirmed)
 
 
-def _take_answer(leader: Leader, known: _KnownBefore, heartbeat: WorkerHeartbeat) -> None:
-    """Note what a machine's answer says, unless it has restarted since it was asked."""
+def _record_answer(leader: Leader, known: _MachineSnapshot, heartbeat: WorkerHeartbeat) -> None:
+    """Record a machine's response, unless its incarnation has changed since the probe began."""
     machine = known.machine
     if machine.token.incarnation != known.incarnation:
         return
--- a/roadbend/fleet/machine_reach.py
+++ b/roadbend/fleet/machine_reach.py
@@ -1,4 +1,4 @@
-"""Whether the machines of a partition that another controller leads can be reached from here."""
+"""Checks whether the machines of another leader's partition are reachable from this controller."""
 
 from collections.abc import Sequence
 from datetime import datetime, timedelta
@@ -11,62 +11,69 @@
 from roadbend.http.net import Net
 from roadbend.store.record_view import RecordView
 
-# Machines of a partition that are asked at the most; a cut of a zone's network shows on any few.
-MAX_ASKED = 8
-# How long a partition that was found out of reach is not asked again.
+# At most so many machines of a partition are probed; a network partition of the zone shows on any
+# few of them.
+MAX_PROBED = 8
+# For how long a partition that was found unreachable is not probed again.
 RETRY_INTERVAL = timedelta(seconds=5)
 
 
 class MachineReach:
-    """Asks machines of a partition with gangs whether they answer."""
+    """Probes some machines of a partition, those that run gangs first."""
 
     def __init__(self, net: Net, inventory: CloudInventory, view: RecordView) -> None:
         self._net, self._inventory, self._view = net, inventory, view
-        # By partition, until when it counts as out of reach.
-        self._out_of_reach: dict[str, datetime] = {}
+        # By partition, until when it counts as unreachable.
+        self._unreachable_until: dict[str, datetime] = {}
 
     async def is_reachable(self, partition: str) -> bool:
-        """Tell whether the machines that run a partition's gangs answer us, or nothing runs there.
+        """Return whether a partition's machines with gangs answer, or no machine runs anything.
 
-        All that are asked have to, but for those that have failed: one that is lost to us ends its
-        gang. False, too, while the cloud's list lacks one of them.
+        All probed machines have to answer, except those that have failed: a machine that this
+        controller can't reach would end its gang. Also False while the cloud's list lacks one.
         """
         now = clock.now()
-        if now < self._out_of_reach.get(partition, now):
+        if now < self._unreachable_until.get(partition, now):
             return False
-        names = [name for name in self._choose(partition) if not self._inventory.is_failed(name)]
-        if not all(name in self._inventory.rows for name in names):
+        machine_ids = [
+            machine_id
+            for machine_id in self._choose(partition)
+            if not self._inventory.is_failed(machine_id)
+        ]
+        if not all(machine_id in self._inventory.rows for machine_id in machine_ids):
             return False
-        if await self._all_answer(names):
+        if await self._all_answer(machine_ids):
             return True
-        self._out_of_reach[partition] = clock.now() + RETRY_INTERVAL
+        self._unreachable_until[partition] = clock.now() + RETRY_INTERVAL
         return False
 
     def _choose(self, partition: str) -> Sequence[str]:
-        """Choose machines that run gangs, or anything where none does, spread by name."""
+        """Choose machines that run gangs, or else any tasks, evenly spread by id."""
         running = self._view.attempts_by_machine.get(partition, {})
         gangs = self._view.gangs
         with_gangs = [
-            name for name, attempts in running.items() if any(job in gangs for job, _ in attempts)
+            machine_id
+            for machine_id, attempts in running.items()
+            if any(job in gangs for job, _ in attempts)
         ]
-        return _spread(sorted(with_gangs or running), MAX_ASKED)
+        return _spread(sorted(with_gangs or running), MAX_PROBED)
 
-    async def _all_answer(self, names: Sequence[str]) -> bool:
+    async def _all_answer(self, machine_ids: Sequence[str]) -> bool:
         silent = []
 
-        async def ask(name: str) -> None:
-            address = self._inventory.rows[name].address
-            if await inspect_machine(self._net, address, name) is None:
-                silent.append(name)
+        async def probe(machine_id: str) -> None:
+            address = self._inventory.rows[machine_id].address
+            if await inspect_machine(self._net, address, machine_id) is None:
+                silent.append(machine_id)
 
         async with trio.open_nursery() as nursery:
-            for name in names:
-                nursery.start_soon(ask, name)
+            for machine_id in machine_ids:
+                nursery.start_soon(probe, machine_id)
         return not silent
 
 
-def _spread(names: Sequence[str], most: int) -> Sequence[str]:
-    """Return at most so many of some names, evenly spread."""
-    if len(names) <= most:
-        return names
-    return [names[at * len(names) // most] for at in range(most)]
+def _spread(machine_ids: Sequence[str], max_count: int) -> Sequence[str]:
+    """Return at most `max_count` of the ids, evenly spread."""
+    if len(machine_ids) <= max_count:
+        return machine_ids
+    return [machine_ids[at * len(machine_ids) // max_count] for at in range(max_count)]
