--- a/roadbend/autoscaler/catalog.py
+++ b/roadbend/autoscaler/catalog.py
@@ -72,7 +72,7 @@
         conditions = {keys.CATALOG_KEY: view.catalog_mod_revision}
         try:
             revision = await commit(self._context.state, conditions, changes, within=RECORD_TIMEOUT)
-            view.applied(changes, revision)
+            view.apply_transaction(changes, revision)
         except (ConflictError, LeaseEndedError, UnavailableError):
             # Another controller has written it, or the next round tries again.
             pass
--- a/roadbend/bidding/allocation.py
+++ b/roadbend/bidding/allocation.py
@@ -64,7 +64,7 @@
 
     If not, allocated tasks must end before more can be allocated.
     """
-    return job.weight <= settings.value_bytes * MAX_ALLOCATED_SHARE
+    return job.size_bound <= settings.value_bytes * MAX_ALLOCATED_SHARE
 
 
 def max_conditions(settings: PlatformSettings) -> int:
@@ -100,7 +100,7 @@
         """
         context, job, changed = self._context, change.job, change.changed
         key = keys.job_key(job.id)
-        value = changed.to_small_value(int(context.settings.value_bytes * MAX_WRITTEN_SHARE))
+        value = changed.to_compact_value(int(context.settings.value_bytes * MAX_WRITTEN_SHARE))
         rows = [put(key, value)]
         conditions = {key: job.mod_revision, **change.conditions}
         try:
@@ -109,7 +109,7 @@
             with trio.move_on_after(READ_BARRIER_SECONDS):
                 await context.reader.read_barrier()
             return False
-        context.view.applied(rows, revision)
+        context.view.apply_transaction(rows, revision)
         context.observer.job_assigned(changed, sorted(change.winners))
         self._log_allocated(change)
         await self._notify_bidders(change, Assignment(job.id, cbor2.dumps(value), revision))
--- a/roadbend/bidding/rescheduler.py
+++ b/roadbend/bidding/rescheduler.py
@@ -206,7 +206,7 @@
         shares.pop(partition, None)
         if not shares:
             return None
-        leaving = ranges.normal(pair for tasks in shares.values() for pair in tasks)
+        leaving = ranges.normalize(pair for tasks in shares.values() for pair in tasks)
         remaining = job.with_partition(partition, ranges.minus(held, leaving))
         changed = allocation.add_shares(remaining, shares)
         if not allocation.fits_record(changed, settings):
@@ -256,7 +256,7 @@
 
 def _tasks_in_shards(tasks: Ranges, shards: Sequence[int], width: int) -> Ranges:
     """Return the tasks that are in `shards`, of `width` tasks each."""
-    return ranges.normal(
+    return ranges.normalize(
         (max(low, shard * width), min(high, (shard + 1) * width))
         for shard in shards
         for low, high in tasks
--- a/roadbend/controller/availability.py
+++ b/roadbend/controller/availability.py
@@ -26,13 +26,13 @@
         Not while the state store refuses us and serves a peer; in an outage for all of us, all
         stay up and answer 503 quickly.
         """
-        if self._context.reader.contact is None or not self._context.machine_types:
+        if self._context.reader.last_read_at is None or not self._context.machine_types:
             return False
         return not self.state_refuses_only_us(now)
 
     def state_refuses_only_us(self, now: datetime) -> bool:
         """Tell whether the state store refuses this controller and serves a peer."""
-        contact = self._context.reader.contact
+        contact = self._context.reader.last_read_at
         if contact is not None and now - contact < CONTACT_FRESHNESS:
             return False
         return any(_is_served(link.peer_state, now) for link in self._peers.links.values())
--- a/roadbend/controller/controller.py
+++ b/roadbend/controller/controller.py
@@ -80,7 +80,7 @@
             settings.state_write_rps_next,
         )
         self.cloud = Cloud(
-            Client(net, settings.cloud, most=6, keep=2),
+            Client(net, settings.cloud, max_connections=6, max_idle=2),
             settings.cloud_rps,
             settings.controller_count,
         )
@@ -122,7 +122,7 @@
     def _make_context(
         self, settings: PlatformSettings, operator: OperatorSettings, rng: random.Random
     ) -> ControllerContext:
-        client = Client(self._net, settings.state, most=16, keep=8)
+        client = Client(self._net, settings.state, max_connections=16, max_idle=8)
         state = StateStoreClient(client, self._budget, rng=rng)
         view = RecordView()
         reader = RecordReader(view, state, operator)
--- a/roadbend/controller/heartbeats.py
+++ b/roadbend/controller/heartbeats.py
@@ -39,7 +39,7 @@
     def build(self) -> PeerHeartbeat:
         """Build a heartbeat of what is known now."""
         now = clock.now()
-        contact = self._context.reader.contact
+        contact = self._context.reader.last_read_at
         cancellations = self._cancellations.recent(now)
         return PeerHeartbeat(
             incarnation=self._incarnation,
@@ -65,7 +65,9 @@
 
         It may raise the cancellation watermark that we have of the peer.
         """
-        link.peer_state.update(heartbeat, requested_at, clock.now(), self._context.reader.contact)
+        link.peer_state.update(
+            heartbeat, requested_at, clock.now(), self._context.reader.last_read_at
+        )
         self._learn(heartbeat)
 
     def _learn(self, heartbeat: PeerHeartbeat) -> None:
--- a/roadbend/controller/rate_sharing.py
+++ b/roadbend/controller/rate_sharing.py
@@ -20,5 +20,5 @@
             for link in peers.links.values()
             if link.alive(now) and link.peer_state.heartbeat
         ]
-        budget.share([(rate.state_requests, rate.state_changes) for rate in rates])
+        budget.borrow([(rate.state_requests, rate.state_changes) for rate in rates])
         cloud.share([rate.cloud_requests for rate in rates])
--- a/roadbend/fakes/loopback.py
+++ b/roadbend/fakes/loopback.py
@@ -134,7 +134,9 @@
             (self._addresses.cloud, self.cloud.handle),
             (self._addresses.lengths, self._take_length),
         ):
-            await self._nursery.start(self._net.listen, address, Server(handle, most=512).serve)
+            await self._nursery.start(
+                self._net.listen, address, Server(handle, max_connections=512).serve
+            )
 
     async def _take_length(self, request: Request) -> Response:
         """Users upload what the workers need to know of a job: here, how long a task runs."""
--- a/roadbend/fakes/test_fakes.py
+++ b/roadbend/fakes/test_fakes.py
@@ -259,7 +259,9 @@
         from roadbend.http.server import Server
 
         async def accept(stream, source):
-            await Server(lambda request: service.handle(request, source), most=16).serve(stream)
+            await Server(lambda request: service.handle(request, source), max_connections=16).serve(
+                stream
+            )
 
         network.register("state:1", "state", accept)
         self._network = network
--- a/roadbend/fakes/worker.py
+++ b/roadbend/fakes/worker.py
@@ -220,7 +220,7 @@
         try:
             async with trio.open_nursery() as nursery:
                 self._work.nursery = nursery
-                server = Server(self.handle, most=32)
+                server = Server(self.handle, max_connections=32)
                 await nursery.start(self._net.listen, self.address, server.serve)
                 nursery.start_soon(self._watch_lease)
                 clients = {name: Client(self._net, at) for name, at in self._controllers.items()}
--- a/roadbend/fakes/world.py
+++ b/roadbend/fakes/world.py
@@ -129,7 +129,9 @@
 
     def _serve(self, host: str, service) -> None:
         async def accept(stream, source):
-            await Server(lambda request: service.handle(request, source), most=256).serve(stream)
+            await Server(
+                lambda request: service.handle(request, source), max_connections=256
+            ).serve(stream)
 
         self.network.register(f"{host}:1", host, accept)
 
--- a/roadbend/fleet/direct_commands.py
+++ b/roadbend/fleet/direct_commands.py
@@ -85,7 +85,7 @@
             return None
         token, epoch = leader.heartbeats.token(target), target.contact.position.epoch
         body = messages.direct_command(token, epoch, orders)
-        client = Client(self._net, target.address, most=1, keep=0)
+        client = Client(self._net, target.address, max_connections=1, max_idle=0)
         try:
             async with self._connections:
                 status, answer = await client.request(
@@ -165,7 +165,7 @@
         )
 
     async def _send_starts(self, machine: Machine, body: messages.Body) -> _StartAnswer:
-        client = Client(self._net, machine.address, most=1, keep=0)
+        client = Client(self._net, machine.address, max_connections=1, max_idle=0)
         heartbeat = None
         try:
             status, answer = await client.request("POST", "/commands", body, within=START_TIMEOUT)
@@ -189,7 +189,7 @@
                 return
             token, epoch = leader.heartbeats.token(machine), machine.contact.position.epoch
             body = messages.direct_command(token, epoch)
-            client = Client(self._net, machine.address, most=1, keep=0)
+            client = Client(self._net, machine.address, max_connections=1, max_idle=0)
             try:
                 async with self._connections:
                     await client.request("POST", "/commands", body, within=FENCE_TIMEOUT)
--- a/roadbend/fleet/heartbeat_evaluation.py
+++ b/roadbend/fleet/heartbeat_evaluation.py
@@ -166,7 +166,7 @@
 def _is_wanted(machine: Machine, key: tuple[str, int], expected: MachineExpectation) -> bool:
     """Whether a recorded task is still to run on its machine."""
     job = expected.jobs.get(key[0])
-    held = job is not None and ranges.has(job.allocation.get(expected.partition, ()), key[1])
+    held = job is not None and ranges.contains(job.allocation.get(expected.partition, ()), key[1])
     lifecycle = machine.lifecycle
     leaving = lifecycle.draining is not None or lifecycle.reclaim_at is not None
     return held and key not in expected.stops and not leaving
--- a/roadbend/fleet/machine_probe.py
+++ b/roadbend/fleet/machine_probe.py
@@ -91,7 +91,7 @@
 
 async def inspect_machine(net: Net, address: str, name: str) -> WorkerHeartbeat | None:
     """Ask the machine at an address once; None unless the machine of this name answers."""
-    client = Client(net, address, most=1, keep=0)
+    client = Client(net, address, max_connections=1, max_idle=0)
     try:
         status, body = await client.request("GET", "/inspect", within=PROBE_TIMEOUT)
         heartbeat = messages.parse_heartbeat(body) if status == OK else None
--- a/roadbend/fleet/token_raise.py
+++ b/roadbend/fleet/token_raise.py
@@ -33,7 +33,7 @@
     token = next_token(shown.token, term)
     if token is None:
         return False
-    client = Client(net, address, most=1, keep=0)
+    client = Client(net, address, max_connections=1, max_idle=0)
     command = messages.direct_command(token, shown.position.epoch)
     try:
         status, body = await client.request("POST", "/commands", command, within=RAISE_TIMEOUT)
--- a/roadbend/http/client.py
+++ b/roadbend/http/client.py
@@ -37,11 +37,11 @@
     `most`: connections at once; `keep`: how many of them are kept for requests to come.
     """
 
-    def __init__(self, net: Net, address: str, most: int = 8, keep: int = 4) -> None:
+    def __init__(self, net: Net, address: str, max_connections: int = 8, max_idle: int = 4) -> None:
         self.address = address
         self._net = net
-        self._slots = trio.CapacityLimiter(most)
-        self._keep = keep
+        self._slots = trio.CapacityLimiter(max_connections)
+        self._max_idle = max_idle
         self._idle: list[_Connection] = []
 
     async def request(
@@ -77,7 +77,7 @@
             status, data = await _read_answer(stream, conn)
             answer = Answer(status, decode(data) if data else None)
             is_over = conn.our_state is h11.DONE and conn.their_state is h11.DONE
-            if is_over and len(self._idle) < self._keep:
+            if is_over and len(self._idle) < self._max_idle:
                 conn.start_next_cycle()
                 is_reusable = True
             return answer
--- a/roadbend/http/connections.py
+++ b/roadbend/http/connections.py
@@ -29,15 +29,15 @@
     """All open connections of a server.
 
     `limit`: how many there may be. `spare`: how many of these are kept free for clients to come.
-    `stale_s`: for how many seconds at least a favoured connection is kept without a request.
+    `stale_after_s`: for how many seconds at least a favoured connection is kept without a request.
     """
 
-    def __init__(self, limit: int, spare: int, stale_s: float) -> None:
-        self._limit, self._spare, self._stale_s = limit, spare, stale_s
+    def __init__(self, limit: int, reserved: int, stale_after_s: float) -> None:
+        self._limit, self._reserved, self._stale_after_s = limit, reserved, stale_after_s
         self._open: set[OpenConnection] = set()
         # By the last request of a connection: new ones have had none.
         self.new = WaitingConnections()
-        self.favoured = WaitingConnections()
+        self.prioritized = WaitingConnections()
         self.other = WaitingConnections()
 
     def __len__(self) -> int:
@@ -71,7 +71,7 @@
         So more clients than there are connections take turns: a worker that found no connection
         would lose its lease.
         """
-        return self._spare > 0 and len(self._open) > self._limit - self._spare
+        return self._reserved > 0 and len(self._open) > self._limit - self._reserved
 
     def _make_room(self) -> bool:
         """End the connection that has waited longest.
@@ -90,10 +90,10 @@
         return True
 
     def _end_stale(self) -> bool:
-        since = next(iter(self.favoured.values()), None)
-        if since is None or trio.current_time() - since <= self._stale_s:
+        since = next(iter(self.prioritized.values()), None)
+        if since is None or trio.current_time() - since <= self._stale_after_s:
             return False
-        return self._end_longest(self.favoured)
+        return self._end_longest(self.prioritized)
 
     def _end(self, connection: OpenConnection) -> None:
         self.remove(connection)
--- a/roadbend/http/server.py
+++ b/roadbend/http/server.py
@@ -35,14 +35,14 @@
     def __init__(
         self,
         handle: Handle,
-        most: int,
-        favoured: Callable[[Request], bool] | None = None,
-        stale: float = IDLE_S,
-        spare: int = 0,
+        max_connections: int,
+        prioritized: Callable[[Request], bool] | None = None,
+        stale_after_s: float = IDLE_S,
+        reserved: int = 0,
     ) -> None:
         self._handle = handle
-        self._favoured = favoured
-        self._connections = ConnectionTable(most, spare, stale)
+        self._prioritized = prioritized
+        self._connections = ConnectionTable(max_connections, reserved, stale_after_s)
         self._request_heads = RequestHeads()
         self._response_heads = ResponseHeads()
 
@@ -100,9 +100,9 @@
             is_open = await exchange.send(response)
 
     async def _answer(self, request: Request, connection: OpenConnection) -> Response:
-        is_favoured = self._favoured is not None and self._favoured(request)
+        is_prioritized = self._prioritized is not None and self._prioritized(request)
         connections = self._connections
-        connection.waiting = connections.favoured if is_favoured else connections.other
+        connection.waiting = connections.prioritized if is_prioritized else connections.other
         # What a response takes is bounded by whoever makes it.
         connection.deadline = math.inf
         try:
--- a/roadbend/http/test_sent_after.py
+++ b/roadbend/http/test_sent_after.py
@@ -30,7 +30,7 @@
     async with trio.open_nursery() as nursery:
         stream, theirs = trio.testing.memory_stream_pair()
         accepted_at = trio.current_time()
-        nursery.start_soon(Server(answer, most=4).serve, theirs)
+        nursery.start_soon(Server(answer, max_connections=4).serve, theirs)
         answered_at = []
         for pause in (FIRST_S, BETWEEN_S, BETWEEN_S):
             await trio.sleep(pause)
--- a/roadbend/http/test_server.py
+++ b/roadbend/http/test_server.py
@@ -44,7 +44,10 @@
     """Users and workers share a port and its sockets; users once could take all of them."""
     async with trio.open_nursery() as nursery:
         server = Server(
-            answer, most=8, favoured=lambda request: request.path == "/hello", stale=10.0
+            answer,
+            max_connections=8,
+            prioritized=lambda request: request.path == "/hello",
+            stale_after_s=10.0,
         )
         workers = [Caller(nursery, server) for _ in range(5)]
         assert [await w.ask("/hello") for w in workers] == [200] * 5
@@ -63,7 +66,10 @@
 async def test_connections_left_half_open_by_a_cut_make_room_and_living_ones_do_not():
     async with trio.open_nursery() as nursery:
         server = Server(
-            answer, most=6, favoured=lambda request: request.path == "/hello", stale=10.0
+            answer,
+            max_connections=6,
+            prioritized=lambda request: request.path == "/hello",
+            stale_after_s=10.0,
         )
         lost = [Caller(nursery, server) for _ in range(6)]
         assert [await w.ask("/hello") for w in lost] == [200] * 6
@@ -85,7 +91,12 @@
     Whoever found no connection for the length of its lease would lose its tasks.
     """
     async with trio.open_nursery() as nursery:
-        server = Server(answer, most=12, favoured=lambda request: request.path == "/hello", spare=4)
+        server = Server(
+            answer,
+            max_connections=12,
+            prioritized=lambda request: request.path == "/hello",
+            reserved=4,
+        )
         workers = [Caller(nursery, server) for _ in range(30)]
         for _ in range(3):
             for n in range(len(workers)):
@@ -105,7 +116,7 @@
         return Response(200)
 
     async with trio.open_nursery() as nursery:
-        server = Server(slow, most=4)
+        server = Server(slow, max_connections=4)
         nursery.start_soon(server.sweep)
         silent, asking = Caller(nursery, server), Caller(nursery, server)
         with trio.fail_after(IDLE_S * 3):
@@ -174,10 +185,12 @@
         return answers
 
     # Two at once are answered one after the other.
-    both = await talk(Server(echo, most=64), [kinds[0] + kinds[2]], False)
+    both = await talk(Server(echo, max_connections=64), [kinds[0] + kinds[2]], False)
     assert both[0].startswith(b"HTTP/1.1 200")
-    server = Server(echo, most=64)
+    server = Server(echo, max_connections=64)
     for _ in range(150):
         data = [rng.choice(kinds) for _ in range(rng.randrange(1, 6))]
-        assert await talk(server, data, False) == await talk(Server(echo, most=64), data, True)
+        assert await talk(server, data, False) == await talk(
+            Server(echo, max_connections=64), data, True
+        )
     assert 3 <= len(server._request_heads) <= 5
--- a/roadbend/intake/cancellation.py
+++ b/roadbend/intake/cancellation.py
@@ -88,7 +88,7 @@
             await context.reader.read_barrier()
             return None
         # Recorded before the user is notified. Leaders stop the tasks of a job that is not live.
-        context.view.applied(changes, revision)
+        context.view.apply_transaction(changes, revision)
         log.info("job-cancelled", job=job.id)
-        context.observer.job_over(job, state.status.value)
+        context.observer.job_ended(job, state.status.value)
         return state
--- a/roadbend/intake/freshness.py
+++ b/roadbend/intake/freshness.py
@@ -20,7 +20,7 @@
 
     def is_fresh(self, now: datetime) -> bool:
         """Return whether the records have been loaded and were read recently."""
-        contact = self._reader.contact
+        contact = self._reader.last_read_at
         return self._view.loaded and contact is not None and now - contact < MAX_READ_AGE
 
     def require(self) -> None:
--- a/roadbend/intake/submission.py
+++ b/roadbend/intake/submission.py
@@ -75,7 +75,7 @@
         if job_id in context.view.unrecorded:
             raise RetryLaterError(RetryLaterReason.JOB_UNRECORDED)
         job = Job(job_id, spec, clock.wall())
-        if records.weigh(job.to_value()) > settings.value_bytes * MAX_RECORD_SHARE:
+        if records.value_size_bound(job.to_value()) > settings.value_bytes * MAX_RECORD_SHARE:
             raise MalformedError("rigs: more names than a record holds")
         check_gang_width(spec, settings)
         return job
@@ -95,7 +95,7 @@
             revision = await commit(context.state, conditions, changes, within=WRITE_TIMEOUT)
         except ConflictError:
             return await self._answer_conflict(job_id)
-        context.view.applied(changes, revision)
+        context.view.apply_transaction(changes, revision)
         _log_accepted(job)
         context.observer.job_accepted(job, trace_parent)
         self._submit(job_id)
--- a/roadbend/observer.py
+++ b/roadbend/observer.py
@@ -35,7 +35,7 @@
     def attempt_ended(self, partition: str, job: str, index: int, end: Termination) -> None:
         """Note that the termination of an attempt was recorded."""
 
-    def job_over(self, job: Job, status: str) -> None:
+    def job_ended(self, job: Job, status: str) -> None:
         """Note that a job's final state was recorded."""
 
     def recovery_phase(
@@ -43,7 +43,7 @@
     ) -> None:
         """Note that a phase of a partition's recovery, which began at `since`, has ended."""
 
-    def recovery_over(
+    def recovery_ended(
         self, partition: str, term: int, since: datetime, counts: dict[str, int]
     ) -> None:
         """Note that a partition's recovery, which began at `since`, is settled."""
--- a/roadbend/partitions/acquisition.py
+++ b/roadbend/partitions/acquisition.py
@@ -99,7 +99,7 @@
             # tell.
             written = await self._find_own_term(partition)
             if written is not None:
-                self._records.view.applied(changes, written.mod_revision)
+                self._records.view.apply_transaction(changes, written.mod_revision)
             return written
         return TermRecord(number, self._controller)
 
--- a/roadbend/partitions/controller_lease.py
+++ b/roadbend/partitions/controller_lease.py
@@ -76,11 +76,11 @@
 
     async def _request_or_renew(self) -> None:
         if self.id is None:
-            lease_id = await self._state.lease(self._ttl)
+            lease_id = await self._state.grant_lease(self._ttl)
             await self._announce(lease_id)
             self.id = lease_id
             return
-        await self._state.renew(self.id)
+        await self._state.renew_lease(self.id)
         announced = self._records.view.controllers.get(self._controller)
         if announced is None or announced.incarnation != self._incarnation:
             # A late transaction of a former incarnation, or of a lease that we gave up, has
--- a/roadbend/partitions/election.py
+++ b/roadbend/partitions/election.py
@@ -105,7 +105,7 @@
 
         Our lease counts and the records were read lately, so that cancellations reach us soon.
         """
-        contact, valid_until = self._reader.contact, self.lease.valid_until
+        contact, valid_until = self._reader.last_read_at, self.lease.valid_until
         return (
             valid_until is not None
             and now < valid_until
@@ -116,7 +116,7 @@
     def may_renew(self, now: datetime) -> bool:
         """Tell whether we may renew the leases of workers in partitions that we lead."""
         until = policy.renew_until(
-            self._reader.contact,
+            self._reader.last_read_at,
             [link.peer_state for link in self._peers.links.values()],
             self._settings.cancel_within,
             self._settings.lease,
@@ -194,7 +194,7 @@
             self._lose_all(LossReason.LEASE_ENDED)
         if self.lease.id is None:
             return
-        now, contact = clock.now(), self._reader.contact
+        now, contact = clock.now(), self._reader.last_read_at
         if contact is None or now - contact > DECISION_FRESHNESS:
             return
         controllers = self._live_controllers.observe(self.leaderships.keys(), now)
--- a/roadbend/partitions/records.py
+++ b/roadbend/partitions/records.py
@@ -36,7 +36,7 @@
         Raises what `commit` raises: `ConflictError`, `LeaseEndedError`, `UnavailableError`.
         """
         revision = await commit(self._state, conditions, changes, within=within, urgent=True)
-        self.view.applied(changes, revision)
+        self.view.apply_transaction(changes, revision)
 
     async def read(self) -> bool:
         """Wait for a read that begins now; return whether it was answered in time."""
--- a/roadbend/partitions/test_acquisition.py
+++ b/roadbend/partitions/test_acquisition.py
@@ -26,7 +26,7 @@
         if self.write_error is not None:
             raise self.write_error
         self.revision += 1
-        self.view.applied(changes, self.revision)
+        self.view.apply_transaction(changes, self.revision)
 
     async def read(self):
         return self.is_readable
--- a/roadbend/placement/apart_gangs.py
+++ b/roadbend/placement/apart_gangs.py
@@ -101,7 +101,7 @@
     def share_conditions(self, job: Job, partition: str) -> dict[str, int]:
         """Return the revisions of the records of a partition's share; 0 where there is none."""
         held = job.allocation.get(partition, ())
-        shards = {index // self._records.shard_width for index in ranges.numbers(held)}
+        shards = {index // self._records.shard_width for index in ranges.iter_indexes(held)}
         record_keys = [keys.slice_key(partition, job.id, shard) for shard in sorted(shards)]
         return {key: self._context.view.mod_revision(key) for key in record_keys}
 
--- a/roadbend/placement/bin_packing.py
+++ b/roadbend/placement/bin_packing.py
@@ -188,7 +188,7 @@
 
     Appends to `placed`, and takes from the machines and the quota.
     """
-    resources, tasks, left = item.job.spec.resources, ranges.numbers(item.tasks), item.count
+    resources, tasks, left = item.job.spec.resources, ranges.iter_indexes(item.tasks), item.count
     for capacity in capacities:
         fitting = min(left, capacity.count(resources))
         for _ in range(fitting):
--- a/roadbend/placement/fair_share.py
+++ b/roadbend/placement/fair_share.py
@@ -15,14 +15,14 @@
 
     def __init__(self, settings: PlatformSettings, view: RecordView) -> None:
         self._settings, self._view = settings, view
-        # Found anew only when a job comes or goes: the view counts that as `membership`.
+        # Found anew only when a job comes or goes: the view counts that as `membership_version`.
         self._guaranteed: set[str] = set()
         self._guaranteed_at = -1
 
     def guaranteed_jobs(self) -> set[str]:
         """Return the ids of the jobs that are within their team's guarantee."""
-        if self._guaranteed_at != self._view.membership:
-            self._guaranteed_at = self._view.membership
+        if self._guaranteed_at != self._view.membership_version:
+            self._guaranteed_at = self._view.membership_version
             self._guaranteed = within_guarantee(self._view.jobs.values(), self._settings)
         return self._guaranteed
 
--- a/roadbend/placement/gangs.py
+++ b/roadbend/placement/gangs.py
@@ -81,7 +81,7 @@
         All of it, once nothing of an earlier attempt is recorded any more; or what is missing of
         one that still gathers or is still being recorded.
         """
-        if is_scattered(job) or self._context.view.any_done(job):
+        if is_scattered(job) or self._context.view.has_done_tasks(job):
             # What is done is ended in the records and not started again.
             return None
         if ranges.size(unplaced) == self.share_size(job):
--- a/roadbend/placement/leader.py
+++ b/roadbend/placement/leader.py
@@ -209,7 +209,7 @@
         if self.transactions.in_doubt and not await self.transactions.resolve_in_doubt():
             return False
         # The budget comes first: what waits for it then goes out in one transaction, not in many.
-        await self.context.state.ready()
+        await self.context.state.wait_until_ready()
         now = clock.now()
         if not self.context.election.may_start(now):
             return False
--- a/roadbend/placement/pending_queue.py
+++ b/roadbend/placement/pending_queue.py
@@ -118,7 +118,7 @@
         job_slice = self._records.job_slices().get(job.id)
         if job_slice is None:
             return job.allocation.get(self._partition, ())
-        known, mark = self._unplaced.get(job.id), (job.mod_revision, job_slice.changed)
+        known, mark = self._unplaced.get(job.id), (job.mod_revision, job_slice.version)
         if known is None or known[0] != mark:
             if len(self._unplaced) >= MAX_KNOWN:
                 self._unplaced.clear()
@@ -129,7 +129,9 @@
         held = job.allocation.get(self._partition, ())
         if len(job_slice.attempts) + ranges.size(job_slice.done) >= ranges.size(
             held
-        ) and job_slice.attempts.keys() >= set(ranges.numbers(ranges.minus(held, job_slice.done))):
+        ) and job_slice.attempts.keys() >= set(
+            ranges.iter_indexes(ranges.minus(held, job_slice.done))
+        ):
             return ()
         return ranges.minus(
             held, ranges.union(job_slice.done, ((n, n + 1) for n in job_slice.attempts))
--- a/roadbend/placement/preemption.py
+++ b/roadbend/placement/preemption.py
@@ -230,7 +230,7 @@
         """Return of each team whether it uses more than its guarantee."""
         out = {}
         for team in self._context.settings.teams.values():
-            cpus, gpus = self._context.view.used_by(team.name)
+            cpus, gpus = self._context.view.team_usage(team.name)
             out[team.name] = (team.gpus > 0 and gpus > team.gpus + RESOURCE_TOLERANCE) or (
                 team.cpus > 0 and cpus > team.cpus + RESOURCE_TOLERANCE
             )
--- a/roadbend/placement/termination_recorder.py
+++ b/roadbend/placement/termination_recorder.py
@@ -242,7 +242,7 @@
         idle = {n: shard for n, shard in shards.items() if not shard.attempts}
         if terminations.job is None:
             return idle, len(idle) == len(shards)
-        done = ranges.normal(pair for shard in shards.values() for pair in shard.done)
+        done = ranges.normalize(pair for shard in shards.values() for pair in shard.done)
         held = terminations.job.allocation.get(self._partition, ())
         if len(idle) == len(shards) and not ranges.minus(held, done):
             return idle, True
@@ -287,7 +287,7 @@
     ) -> None:
         """Write the job's record, or its end, once shards of it are over."""
         held = job.allocation.get(self._partition, ())
-        all_done = ranges.normal(
+        all_done = ranges.normalize(
             [*job.done, *(pair for shard in over.values() for pair in shard.done)]
         )
         if whole and ranges.size(all_done) >= job.spec.task_count:
--- a/roadbend/placement/test_gang_end.py
+++ b/roadbend/placement/test_gang_end.py
@@ -173,7 +173,7 @@
     assert not kept & transaction.changes.keys()
     assert transaction.changes.keys() - OVER <= {keys.slice_key("east", GANG, 0)}
     # Nothing is left to be done once that is carried out, but for the tasks on machines.
-    desk.view.applied(transaction.changes.values(), 9)
+    desk.view.apply_transaction(transaction.changes.values(), 9)
     assert not desk.step().changes
 
 
@@ -249,7 +249,7 @@
     """Carry out transactions, none too large, until nothing is left to be written."""
     while (transaction := desk.step()).changes:
         assert len(transaction.changes) <= desk.settings.txn_ops
-        desk.view.applied(transaction.changes.values(), desk.next_revision())
+        desk.view.apply_transaction(transaction.changes.values(), desk.next_revision())
         desk.state.terminations.keep_only(
             lambda key, _: desk.state.records.recorded_attempt(key) is not None
         )
@@ -259,15 +259,15 @@
     """Guards against an index that keeps what the records no longer say, or loses what they do."""
     desk = Desk({"east": ALL})
     view = desk.view
-    assert view.done_gangs() == [] and not view.any_done(view.jobs[GANG])
+    assert view.done_gangs() == [] and not view.has_done_tasks(view.jobs[GANG])
     desk.write_slice(FIRST, shard=0, revision=6)
     desk.write_slice(REST, shard=1, revision=6)
     desk.write_slice(REST, partition="west", revision=6)
     for revision, (partition, shard) in enumerate([("east", 0), ("west", 0), ("east", 1)], 7):
-        assert view.done_gangs() == [GANG] and view.any_done(view.jobs[GANG])
+        assert view.done_gangs() == [GANG] and view.has_done_tasks(view.jobs[GANG])
         view.drop(keys.slice_key(partition, GANG, shard), revision)
-    assert view.done_gangs() == [] and not view.any_done(view.jobs[GANG])
+    assert view.done_gangs() == [] and not view.has_done_tasks(view.jobs[GANG])
     desk.write_job(replace(desk.job, done=FIRST), 10)
-    assert view.done_gangs() == [GANG] and view.any_done(view.jobs[GANG])
+    assert view.done_gangs() == [GANG] and view.has_done_tasks(view.jobs[GANG])
     view.drop(keys.job_key(GANG), 11)
     assert view.done_gangs() == []
--- a/roadbend/placement/transaction.py
+++ b/roadbend/placement/transaction.py
@@ -9,7 +9,7 @@
 from roadbend.store import keys, records
 from roadbend.store.client import Change, delete, put
 from roadbend.store.record_view import RecordView
-from roadbend.store.records import Job, QuotaRecord, Resources, SliceShard, weigh
+from roadbend.store.records import Job, QuotaRecord, Resources, SliceShard, value_size_bound
 
 # Bytes that a transaction's values may have in all; the protocol allows 64 KiB, conditions
 # included.
@@ -102,16 +102,16 @@
 
     def _put(self, key: str, value: Any, size: int | None = None) -> None:
         self.changes[key] = put(key, value)
-        self._sizes[key] = (weigh(value) if size is None else size) + len(key) + 60
+        self._sizes[key] = (value_size_bound(value) if size is None else size) + len(key) + 60
 
     def fits(self, piece: SliceShard) -> bool:
         """Whether a shard fits into the value of its record."""
-        return weigh(piece.to_value()) <= self._value * 0.95
+        return value_size_bound(piece.to_value()) <= self._value * 0.95
 
     def set_shard(self, piece: SliceShard) -> bool:
         """Write a shard; False, and nothing is changed, where it would not fit its value."""
         key, value = piece.key, piece.to_value()
-        size = weigh(value)
+        size = value_size_bound(value)
         if size > self._value * 0.95:
             return False
         self.conditions.setdefault(key, self._view.mod_revision(key))
@@ -134,7 +134,7 @@
     def set_job(self, job: Job) -> None:
         """Write a job's record."""
         self.require_job(job)
-        self._put(keys.job_key(job.id), job.to_small_value(int(self._value * 0.95)))
+        self._put(keys.job_key(job.id), job.to_compact_value(int(self._value * 0.95)))
 
     def end_job(self, job: Job, status: str, done: int) -> None:
         """Replace a job's record by its end."""
--- a/roadbend/placement/transaction_sender.py
+++ b/roadbend/placement/transaction_sender.py
@@ -85,7 +85,7 @@
             self._in_doubt = dict(transaction.conditions)
             return await self.resolve_in_doubt()
         else:
-            self._context.view.applied(changes, revision)
+            self._context.view.apply_transaction(changes, revision)
             self._finish(transaction)
             return more
         finally:
@@ -108,7 +108,7 @@
         for call in transaction.on_commit:
             call()
         for job, status in transaction.jobs_over:
-            self._context.observer.job_over(job, status)
+            self._context.observer.job_ended(job, status)
         self._direct_starts.send_all()
 
     async def resolve_in_doubt(self) -> bool:
@@ -148,7 +148,7 @@
                 )
             except (ConflictError, UnavailableError):
                 return False
-            view.applied(changes, revision)
+            view.apply_transaction(changes, revision)
             log.info("in-doubt-transaction-resolved", partition=partition, key=key)
             self._forget_in_doubt()
             return True
--- a/roadbend/recovery/adoption.py
+++ b/roadbend/recovery/adoption.py
@@ -71,7 +71,7 @@
         if job is None or keys.job_key(job.id) in transaction.changes:
             return False
         piece = self._with_attempt(transaction, job, held)
-        here = ranges.has(job.allocation.get(self._leader.partition, ()), held.index)
+        here = ranges.contains(job.allocation.get(self._leader.partition, ()), held.index)
         wanted = [piece.key, *([] if here else [keys.job_key(job.id)])]
         if not transaction.fits(piece) or not transaction.has_space_for(*wanted):
             return False
@@ -128,11 +128,11 @@
         recorded a start a moment ago.
         """
         partition, one = self._leader.partition, ((index, index + 1),)
-        if ranges.has(job.allocation.get(partition, ()), index):
+        if ranges.contains(job.allocation.get(partition, ()), index):
             transaction.require_job(job)
             return
         for other, held in job.allocation.items():
-            if ranges.has(held, index):
+            if ranges.contains(held, index):
                 key = keys.slice_key(other, job.id, index // self._leader.records.shard_width)
                 transaction.conditions[key] = self._leader.context.view.mod_revision(key)
                 job = job.with_partition(other, ranges.minus(held, one))
--- a/roadbend/recovery/judgement.py
+++ b/roadbend/recovery/judgement.py
@@ -87,12 +87,12 @@
 
     def is_superseded(self, job: Job, index: int) -> bool:
         """Tell whether the records name an attempt of a task anywhere, or say that it is done."""
-        if index >= job.spec.task_count or ranges.has(job.done, index):
+        if index >= job.spec.task_count or ranges.contains(job.done, index):
             return True
         for job_slices in self._leader.context.view.job_slices.values():
             job_slice = job_slices.get(job.id)
             if job_slice is not None and (
-                index in job_slice.attempts or ranges.has(job_slice.done, index)
+                index in job_slice.attempts or ranges.contains(job_slice.done, index)
             ):
                 return True
         return False
--- a/roadbend/recovery/partition.py
+++ b/roadbend/recovery/partition.py
@@ -193,7 +193,7 @@
         observer.recovery_phase(partition, term, str(before.name), self._phase_since, self.found)
         self._phase_since = now
         if self.phase.name is PhaseName.SETTLED:
-            observer.recovery_over(partition, term, before.since, self.found)
+            observer.recovery_ended(partition, term, before.since, self.found)
 
     def gather_again(self) -> None:
         """Wait for machines until they can't hold anything: writes are known to be lost."""
--- a/roadbend/recovery/records.py
+++ b/roadbend/recovery/records.py
@@ -113,5 +113,5 @@
                 error=str(error)[:MAX_LOGGED_ERROR],
             )
             return False
-        self._context.view.applied(rows, revision)
+        self._context.view.apply_transaction(rows, revision)
         return True
--- a/roadbend/recovery/service.py
+++ b/roadbend/recovery/service.py
@@ -53,7 +53,7 @@
         self._environment = RecoveryEnvironment(
             settings=settings,
             inventory=controller.fleet.inventory,
-            records_read_at=lambda: controller.reader.contact,
+            records_read_at=lambda: controller.reader.last_read_at,
             peers_heard_since=self._peers_heard_since,
             gate_is_open=self._gate.is_open_for,
             note_lost_writes=self._note_lost_writes,
--- a/roadbend/recovery/survey.py
+++ b/roadbend/recovery/survey.py
@@ -88,9 +88,11 @@
         budget = RequestBudget(
             settings.state_rps, settings.state_write_rps, settings.controller_count
         )
-        self._state = StateStoreClient(Client(net, settings.state, most=4, keep=2), budget)
+        self._state = StateStoreClient(
+            Client(net, settings.state, max_connections=4, max_idle=2), budget
+        )
         self._cloud = Cloud(
-            Client(net, settings.cloud, most=2, keep=1),
+            Client(net, settings.cloud, max_connections=2, max_idle=1),
             settings.cloud_rps,
             settings.controller_count,
         )
@@ -191,7 +193,7 @@
     async def _inspect(self, row: ListedMachine) -> messages.WorkerHeartbeat | None:
         if not row.address:
             return None
-        client = Client(self._net, row.address, most=1, keep=0)
+        client = Client(self._net, row.address, max_connections=1, max_idle=0)
         try:
             status, body = await client.request("GET", "/inspect", within=ANSWER_TIMEOUT)
             heartbeat = messages.parse_heartbeat(body) if status == HTTPStatus.OK else None
--- a/roadbend/store/client.py
+++ b/roadbend/store/client.py
@@ -71,9 +71,9 @@
         self._budget = budget
         self._within = within
 
-    async def ready(self) -> None:
+    async def wait_until_ready(self) -> None:
         """Wait until the budget would let a change go out at once."""
-        await self._budget.ready()
+        await self._budget.wait_until_ready()
 
     async def get(self, key: str) -> VersionedValue | None:
         """Read one key; None if there is none.
@@ -128,7 +128,7 @@
         )
         return _read_swapped(answer)
 
-    async def lease(self, ttl: timedelta) -> int:
+    async def grant_lease(self, ttl: timedelta) -> int:
         """Get a new lease, which expires if it is not renewed in time; return its id."""
         answer = await self._request(
             Operation.GRANT_LEASE,
@@ -139,7 +139,7 @@
         )
         return messages.read_lease(answer)
 
-    async def renew(self, lease_id: int) -> None:
+    async def renew_lease(self, lease_id: int) -> None:
         """Renew a lease; raises LeaseEndedError if it has expired."""
         answer = await self._request(
             Operation.RENEW_LEASE, "POST", messages.renew_target(lease_id), {}, urgent=True
@@ -164,7 +164,7 @@
         await self._budget.take(writes, urgent=urgent)
         status, answer = await self._client.request(method, target, body, within=self._within)
         if status == messages.TOO_MANY_REQUESTS:
-            self._budget.push_back(writing=writes > 0)
+            self._budget.throttle(writing=writes > 0)
         if status in (messages.TOO_MANY_REQUESTS, messages.UNAVAILABLE):
             raise RefusedError(str(status), operation, keys)
         return Answer(operation, keys, status, answer)
--- a/roadbend/store/job_index.py
+++ b/roadbend/store/job_index.py
@@ -14,7 +14,7 @@
         # Partition -> the jobs of which it holds tasks, in the order in which they came to it.
         self.assigned_jobs: dict[str, dict[str, None]] = {}
         # Grows when a job comes or goes, not when one changes.
-        self.membership = 0
+        self.membership_version = 0
         # Jobs that are gangs, whatever their own records say: versions before gangs rewrite a job's
         # record without that.
         self.gangs: set[str] = set()
@@ -66,6 +66,6 @@
         else:
             self.partly_done.discard(name)
         if (old is None) != (new is None):
-            self.membership += 1
+            self.membership_version += 1
         if released:
             self._attempts.touch_machines_of(name)
--- a/roadbend/store/job_slice.py
+++ b/roadbend/store/job_slice.py
@@ -13,12 +13,12 @@
         "_duplicates",
         "_shard_of_task",
         "attempts",
-        "changed",
         "job",
         "partition",
         "resources",
         "shards",
         "team",
+        "version",
     )
 
     def __init__(self, job: str, partition: str, team: str, resources: Resources) -> None:
@@ -27,7 +27,7 @@
         # The recorded attempts by task index.
         self.attempts: dict[int, Attempt] = {}
         # Another number after every change of any slice's shards: tells a change from no change.
-        self.changed = 0
+        self.version = 0
         # The shard that each recorded attempt was read from, and the tasks that a further shard
         # names, too: a split writes the shard that takes a task before the one that gives it up.
         self._shard_of_task: dict[int, int] = {}
@@ -38,7 +38,7 @@
     def done(self) -> Ranges:
         """The tasks that are done, of all shards."""
         if self._done is None:
-            self._done = ranges.normal(
+            self._done = ranges.normalize(
                 pair for shard in self.shards.values() for pair in shard.done
             )
         return self._done
@@ -81,7 +81,7 @@
         else:
             self.shards.pop(number, None)
         self._done = None
-        self.changed = version
+        self.version = version
 
     def _move_to_other_shard(self, number: int, task_index: int) -> bool:
         """Look for another shard that names the same attempt of a task; return whether one does."""
--- a/roadbend/store/live_records.py
+++ b/roadbend/store/live_records.py
@@ -75,9 +75,9 @@
         self.partition_leaders = leaders.records
 
     @property
-    def membership(self) -> int:
+    def membership_version(self) -> int:
         """A number that grows when a job comes or goes."""
-        return self._jobs.membership
+        return self._jobs.membership_version
 
     @property
     def gangs(self) -> set[str]:
@@ -94,7 +94,7 @@
         in_slices = gangs & self._attempts.partitions_with_done.keys()
         return sorted(in_slices | (gangs & self._jobs.partly_done))
 
-    def any_done(self, job: Job) -> bool:
+    def has_done_tasks(self, job: Job) -> bool:
         """Whether the records say of any task of a live job that it is done, in any partition."""
         return bool(job.done) or job.id in self._attempts.partitions_with_done
 
@@ -133,7 +133,7 @@
         record = collection.find(name) if collection is not None else None
         return None if record is None else record.to_value()
 
-    def used_by(self, team: str) -> Usage:
+    def team_usage(self, team: str) -> Usage:
         """Return what all of a team's recorded attempts use, in all partitions."""
         rows = [teams.get(team, NO_USAGE) for teams in self.usage.values()]
         return Usage(sum(row.cpus for row in rows), sum(row.gpus for row in rows))
--- a/roadbend/store/ranges.py
+++ b/roadbend/store/ranges.py
@@ -11,7 +11,7 @@
 EMPTY: Ranges = ()
 
 
-def normal(pairs: Iterable[Range]) -> Ranges:
+def normalize(pairs: Iterable[Range]) -> Ranges:
     """Return the ranges that cover what any pairs do: sorted, disjoint, and none empty.
 
     Raises TypeError or ValueError for what are no pairs of numbers, as records may hold.
@@ -46,22 +46,22 @@
 def read(value: str | Iterable[Range]) -> Ranges:
     """Read ranges as records hold them: pairs, or the short form that `to_text` writes."""
     if not isinstance(value, str):
-        return normal(value)
+        return normalize(value)
     words = [int(word, 16) for word in value.split()]
     pairs: list[Range] = []
     end = 0
     for skip, length in zip(words[::2], words[1::2], strict=True):
         pairs.append((end + skip, end + skip + length))
         end += skip + length
-    return normal(pairs)
+    return normalize(pairs)
 
 
 def of(indexes: Iterable[int]) -> Ranges:
     """Return the ranges that hold just these indexes."""
-    return normal((index, index + 1) for index in indexes)
+    return normalize((index, index + 1) for index in indexes)
 
 
-def numbers(ranges: Ranges) -> Iterator[int]:
+def iter_indexes(ranges: Ranges) -> Iterator[int]:
     """Yield all indexes, in order."""
     for low, high in ranges:
         yield from range(low, high)
@@ -69,7 +69,7 @@
 
 def union(ranges: Ranges, others: Iterable[Range]) -> Ranges:
     """Return what is in either."""
-    return normal([*ranges, *others])
+    return normalize([*ranges, *others])
 
 
 def minus(ranges: Ranges, removed: Ranges) -> Ranges:
@@ -98,7 +98,7 @@
     return sum(high - low for low, high in ranges)
 
 
-def has(ranges: Ranges, index: int) -> bool:
+def contains(ranges: Ranges, index: int) -> bool:
     """Return whether an index is in the ranges."""
     return any(low <= index < high for low, high in ranges)
 
--- a/roadbend/store/record_reader.py
+++ b/roadbend/store/record_reader.py
@@ -28,7 +28,7 @@
     ) -> None:
         self.view = view
         # When the last read that was answered was sent: the view holds all that was written before.
-        self.contact: datetime | None = None
+        self.last_read_at: datetime | None = None
         # How many reads in a row have failed.
         self.refusals = 0
         self._state = state
@@ -84,7 +84,7 @@
     def _note_success(self, sent: datetime) -> None:
         if self.refusals > 1:
             log.info("state-store-recovered", after_failures=self.refusals)
-        self.refusals, self.contact = 0, sent
+        self.refusals, self.last_read_at = 0, sent
 
     async def _read(self) -> None:
         """Read what changed since the last read, or everything if there was none lately enough."""
--- a/roadbend/store/record_view.py
+++ b/roadbend/store/record_view.py
@@ -71,7 +71,7 @@
             self.version += 1
         self._tell(key)
 
-    def applied(self, changes: Iterable[Change], revision: int) -> None:
+    def apply_transaction(self, changes: Iterable[Change], revision: int) -> None:
         """Take in the changes of our own transaction, which was carried out at a revision.
 
         An answer that comes after the log has passed that revision is old news: applying it could
--- a/roadbend/store/records/__init__.py
+++ b/roadbend/store/records/__init__.py
@@ -19,7 +19,7 @@
     unrecorded_job_value,
 )
 from roadbend.store.records.resources import Resources
-from roadbend.store.records.size import shard_width, weigh
+from roadbend.store.records.size import shard_width, value_size_bound
 from roadbend.store.records.slice_shard import Attempt, SliceShard
 
 __all__ = [
@@ -43,5 +43,5 @@
     "read_unrecorded_job",
     "shard_width",
     "unrecorded_job_value",
-    "weigh",
+    "value_size_bound",
 ]
--- a/roadbend/store/records/job.py
+++ b/roadbend/store/records/job.py
@@ -9,7 +9,7 @@
 from roadbend.store import ranges
 from roadbend.store.ranges import Ranges
 from roadbend.store.records.resources import Resources
-from roadbend.store.records.size import weigh
+from roadbend.store.records.size import value_size_bound
 
 JobValue = dict[str, Any]
 JobSpecValue = list[Any]
@@ -145,7 +145,7 @@
     @cached_property
     def unassigned(self) -> Ranges:
         """Tasks that are neither done nor held by a partition."""
-        held = ranges.normal(
+        held = ranges.normalize(
             [*self.done, *(pair for tasks in self.allocation.values() for pair in tasks)]
         )
         return ranges.minus(((0, self.spec.task_count),), held)
@@ -156,7 +156,7 @@
         return None if self.spec.due is None else self.submitted_at + self.spec.due
 
     @property
-    def weight(self) -> int:
+    def size_bound(self) -> int:
         """An upper bound of the value's size in bytes, in the form in which limits are measured."""
         count = len(self.done)
         count += sum(len(tasks) + PARTITION_RANGES for tasks in self.allocation.values())
@@ -197,7 +197,7 @@
             value["d"] = [list(pair) for pair in self.done]
         return value
 
-    def to_small_value(self, most: int) -> JobValue:
+    def to_compact_value(self, most: int) -> JobValue:
         """Return the value within a limit, in bytes.
 
         What would not fit, since a version with larger values wrote it, has its ranges as text.
@@ -205,7 +205,7 @@
         large.
         """
         value = self.to_value()
-        if weigh(value) > most:
+        if value_size_bound(value) > most:
             value["a"] = {
                 partition: ranges.to_text(tasks)
                 for partition, tasks in self.allocation.items()
--- a/roadbend/store/records/size.py
+++ b/roadbend/store/records/size.py
@@ -20,6 +20,6 @@
     return max(MIN_SHARD_WIDTH, min(MAX_SHARD_WIDTH, room // ATTEMPT_BYTES))
 
 
-def weigh(value: Any) -> int:
+def value_size_bound(value: Any) -> int:
     """Return an upper bound of a value's size in bytes, as limits are measured."""
     return len(json.dumps(value))
--- a/roadbend/store/records/slice_shard.py
+++ b/roadbend/store/records/slice_shard.py
@@ -64,7 +64,7 @@
             partition=partition,
             team=value["t"],
             resources=Resources.from_value(value["n"]),
-            done=ranges.normal(value["d"]),
+            done=ranges.normalize(value["d"]),
             attempts=_read_attempts(value["r"]),
             mod_revision=mod_revision,
             shard=shard,
--- a/roadbend/store/request_budget.py
+++ b/roadbend/store/request_budget.py
@@ -158,7 +158,7 @@
         """What was used per second lately."""
         return RequestRates(self._requests.used, self._changes.used)
 
-    async def ready(self) -> None:
+    async def wait_until_ready(self) -> None:
         """Wait until a change could go out at once; nothing is taken."""
         while (wait := self._wait(1)) > clock.ZERO:
             await clock.pause(wait + READY_MARGIN)
@@ -175,7 +175,7 @@
         if writes:
             self._changes.spend(writes)
 
-    def push_back(self, writing: bool = False) -> None:
+    def throttle(self, writing: bool = False) -> None:
         """Slow down: the state store says that together we went over its limits.
 
         For a change that may be since the limit that was to come is in force now: the rate falls to
@@ -189,7 +189,7 @@
             self._reduced_at = clock.now()
             self._changes.set_total(self._next_change_rate)
 
-    def share(self, others: Sequence[tuple[float, float]]) -> None:
+    def borrow(self, others: Sequence[tuple[float, float]]) -> None:
         """Borrow what the other controllers leave, by the requests and changes each used."""
         now = clock.now()
         if self._reduced_at is not None and now - self._reduced_at > RETRY_FORMER_RATE_AFTER:
--- a/roadbend/store/test_ranges.py
+++ b/roadbend/store/test_ranges.py
@@ -11,12 +11,12 @@
         a = {rng.randrange(40) for _ in range(rng.randrange(25))}
         b = {rng.randrange(40) for _ in range(rng.randrange(25))}
         ra, rb = ranges.of(a), ranges.of(b)
-        assert set(ranges.numbers(ranges.union(ra, rb))) == a | b
-        assert set(ranges.numbers(ranges.minus(ra, rb))) == a - b
+        assert set(ranges.iter_indexes(ranges.union(ra, rb))) == a | b
+        assert set(ranges.iter_indexes(ranges.minus(ra, rb))) == a - b
         assert ranges.size(ra) == len(a)
         n = rng.randrange(30)
-        assert list(ranges.numbers(ranges.first(ra, n))) == sorted(a)[:n]
-        assert all(ranges.has(ra, x) == (x in a) for x in range(40))
+        assert list(ranges.iter_indexes(ranges.first(ra, n))) == sorted(a)[:n]
+        assert all(ranges.contains(ra, x) == (x in a) for x in range(40))
 
 
 def test_a_huge_array_is_one_range():
--- a/roadbend/store/test_store.py
+++ b/roadbend/store/test_store.py
@@ -47,9 +47,9 @@
         self.network, self.service = Network(nursery), FakeStateService()
 
         async def accept(stream, source):
-            await Server(lambda request: self.service.handle(request, source), most=64).serve(
-                stream
-            )
+            await Server(
+                lambda request: self.service.handle(request, source), max_connections=64
+            ).serve(stream)
 
         self.network.register("state:1", "state", accept)
         self.state = StateStoreClient(
@@ -119,12 +119,12 @@
     view.load([], 0)
     key = keys.term_key("east")
     view.events([StoredRecord(key, {"n": 1, "node": "a"}, 5), DeletedRecord(key, 6)], 6)
-    view.applied([put(key, {"n": 1, "node": "a"})], 5)
+    view.apply_transaction([put(key, {"n": 1, "node": "a"})], 5)
     assert "east" not in view.terms
-    view.applied([put(key, {"n": 2, "node": "a"})], 9)
+    view.apply_transaction([put(key, {"n": 2, "node": "a"})], 9)
     view.events([DeletedRecord(key, 8)], 9)
     assert view.terms["east"].number == 2
-    view.applied([delete(key)], 11)
+    view.apply_transaction([delete(key)], 11)
     view.events([StoredRecord(key, {"n": 2, "node": "a"}, 9)], 10)
     assert "east" not in view.terms
 
@@ -150,7 +150,7 @@
         row = delete(key) if rng.random() < 0.3 else put(key, {"n": rng.randrange(99), "node": "a"})
         revision = service.compare_and_swap({"apply": [row.to_map()]}).body["ledger"]
         if rng.random() < 0.5:
-            view.applied([row], revision)
+            view.apply_transaction([row], revision)
         if rng.random() < 0.3:
             view.events(*changes_after(service, view.revision))
     view.events(*changes_after(service, view.revision))
@@ -203,9 +203,9 @@
 
     await spend(5)
     assert 8 < await spend(20) < 10
-    budget.share([(0.0, 0.0), (0.0, 0.0)])
+    budget.borrow([(0.0, 0.0), (0.0, 0.0)])
     assert 17 < await spend(20) < 24
-    budget.share([(30.0, 10.0), (30.0, 10.0)])
+    budget.borrow([(30.0, 10.0), (30.0, 10.0)])
     await spend(5)
     assert 8 < await spend(20) < 10
     # What keeps the rules never waits.
--- a/roadbend/tracing/recorder.py
+++ b/roadbend/tracing/recorder.py
@@ -180,7 +180,7 @@
             error=None if end.done or end.cause == "stopped" else end.cause,
         )
 
-    def job_over(self, job: Job, status: str) -> None:
+    def job_ended(self, job: Job, status: str) -> None:
         """Record the span of a whole job; called by the controller that recorded its end."""
         attributes = {**self._job_attributes(job), STATUS: status, TASKS: job.spec.task_count}
         self._record_span(
@@ -206,7 +206,7 @@
             attributes=attributes,
         )
 
-    def recovery_over(
+    def recovery_ended(
         self, partition: str, term: int, since: datetime, counts: dict[str, int]
     ) -> None:
         """Record the span of a whole recovery."""
--- a/roadbend/tracing/test_tracing.py
+++ b/roadbend/tracing/test_tracing.py
@@ -38,7 +38,7 @@
 
 
 def end_job(tracing: Tracing, number: int = 1) -> None:
-    tracing.recorder.job_over(Job(f"run-{number:06d}", SPEC, AT), "done")
+    tracing.recorder.job_ended(Job(f"run-{number:06d}", SPEC, AT), "done")
 
 
 def until(check, seconds: float = 10) -> bool:
--- a/tests/compatibility/adapter.py
+++ b/tests/compatibility/adapter.py
@@ -360,7 +360,7 @@
 
 def write_small_job(fields: Fields) -> tuple[str, Any]:
     """The same within a limit of the value's size."""
-    return keys.job_key(fields["job"]), _job(fields).to_small_value(fields["most_bytes"])
+    return keys.job_key(fields["job"]), _job(fields).to_compact_value(fields["most_bytes"])
 
 
 def write_slice(fields: Fields) -> tuple[str, Any]:
--- a/tests/scenarios/test_double_starts.py
+++ b/tests/scenarios/test_double_starts.py
@@ -290,13 +290,13 @@
     for order in ((taking, giving), (giving, taking)):
         view = RecordView()
         view.put(wide.key, wide.to_value(), 5)
-        view.applied([put(row.key, row.to_value()) for row in order], 9)
+        view.apply_transaction([put(row.key, row.to_value()) for row in order], 9)
         work = view.job_slices["east"]["run-000001"]
         assert work.attempts == wide.attempts and view.usage["east"]["red"] == (2, 2)
         assert view.attempts_by_machine["east"].keys() == {"m-1", "m-2"}
         assert [work.shard_of(index, 102) for index in (0, 200)] == [0, 1]
         # It is in one record now, and gone with that one.
-        view.applied([delete(taking.key)], 10)
+        view.apply_transaction([delete(taking.key)], 10)
         assert work.attempts == giving.attempts and view.attempts_by_machine["east"].keys() == {
             "m-1"
         }
@@ -331,7 +331,7 @@
     more = recorder.plan_splits(transaction, job_ends)
     recorder.write_slices(transaction, job_ends, {})
     recorded = {n for n, _ in job_ends.ended}
-    view.applied(list(transaction.changes.values()), 9)
+    view.apply_transaction(list(transaction.changes.values()), 9)
     assert work.attempts == {n: a for n, a in before.items() if n not in recorded}
     reread = RecordView()
     for piece in work.shards.values():
--- a/tests/scenarios/test_rolling_upgrade.py
+++ b/tests/scenarios/test_rolling_upgrade.py
@@ -257,12 +257,12 @@
         900 * S,
     )
     numbers = sorted(rng.sample(range(100_000), 240))
-    pairs = ranges.normal(zip(numbers[::2], numbers[1::2], strict=True))
+    pairs = ranges.normalize(zip(numbers[::2], numbers[1::2], strict=True))
     large = Job("run-1", spec, AT, {"east": pairs[::3], "west": pairs[1::3]}, pairs[2::3])
-    assert 2048 < records.weigh(large.to_value()) < 4096
-    small = large.to_small_value(2048)
-    assert records.weigh(small) <= 2048 and Job.from_value("run-1", small, 0) == large
-    assert JOB.to_small_value(2048) == JOB.to_value()
+    assert 2048 < records.value_size_bound(large.to_value()) < 4096
+    small = large.to_compact_value(2048)
+    assert records.value_size_bound(small) <= 2048 and Job.from_value("run-1", small, 0) == large
+    assert JOB.to_compact_value(2048) == JOB.to_value()
 
 
 async def test_the_rate_of_changes_falls_when_the_service_says_so_and_not_before():
@@ -277,12 +277,12 @@
 
     await count(5)
     assert await count(10) > 800
-    budget.push_back(True)
+    budget.throttle(True)
     await count(3)
     assert 150 < await count(10) < 210
     # It is tried out again after a long while only.
     await trio.sleep(11 * 60)
-    budget.share([])
+    budget.borrow([])
     await count(3)
     assert await count(10) > 800
 
@@ -370,7 +370,10 @@
         )
         assert await w.until(lambda: len(w.board.running("run-000002")) == 120, 90)
         assert (await w.call(0, "POST", "/v1/jobs", gang(9)))[0] == 400
-        assert any(records.weigh(value) > 1200 for value in w.state.starting("r/slice/").values())
+        assert any(
+            records.value_size_bound(value) > 1200
+            for value in w.state.starting("r/slice/").values()
+        )
         async with trio.open_nursery() as nursery:
             nursery.start_soon(rolled, w, rng, trouble)
             await trio.sleep(rng.uniform(1, 20))
--- a/tests/scenarios/test_scalability.py
+++ b/tests/scenarios/test_scalability.py
@@ -50,7 +50,7 @@
             "run-000001", "east", "team-0000000001", Resources(8, 1, 43.5), attempts=run
         )
         for _ in range(width + 1):
-            assert records.weigh(piece.to_value()) < value * 0.95
+            assert records.value_size_bound(piece.to_value()) < value * 0.95
             left = list(piece.attempts)
             if left:
                 task_index = rng.choice(left[::2] or left)
@@ -119,7 +119,7 @@
         assert seen == want
         for team in ("red", "blue"):
             count = sum(len(p.attempts) for p in rows.values() if p.team == team)
-            assert view.used_by(team) == (2.0 * count, 1.0 * count)
+            assert view.team_usage(team) == (2.0 * count, 1.0 * count)
 
 
 def lines(count, gpus=2.0):
@@ -191,7 +191,7 @@
     ) as w:
         assert await w.submit(0, job(1, legs=250, dueS=30.0), 100.0) == 201
         assert await w.until(lambda: len(w.board.running("run-000001")) >= 240, 90)
-        assert max(records.weigh(v) for v in w.state.starting("r/").values()) < KIB4
+        assert max(records.value_size_bound(v) for v in w.state.starting("r/").values()) < KIB4
 
         async def over():
             return await w.status(1, "run-000001") == "done"
@@ -486,9 +486,9 @@
     view.put(keys.job_key(name), free.to_value(), 1)
     held = free.with_partition("east", ((0, 250),))
     view.put(keys.job_key(name), held.to_value(), 2)
-    assert list(view.assigned_jobs["east"]) == [name] and view.membership == 1
-    view.applied([delete(keys.job_key(name))], 9)
-    assert view.assigned_jobs["east"] == {} and view.membership == 2
+    assert list(view.assigned_jobs["east"]) == [name] and view.membership_version == 1
+    view.apply_transaction([delete(keys.job_key(name))], 9)
+    assert view.assigned_jobs["east"] == {} and view.membership_version == 2
 
 
 async def test_a_smaller_share_of_a_core_and_more_parts_mean_fewer_looks_at_everything():
