--- a/roadbend/store/client.py
+++ b/roadbend/store/client.py
@@ -1,4 +1,4 @@
-"""The state store's client, and transactions repeated until the answer is definite."""
+"""The state store's client, and `commit`, which retries a transaction up to a definite answer."""
 
 import random
 from collections.abc import Mapping, Sequence
@@ -44,18 +44,18 @@
 ]
 
 REQUEST_TIMEOUT = timedelta(seconds=1.5)
-# How much of an answer an error shows.
+# Characters of an answer that an error message includes.
 SHOWN_CHARACTERS = 120
-# The waits between tries of one transaction.
+# Backoff between tries of one transaction.
 FIRST_WAIT, LONGEST_WAIT = timedelta(milliseconds=40), timedelta(milliseconds=500)
 
 
 class StateStoreClient:
-    """The interface of the state store.
+    """A client of the state store.
 
     Every request may raise RefusedError, which means that it was not carried out, and
-    NoAnswerError, which means that nobody knows. Requests that are not urgent wait until the
-    request budget permits them.
+    NoAnswerError, which means that the outcome is unknown. Requests that are not urgent wait until
+    the request budget permits them.
     """
 
     def __init__(
@@ -65,20 +65,20 @@
         within: timedelta = REQUEST_TIMEOUT,
         rng: random.Random | None = None,
     ) -> None:
-        """Make a client; `within` is how long an answer is waited for."""
+        """Create a client; `within` is the timeout of a request."""
         self.rng = rng or random.Random()
         self._client = client
         self._budget = budget
         self._within = within
 
     async def wait_until_ready(self) -> None:
-        """Wait until the budget would let a change go out at once."""
+        """Wait until the budget permits a change without delay."""
         await self._budget.wait_until_ready()
 
     async def get(self, key: str) -> VersionedValue | None:
-        """Read one key; None if there is none.
+        """Read one key; None if there is no such key.
 
-        It is urgent: a user waits for it, who asks about a job that is over.
+        The request is urgent: a user who queries a job that has ended waits for it.
         """
         answer = await self._request(
             Operation.GET, "GET", messages.key_target(key), keys=(key,), urgent=True
@@ -86,9 +86,10 @@
         return messages.read_value(answer)
 
     async def read_all(self, prefix: str) -> Listing:
-        """Read all keys with a prefix.
+        """List all keys with a prefix.
 
-        The revision is the first page's, so that who follows from there misses nothing.
+        The revision is that of the first page, so that following the change log from there misses
+        no change.
         """
         records: list[StoredRecord] = []
         after, revision = "", None
@@ -104,7 +105,7 @@
             after = records[-1].key
 
     async def follow(self, prefix: str, after: int) -> ChangeLog | None:
-        """Read what changed after a revision; None if the change log no longer goes back so far."""
+        """Read the changes after a revision; None if the change log has been compacted past it."""
         target = messages.follow_target(prefix, after)
         answer = await self._request(Operation.FOLLOW, "GET", target, keys=(prefix,), urgent=True)
         return messages.read_change_log(answer)
@@ -112,9 +113,9 @@
     async def compare_and_swap(
         self, conditions: Mapping[str, int], changes: Sequence[Change], *, urgent: bool = False
     ) -> int:
-        """Carry out changes if all conditions hold, mod revisions by key; return the revision.
+        """Apply changes if all conditions (mod revisions by key) hold; return the revision.
 
-        Raises ConflictError, LeaseEndedError or TooLargeError if certainly nothing was changed.
+        Raises ConflictError, LeaseEndedError or TooLargeError if nothing was changed for certain.
         """
         transaction = CompareAndSwap.of(conditions, changes)
         answer = await self._request(
@@ -126,10 +127,10 @@
             writes=len(changes),
             urgent=urgent,
         )
-        return _read_swapped(answer)
+        return _read_revision_or_raise(answer)
 
     async def grant_lease(self, ttl: timedelta) -> int:
-        """Get a new lease, which expires if it is not renewed in time; return its id."""
+        """Create a lease, which expires unless it is renewed within `ttl`; return its id."""
         answer = await self._request(
             Operation.GRANT_LEASE,
             "POST",
@@ -145,7 +146,7 @@
             Operation.RENEW_LEASE, "POST", messages.renew_target(lease_id), {}, urgent=True
         )
         if answer.status == messages.NOT_FOUND:
-            raise LeaseEndedError("renew", Operation.RENEW_LEASE)
+            raise LeaseEndedError("the lease to renew has expired", Operation.RENEW_LEASE)
         if answer.status != messages.OK:
             raise answer.malformed(str(answer.status))
 
@@ -160,7 +161,7 @@
         writes: int = 0,
         urgent: bool = False,
     ) -> Answer:
-        """Send a request once the budget permits it."""
+        """Send a request as soon as the budget permits it."""
         await self._budget.take(writes, urgent=urgent)
         status, answer = await self._client.request(method, target, body, within=self._within)
         if status == messages.TOO_MANY_REQUESTS:
@@ -170,23 +171,23 @@
         return Answer(operation, keys, status, answer)
 
 
-def _read_swapped(answer: Answer) -> int:
-    """Return the revision at which a transaction was carried out, or raise why it was not."""
+def _read_revision_or_raise(answer: Answer) -> int:
+    """Return the revision at which a transaction was applied; raise an error if it was not."""
     if answer.status == messages.OK and isinstance(answer.body, dict):
         return messages.read_revision(answer)
     if answer.status == messages.CONFLICT and isinstance(answer.body, dict):
         raise ConflictError(messages.read_failed_keys(answer))
     if messages.says_no_such_lease(answer):
-        raise LeaseEndedError("write", answer.operation, answer.keys)
+        raise LeaseEndedError("a lease of the transaction expired", answer.operation, answer.keys)
     if answer.status == messages.BAD_REQUEST:
-        # Nothing else that we send is malformed: a value, or the whole, is larger than the state
-        # store takes now.
+        # Our requests are well formed, so the only cause left is size: a value, or the whole
+        # transaction, exceeds the state store's present limit.
         raise TooLargeError(str(answer.body)[:SHOWN_CHARACTERS], answer.operation, answer.keys)
     raise answer.malformed(f"{answer.status} {answer.body!r}"[:SHOWN_CHARACTERS])
 
 
 def put(key: str, value: Any, lease_id: int | None = None) -> Change:
-    """Return the change that writes a key; with a lease the key is deleted when that expires."""
+    """Return the change that writes a key; with a lease, the key is deleted when that expires."""
     return Put(key, value, lease_id)
 
 
@@ -203,14 +204,14 @@
     within: timedelta,
     urgent: bool = False,
 ) -> int:
-    """Repeat one transaction until the answer is definite; return the revision.
+    """Retry one transaction until the answer is definite; return the revision.
 
-    The conditions make that safe: once it has been carried out they no longer hold. So a
-    ConflictError after a try without an answer may be our own success, and a caller that gets one
-    always reads the records again before it goes on.
+    The conditions make retries safe: once the transaction has been applied they no longer hold.
+    A ConflictError after a try without an answer may therefore be caused by our own success; a
+    caller that gets one must read the records again before it goes on.
 
-    Raises ConflictError, LeaseEndedError or TooLargeError for a definite no, and UnavailableError
-    if there is no definite answer in time.
+    Raises ConflictError, LeaseEndedError or TooLargeError if the transaction was definitely not
+    applied, and UnavailableError if there is no definite answer in time.
     """
     deadline = clock.now() + within
     waits = Backoff(FIRST_WAIT, LONGEST_WAIT, state.rng)
--- a/roadbend/store/errors.py
+++ b/roadbend/store/errors.py
@@ -1,7 +1,7 @@
-"""What can go wrong with a request to the state store.
+"""Errors of requests to the state store.
 
-Each error says what was asked, of which keys, and what is known of the outcome. A request without
-any usable answer raises `NoAnswerError`, as with every service: its outcome is unknown.
+Each error has the operation, the keys concerned, and what is known of the outcome. A request
+without a usable answer raises `NoAnswerError`, as for every service: its outcome is unknown.
 """
 
 from enum import StrEnum
@@ -12,7 +12,7 @@
 
 
 class Operation(StrEnum):
-    """What the state store can be asked to do."""
+    """The operations of the state store."""
 
     GET = "get"
     LIST = "list"
@@ -25,11 +25,11 @@
 class Outcome(StrEnum):
     """What is known of a request that failed."""
 
-    # It was not carried out, and the same request would not be later either.
+    # It was not carried out, and repeating it would not help.
     NOT_CARRIED_OUT = "not carried out"
-    # It was not carried out; the same request may be later.
+    # It was not carried out; repeating it later may succeed.
     TRY_LATER = "try later"
-    # It may have been carried out, or may still be.
+    # It may have been carried out, or may still be carried out.
     UNKNOWN = "unknown"
 
 
@@ -41,10 +41,10 @@
     def __init__(
         self, message: str, operation: Operation | None = None, keys: tuple[str, ...] = ()
     ) -> None:
-        """Make the error.
+        """Create the error.
 
-        `operation` is None where several requests failed together; `keys` are the keys, or the
-        prefix, that were asked for.
+        `operation` is None where several requests failed together; `keys` are the requested keys,
+        or the requested prefix.
         """
         super().__init__(message)
         self.operation = operation
@@ -52,7 +52,7 @@
 
 
 class RefusedError(StateStoreError, RetryableError):
-    """The state store refused a request: an outage, or the controllers are over its limits."""
+    """The state store refused a request: an outage, or the controllers exceed its rate limits."""
 
     outcome = Outcome.TRY_LATER
 
@@ -66,8 +66,8 @@
 class ConflictError(StateStoreError, PermanentError):
     """A condition of a transaction does not hold.
 
-    `failed` are the keys whose mod revisions are others. Where the transaction was sent before
-    without an answer, that may be because it was carried out then.
+    `failed` are the keys whose mod revisions differ from the expected ones. If the transaction was
+    sent before and got no answer, the cause may be that it was carried out then.
     """
 
     outcome = Outcome.NOT_CARRIED_OUT
@@ -78,7 +78,7 @@
 
 
 class MalformedAnswerError(StateStoreError, NoAnswerError):
-    """The answer is none that the state store may give."""
+    """The answer violates the protocol of the state store."""
 
     outcome = Outcome.UNKNOWN
 
@@ -90,6 +90,6 @@
 
 
 class TooLargeError(UnavailableError):
-    """A transaction, or a value in it, is larger than the state store takes."""
+    """A transaction, or a value in it, exceeds the state store's size limit."""
 
     outcome = Outcome.NOT_CARRIED_OUT
--- a/roadbend/store/keys.py
+++ b/roadbend/store/keys.py
@@ -4,25 +4,25 @@
 | ---------------------------- | ----------------------------------------------------------------- |
 | `r/job/ID`                   | a live job: its specification, which partition holds which tasks, |
 |                              | and which tasks are done                                          |
-| `r/gang/ID`                  | says that a live job is a gang: versions before gangs rewrite the |
-|                              | job's own record without that                                     |
+| `r/gang/ID`                  | marks a live job as a gang; a key of its own, since versions      |
+|                              | without gangs drop the mark when they rewrite the job's record    |
 | `r/slice/PARTITION/ID/SHARD` | a shard of a job slice: a partition's attempts at some of a job's |
-|                              | tasks, and what a task takes; tasks go into shards by number, so  |
-|                              | that the widest job array fits small values                       |
+|                              | tasks, and what a task takes; tasks are put into shards by index, |
+|                              | so that even the widest job array fits into small values          |
 | `r/team/TEAM`                | what each partition has reserved of a team's quota; the sum never |
-|                              | passes the quota                                                  |
+|                              | exceeds the quota                                                 |
 | `r/term/PARTITION`           | the partition's term, never deleted; its mod revision guards      |
 |                              | every write of a leader                                           |
-| `r/own/PARTITION`            | the partition's leader, on the leader's lease                     |
-| `r/node/NAME`                | a live controller, on its lease                                   |
-| `r/catalog`                  | the machine types as last seen, for a controller that starts in   |
-|                              | an outage of the cloud                                            |
-| `r/recovery/PARTITION`       | how far the partition's recovery is, under one term; older        |
+| `r/own/PARTITION`            | the partition's leader, attached to the leader's lease            |
+| `r/node/NAME`                | a live controller, attached to its lease                          |
+| `r/catalog`                  | the machine types as last seen, for a controller that starts      |
+|                              | during an outage of the cloud                                     |
+| `r/recovery/PARTITION`       | the progress of the partition's recovery, under one term; older   |
 |                              | versions ignore it                                                |
-| `r/unrecorded/ID`            | a job that machines run and no record names: it is not accepted   |
-|                              | anew while this is there; older versions ignore it                |
-| `fin/ID`                     | the end of a job, kept for ever; not live, so the record view     |
-|                              | does not follow it                                                |
+| `r/unrecorded/ID`            | a job that machines run but that has no record: a submission with |
+|                              | its id is refused while this exists; older versions ignore it     |
+| `fin/ID`                     | the final state of a job, kept for ever; not live, so the record  |
+|                              | view does not follow it                                           |
 
 Names of partitions, teams and controllers are percent-encoded; job ids need no encoding.
 """
@@ -31,12 +31,12 @@
 from functools import lru_cache
 from urllib.parse import quote, unquote
 
-# All records of what is live begin so.
+# The prefix of all live records.
 LIVE = "r/"
 
 
 class RecordKind(StrEnum):
-    """The kinds of live records, as they stand in keys."""
+    """The kinds of live records, as they are written in keys."""
 
     JOB = "job"
     GANG = "gang"
@@ -51,15 +51,15 @@
 
 
 CATALOG_KEY = "r/catalog"
-# The shard number of a record of version 0.1, which kept a job slice in one record.
+# The shard number of records of version 0.1, which kept a whole job slice in one record.
 NO_SHARD = -1
 
 
 @lru_cache(maxsize=4096)
 def quoted(name: str) -> str:
-    """Encode a name as part of a key.
+    """Percent-encode a name for use in a key.
 
-    Names of teams, partitions and controllers come again and again, so the results are cached.
+    The names of teams, partitions and controllers recur often, so the results are cached.
     """
     return quote(name, safe="")
 
@@ -72,7 +72,7 @@
 def slice_key(partition: str, job: str, shard: int) -> str:
     """Return the key of a shard of a job slice.
 
-    Records of version 0.1 had no shards; they are read, and emptied where they lie.
+    Records of version 0.1 had no shards; they are read, and emptied under their old key.
     """
     key = f"r/slice/{quoted(partition)}/{job}"
     return key if shard < 0 else f"{key}/{shard}"
@@ -84,7 +84,7 @@
 
 
 def gang_key(job: str) -> str:
-    """Return the key that says that a live job is a gang."""
+    """Return the key that marks a live job as a gang."""
     return f"r/gang/{job}"
 
 
@@ -104,28 +104,28 @@
 
 
 def recovery_key(partition: str) -> str:
-    """Return the key that says how far a partition's recovery is."""
+    """Return the key of the progress of a partition's recovery."""
     return f"r/recovery/{quoted(partition)}"
 
 
 def unrecorded_key(job: str) -> str:
-    """Return the key that says that machines run a job that no record names."""
+    """Return the key that marks a job as run by machines without having a record."""
     return f"r/unrecorded/{job}"
 
 
 def job_end_key(job: str) -> str:
-    """Return the key of a job's end."""
+    """Return the key of a job's final state."""
     return f"fin/{job}"
 
 
 def split_key(key: str) -> tuple[str, str]:
-    """Return a live key's kind, which may be one of a newer version, and the record's name."""
+    """Return a live key's kind, which may be one that only newer versions know, and its name."""
     kind, _, name = key.removeprefix(LIVE).partition("/")
     return kind, name
 
 
 def split_slice_name(name: str) -> tuple[str, str, int]:
-    """Return partition, job and shard of a slice's name; raises ValueError for a bad shard."""
+    """Return partition, job and shard of a slice key's name; raise ValueError for a bad shard."""
     partition, _, rest = name.partition("/")
     job, slash, shard = rest.partition("/")
     return unquote(partition), job, int(shard) if slash else NO_SHARD
--- a/roadbend/store/live_records.py
+++ b/roadbend/store/live_records.py
@@ -8,7 +8,7 @@
 from roadbend.store.keys import RecordKind
 from roadbend.store.record_tables import (
     CatalogRecord,
-    GangMarks,
+    GangTable,
     QuotaTable,
     RecordCollection,
     RecordTable,
@@ -27,10 +27,10 @@
 
 
 class LiveRecords:
-    """The live records as last read; no index is ever worked out anew.
+    """The live records as last read, with indexes that are updated and never rebuilt.
 
-    What is asked for with every heartbeat or start is an attribute, set once; the dicts behind
-    them are never replaced.
+    Tables that are used with every heartbeat or start are attributes that are set once; these
+    dicts are never replaced.
     """
 
     def __init__(self) -> None:
@@ -45,7 +45,7 @@
         self._catalog = CatalogRecord()
         self._collections: dict[str, RecordCollection] = {
             RecordKind.JOB: self._jobs,
-            RecordKind.GANG: GangMarks(self._jobs),
+            RecordKind.GANG: GangTable(self._jobs),
             RecordKind.SLICE: attempts,
             RecordKind.QUOTA: quotas,
             RecordKind.TERM: terms,
@@ -57,14 +57,14 @@
         }
         # Job id -> live job.
         self.jobs = self._jobs.jobs
-        # Partition -> ids of the jobs of which it holds tasks, in the order in which they came.
+        # Partition -> ids of the jobs of which it holds tasks, in order of arrival.
         self.assigned_jobs = self._jobs.assigned_jobs
         # Partition -> job id -> what the partition runs of it.
         self.job_slices = attempts.job_slices
-        # Partition -> machine -> the attempts recorded on it; and a number that changes with them.
+        # Partition -> machine -> the attempts recorded on it; and a version that changes with them.
         self.attempts_by_machine = attempts.attempts_by_machine
         self.machine_versions = attempts.machine_versions
-        # Called when an attempt is named newly.
+        # Called when an attempt is newly recorded.
         self.attempt_listeners = attempts.listeners
         # Partition -> team -> what the recorded attempts use.
         self.usage = attempts.usage
@@ -76,26 +76,27 @@
 
     @property
     def membership_version(self) -> int:
-        """A number that grows when a job comes or goes."""
+        """A version that grows when a live job is added or removed."""
         return self._jobs.membership_version
 
     @property
     def gangs(self) -> set[str]:
-        """The jobs that a record of its own says are gangs."""
+        """The ids of the jobs with a gang record."""
         return self._jobs.gangs
 
     def done_gangs(self) -> list[str]:
-        """Return the gangs of which the records say of a task that it is done: then all are.
+        """Return the gangs of which a task is recorded as done, sorted by name.
 
-        In the order of their names. Jobs that are over are among them while slices of them are
-        left. Only versions before gangs write this, for they record the tasks' ends one by one.
+        If one task of a gang is done, all are. Ended jobs are included while slices of them are
+        left. Only versions without gangs write such records, since they record each task's
+        termination by itself.
         """
         gangs = self._jobs.gangs
         in_slices = gangs & self._attempts.partitions_with_done.keys()
-        return sorted(in_slices | (gangs & self._jobs.partly_done))
+        return sorted(in_slices | (gangs & self._jobs.jobs_with_done_tasks))
 
     def has_done_tasks(self, job: Job) -> bool:
-        """Whether the records say of any task of a live job that it is done, in any partition."""
+        """Return whether any task of a live job is recorded as done, in any partition."""
         return bool(job.done) or job.id in self._attempts.partitions_with_done
 
     @property
@@ -105,28 +106,28 @@
 
     @property
     def recoveries(self) -> dict[str, RecoveryProgress]:
-        """How far the recovery of each partition is, as its leader wrote it."""
+        """The progress of each partition's recovery, as recorded by its leader."""
         return self._recoveries.records
 
     @property
     def unrecorded(self) -> dict[str, str]:
-        """The jobs that machines run and no record names, with the partition that stops each."""
+        """The jobs that machines run without a job record, with the partition that stops each."""
         return self._unrecorded.records
 
     @property
     def catalog(self) -> Any:
-        """The machine types as last seen by any controller, in the form of their record."""
+        """The machine types as last seen by any controller, as the value of their record."""
         return self._catalog.value
 
     @property
     def catalog_mod_revision(self) -> int:
-        """The mod revision of the machine types' record, 0 if there is none."""
+        """The mod revision of the record of the machine types, 0 if there is none."""
         return self._catalog.mod_revision
 
     def value(self, key: str) -> Any:
-        """Return what a job's, a slice's or a team's record holds, to write the same again.
+        """Return the value of a job, slice or quota record, for rewriting it unchanged.
 
-        None for other kinds, and where there is no such record.
+        None for other kinds, and if there is no such record.
         """
         kind, name = keys.split_key(key)
         collection = self._collections.get(kind)
@@ -134,19 +135,19 @@
         return None if record is None else record.to_value()
 
     def team_usage(self, team: str) -> Usage:
-        """Return what all of a team's recorded attempts use, in all partitions."""
+        """Return the usage of all recorded attempts of a team, in all partitions."""
         rows = [teams.get(team, NO_USAGE) for teams in self.usage.values()]
         return Usage(sum(row.cpus for row in rows), sum(row.gpus for row in rows))
 
     def _store(self, key: str, value: Any, mod_revision: int) -> None:
-        """Take in a record as read. Kinds that newer versions may add are left out."""
+        """Add or replace a record. Unknown kinds, which newer versions may add, are ignored."""
         kind, name = keys.split_key(key)
         collection = self._collections.get(kind)
         if collection is not None:
             collection.store(name, value, mod_revision)
 
     def _remove(self, key: str) -> None:
-        """Take in that a record was deleted."""
+        """Remove a deleted record."""
         kind, name = keys.split_key(key)
         collection = self._collections.get(kind)
         if collection is not None:
--- a/roadbend/store/messages.py
+++ b/roadbend/store/messages.py
@@ -1,4 +1,4 @@
-"""The requests to the state store and its answers, as they are sent (protocol: state service)."""
+"""The wire format of the state store's requests and answers (protocol: state service)."""
 
 from collections.abc import Iterable, Iterator, Mapping
 from datetime import timedelta
@@ -10,10 +10,10 @@
 OK, BAD_REQUEST, NOT_FOUND, CONFLICT = 200, 400, 404, 409
 GONE, TOO_MANY_REQUESTS, UNAVAILABLE = 410, 429, 503
 NO_SUCH_LEASE = "no such lease"
-# How many entries of a listing are asked for at a time.
+# Entries per page of a listing.
 PAGE_SIZE = 500
 
-# Revisions and the ids of leases are below this (protocol).
+# Revisions and lease ids are below this (protocol).
 INTEGER_LIMIT = 1 << 64
 
 COMPARE_AND_SWAP_TARGET = "/multi"
@@ -21,25 +21,25 @@
 
 
 class Condition(NamedTuple):
-    """A key must have this mod revision; 0: there must be no such key."""
+    """A key must have this mod revision; 0 means that the key must not exist."""
 
     key: str
     mod_revision: int
 
     def to_map(self) -> dict[str, Any]:
-        """Return the condition as it is sent."""
+        """Return the wire format of the condition."""
         return {"path": self.key, "stamp": self.mod_revision}
 
 
 class Put(NamedTuple):
-    """Write a key; with a lease it is deleted when that expires."""
+    """Write a key; with a lease, the key is deleted when the lease expires."""
 
     key: str
     value: Any
     lease_id: int | None = None
 
     def to_map(self) -> dict[str, Any]:
-        """Return the change as it is sent."""
+        """Return the wire format of the change."""
         row = {"write": self.key, "value": self.value}
         if self.lease_id is not None:
             row["permit"] = self.lease_id
@@ -52,7 +52,7 @@
     key: str
 
     def to_map(self) -> dict[str, Any]:
-        """Return the change as it is sent."""
+        """Return the wire format of the change."""
         return {"delete": self.key}
 
 
@@ -60,14 +60,14 @@
 
 
 class CompareAndSwap(NamedTuple):
-    """Changes that are carried out together, if all conditions hold."""
+    """A transaction: changes that are applied atomically if all conditions hold."""
 
     conditions: tuple[Condition, ...]
     changes: tuple[Change, ...]
 
     @staticmethod
     def of(conditions: Mapping[str, int], changes: Iterable[Change]) -> "CompareAndSwap":
-        """Make a transaction; the conditions are mod revisions by key."""
+        """Create a transaction; the conditions are mod revisions by key."""
         return CompareAndSwap(
             tuple(Condition(key, mod_revision) for key, mod_revision in conditions.items()),
             tuple(changes),
@@ -75,11 +75,11 @@
 
     @property
     def keys(self) -> tuple[str, ...]:
-        """The keys that it changes."""
+        """The keys that the transaction changes."""
         return tuple(change.key for change in self.changes)
 
     def to_map(self) -> dict[str, Any]:
-        """Return the transaction as it is sent."""
+        """Return the wire format of the transaction."""
         return {
             "when": [condition.to_map() for condition in self.conditions],
             "apply": [change.to_map() for change in self.changes],
@@ -87,14 +87,14 @@
 
 
 class VersionedValue(NamedTuple):
-    """What a key holds, and its mod revision."""
+    """The value of a key, and its mod revision."""
 
     value: Any
     mod_revision: int
 
 
 class StoredRecord(NamedTuple):
-    """A key as a listing names it, or as the change log says that it was written."""
+    """A key with its value, from a listing or from a write in the change log."""
 
     key: str
     value: Any
@@ -102,7 +102,7 @@
 
 
 class DeletedRecord(NamedTuple):
-    """A key as the change log says that it was deleted."""
+    """A key whose deletion is in the change log."""
 
     key: str
     mod_revision: int
@@ -119,65 +119,65 @@
 
 
 class ChangeLog(NamedTuple):
-    """A piece of the change log, and the revision up to which it goes."""
+    """A section of the change log, and the revision up to which it goes."""
 
     events: Iterable[ChangeEvent]
     revision: int
 
 
 def key_target(key: str) -> str:
-    """Return the target that reads one key."""
+    """Return the request target that reads one key."""
     return f"/keys/{quote(key, safe='/%')}"
 
 
 def list_target(prefix: str, after: str) -> str:
-    """Return the target that lists what comes after a key, or all if that is empty."""
+    """Return the request target that lists a prefix, after a key unless that is empty."""
     target = f"/keys?starts={quote(prefix, safe='')}&most={PAGE_SIZE}"
     return f"{target}&after={quote(after, safe='')}" if after else target
 
 
 def follow_target(prefix: str, after: int) -> str:
-    """Return the target that reads the changes after a revision, without waiting for any."""
+    """Return the request target that reads the changes after a revision, without long polling."""
     return f"/follow?starts={quote(prefix, safe='')}&after={after}&holdMs=0"
 
 
 def renew_target(lease_id: int) -> str:
-    """Return the target that renews a lease."""
+    """Return the request target that renews a lease."""
     return f"{LEASES_TARGET}/{lease_id}/renew"
 
 
 def lease_request(ttl: timedelta) -> dict[str, int]:
-    """Return the request for a lease that expires if it is not renewed within a time."""
+    """Return the body of the request for a lease that expires unless renewed within `ttl`."""
     return {"ttlMs": round(ttl.total_seconds() * 1000)}
 
 
 class Answer(NamedTuple):
-    """The answer to a request, with what was asked, so that errors can say so."""
+    """The answer to a request, with the operation and its keys for use in errors."""
 
     operation: Operation
     keys: tuple[str, ...]
     status: int
     body: Any
 
-    def malformed(self, what: str) -> MalformedAnswerError:
-        """Return the error that says what can't be read."""
-        return MalformedAnswerError(f"nonsense: {what}", self.operation, self.keys)
+    def malformed(self, reason: str) -> MalformedAnswerError:
+        """Return the error for an answer that can't be parsed."""
+        return MalformedAnswerError(f"malformed answer: {reason}", self.operation, self.keys)
 
     def fields(self) -> dict[str, Any]:
-        """Return the body of an answer that says that the request was carried out."""
+        """Return the body of a successful answer; raise `MalformedAnswerError` for others."""
         if self.status != OK or not isinstance(self.body, dict):
             raise self.malformed(str(self.status))
         return self.body
 
     def whole_number(self, value: Any) -> int:
-        """Return a revision or a lease's id; raise `MalformedAnswerError` if it can't be one."""
+        """Return a revision or a lease id; raise `MalformedAnswerError` if it is not one."""
         if isinstance(value, int) and not isinstance(value, bool) and 0 <= value < INTEGER_LIMIT:
             return value
         raise self.malformed("not a whole number")
 
 
 def read_value(answer: Answer) -> VersionedValue | None:
-    """Read the answer to reading one key; None if there is no such key."""
+    """Parse the answer for one key; None if there is no such key."""
     if answer.status == NOT_FOUND:
         return None
     fields = answer.fields()
@@ -187,38 +187,38 @@
 
 
 def read_revision(answer: Answer) -> int:
-    """Read the state store's revision from an answer."""
+    """Parse the state store's revision in an answer."""
     return answer.whole_number(answer.fields().get("ledger"))
 
 
 def read_page(answer: Answer) -> tuple[list[StoredRecord], bool]:
-    """Read one page of a listing: its records, and whether there are more."""
+    """Parse one page of a listing; return its records, and whether there are more."""
     fields = answer.fields()
     entries, more = fields.get("entries"), bool(fields.get("more"))
     if not isinstance(entries, list):
         raise answer.malformed(str(answer.status))
     records = [_read_entry(answer, entry) for entry in entries]
     if more and not records:
-        raise answer.malformed("more of nothing")
+        raise answer.malformed("an empty page announces more")
     return records, more
 
 
 def _read_entry(answer: Answer, entry: Any) -> StoredRecord:
     if not isinstance(entry, dict) or not isinstance(entry.get("path"), str):
-        raise answer.malformed("entry")
+        raise answer.malformed("listing entry")
     return StoredRecord(entry["path"], entry.get("value"), answer.whole_number(entry.get("stamp")))
 
 
 def read_change_log(answer: Answer) -> ChangeLog | None:
-    """Read a piece of the change log; None if the log no longer goes back so far.
+    """Parse a section of the change log; None if the log has been compacted past its start.
 
-    The events are read while they are taken in: those before one that can't be read count.
+    The events are parsed lazily: those before a malformed event are still applied.
     """
     if answer.status == GONE:
         return None
     rows = answer.fields().get("log") or []
     if not isinstance(rows, list) or not all(isinstance(row, dict) for row in rows):
-        raise answer.malformed("log")
+        raise answer.malformed("change log")
     return ChangeLog(_read_events(answer, rows), read_revision(answer))
 
 
@@ -227,7 +227,7 @@
         mod_revision = row.get("stamp")
         if not isinstance(mod_revision, int):
             raise answer.malformed("stamp")
-        # Changes of a kind that is not known here are left out.
+        # Changes of unknown kinds are skipped.
         if isinstance(row.get("write"), str):
             yield StoredRecord(row["write"], row.get("value"), mod_revision)
         elif isinstance(row.get("delete"), str):
@@ -235,12 +235,12 @@
 
 
 def read_failed_keys(answer: Answer) -> list[str]:
-    """Read which conditions of a transaction do not hold."""
+    """Parse the keys of the conditions of a transaction that do not hold."""
     return [str(key) for key in answer.body.get("failed") or []]
 
 
 def says_no_such_lease(answer: Answer) -> bool:
-    """Return whether a transaction was refused since a lease in it has expired."""
+    """Return whether a transaction was refused because a lease in it has expired."""
     return (
         answer.status == BAD_REQUEST
         and isinstance(answer.body, dict)
@@ -249,5 +249,5 @@
 
 
 def read_lease(answer: Answer) -> int:
-    """Read the id of a new lease."""
+    """Parse the id of a new lease."""
     return answer.whole_number(answer.fields().get("permit"))
--- a/roadbend/store/ranges.py
+++ b/roadbend/store/ranges.py
@@ -1,7 +1,8 @@
-"""Sets of task indexes as sorted, disjoint, half-open ranges, so that 100,000 tasks cost nothing.
+"""Sets of task indexes as sorted, disjoint, half-open ranges.
 
-They are plain tuples of pairs (the first index, and the one after the last) and not a class, since
-they are made and measured hundreds of thousands of times a minute.
+A job array of 100,000 tasks takes one pair instead of 100,000 entries. Ranges are plain tuples of
+pairs (the first index, and the one after the last) and not a class, since they are created and
+measured hundreds of thousands of times a minute.
 """
 
 from collections.abc import Iterable, Iterator
@@ -12,9 +13,9 @@
 
 
 def normalize(pairs: Iterable[Range]) -> Ranges:
-    """Return the ranges that cover what any pairs do: sorted, disjoint, and none empty.
+    """Return the union of any pairs as sorted, disjoint, non-empty ranges.
 
-    Raises TypeError or ValueError for what are no pairs of numbers, as records may hold.
+    Raises TypeError or ValueError for anything but pairs of numbers, which records may hold.
     """
     merged: list[Range] = []
     start = end = 0
@@ -31,9 +32,9 @@
 
 
 def to_text(ranges: Ranges) -> str:
-    """Write ranges in a short form.
+    """Format ranges in a compact form.
 
-    For each range, in hexadecimal: how far it begins after the end of the last, and how long it is.
+    For each range, in hexadecimal: its distance from the end of the last one, and its length.
     """
     words: list[str] = []
     end = 0
@@ -44,7 +45,7 @@
 
 
 def read(value: str | Iterable[Range]) -> Ranges:
-    """Read ranges as records hold them: pairs, or the short form that `to_text` writes."""
+    """Parse ranges as records hold them: pairs, or the compact form that `to_text` writes."""
     if not isinstance(value, str):
         return normalize(value)
     words = [int(word, 16) for word in value.split()]
@@ -57,7 +58,7 @@
 
 
 def of(indexes: Iterable[int]) -> Ranges:
-    """Return the ranges that hold just these indexes."""
+    """Return the ranges that hold exactly these indexes."""
     return normalize((index, index + 1) for index in indexes)
 
 
@@ -68,12 +69,12 @@
 
 
 def union(ranges: Ranges, others: Iterable[Range]) -> Ranges:
-    """Return what is in either."""
+    """Return the indexes that are in either."""
     return normalize([*ranges, *others])
 
 
 def minus(ranges: Ranges, removed: Ranges) -> Ranges:
-    """Return what is in the first and not in the second."""
+    """Return the indexes that are in the first and not in the second."""
     rest: list[Range] = []
     for low, high in ranges:
         at = low
@@ -91,9 +92,9 @@
 
 
 def size(ranges: Ranges) -> int:
-    """Return how many indexes there are."""
+    """Return the number of indexes."""
     if len(ranges) == 1:
-        # Most are one range.
+        # The usual case.
         return ranges[0][1] - ranges[0][0]
     return sum(high - low for low, high in ranges)
 
@@ -104,15 +105,15 @@
 
 
 def first(ranges: Ranges, count: int) -> Ranges:
-    """Return the lowest indexes, so many or all if there are fewer."""
+    """Return the `count` lowest indexes, or all if there are fewer."""
     if size(ranges) <= count:
         return ranges
     lowest: list[Range] = []
-    missing = count
+    remaining = count
     for low, high in ranges:
-        if missing <= 0:
+        if remaining <= 0:
             break
-        taken = min(missing, high - low)
+        taken = min(remaining, high - low)
         lowest.append((low, low + taken))
-        missing -= taken
+        remaining -= taken
     return tuple(lowest)
--- a/roadbend/store/record_tables.py
+++ b/roadbend/store/record_tables.py
@@ -1,4 +1,4 @@
-"""Tables of the records of one kind, with a common interface for whoever reads the change log."""
+"""Tables of the records of one kind, with a common interface for applying changes."""
 
 from collections.abc import Callable
 from typing import Any, Generic, Protocol, TypeVar
@@ -8,49 +8,49 @@
 from roadbend.store.records import Job, QuotaRecord, SliceShard
 
 Record = TypeVar("Record")
-# Records that are written again unchanged to settle an in-doubt transaction.
+# Records that are rewritten unchanged to settle an in-doubt transaction.
 RewritableRecord = Job | SliceShard | QuotaRecord
 
 
 class RecordCollection(Protocol):
-    """All records of one kind. A record's name is what its key has after the kind."""
+    """All records of one kind. A record's name is the part of its key after the kind."""
 
     def store(self, name: str, value: Any, mod_revision: int) -> None:
-        """Take in a record as read from the state store.
+        """Add or replace a record, given its value in the state store.
 
-        Raises KeyError, TypeError, ValueError, IndexError or AttributeError where it can't be read;
-        nothing has changed then.
+        Raises KeyError, TypeError, ValueError, IndexError or AttributeError, without any change,
+        if the value is malformed.
         """
 
     def remove(self, name: str) -> None:
-        """Take in that a record was deleted."""
+        """Remove a deleted record."""
 
     def find(self, name: str) -> RewritableRecord | None:
-        """Return a record that may be written again unchanged; None for other kinds."""
+        """Return a record that may be rewritten unchanged; None for other kinds."""
 
 
 class RecordTable(Generic[Record]):
-    """Records without an index, by the name in their key."""
+    """Records without further indexes, by the name in their key."""
 
     def __init__(self, read: Callable[[str, Any, int], Record]) -> None:
-        """Make an empty table.
+        """Create an empty table.
 
-        `read` makes a record of its name, its value in the state store, and its mod revision.
+        `read` parses a record, given its name, its value in the state store, and its mod revision.
         """
         self.records: dict[str, Record] = {}
         self._read = read
 
     def store(self, name: str, value: Any, mod_revision: int) -> None:
-        """Take in a record as read from the state store."""
+        """Add or replace a record, given its value in the state store."""
         name = unquote(name)
         self.records[name] = self._read(name, value, mod_revision)
 
     def remove(self, name: str) -> None:
-        """Take in that a record was deleted."""
+        """Remove a deleted record."""
         self.records.pop(unquote(name), None)
 
     def find(self, name: str) -> RewritableRecord | None:
-        """Return None: records of these kinds are never written again unchanged."""
+        """Return None: records of these kinds are never rewritten unchanged."""
         return None
 
 
@@ -65,18 +65,18 @@
         return self.records.get(unquote(name))
 
 
-class GangMarks:
-    """The records that say which jobs are gangs. They are kept with the jobs."""
+class GangTable:
+    """The records that mark jobs as gangs. They are stored in the job index."""
 
     def __init__(self, jobs: JobIndex) -> None:
         self._jobs = jobs
 
     def store(self, name: str, value: Any, mod_revision: int) -> None:
-        """Take in that a job is a gang; the record's value says nothing more."""
+        """Mark a job as a gang; the record's value is not used."""
         self._jobs.add_gang(name)
 
     def remove(self, name: str) -> None:
-        """Take in that the record was deleted."""
+        """Remove the mark after the record was deleted."""
         self._jobs.remove_gang(name)
 
     def find(self, name: str) -> None:
@@ -91,11 +91,11 @@
         self.mod_revision = 0
 
     def store(self, name: str, value: Any, mod_revision: int) -> None:
-        """Take in the record; it is read by those who need the machine types."""
+        """Store the value unparsed; the users of the machine types parse it."""
         self.value, self.mod_revision = value, mod_revision
 
     def remove(self, name: str) -> None:
-        """Leave the record as it is: what was last seen is still of use."""
+        """Keep the last value: it is still useful."""
 
     def find(self, name: str) -> None:
         """Return None: the record is written only when the machine types change."""
--- a/roadbend/store/record_view.py
+++ b/roadbend/store/record_view.py
@@ -1,8 +1,8 @@
 """A controller's view of the live records.
 
-Each record is applied by its mod revision, from whichever side it comes first: our own
-transactions' answers or the state store's change log. A read that began after a question came (see
-`record_reader`) makes the view fresh enough to answer that question, whoever wrote last.
+Changes are ordered by mod revision and arrive from two sources, whichever is first: the answers to
+our own transactions and the state store's change log. A read that began after a query arrived (see
+`record_reader`) makes the view fresh enough to answer that query, whichever controller wrote last.
 """
 
 import threading
@@ -21,12 +21,12 @@
 
 log = Log("store")
 
-# What reading a record that some other version, or a fault, wrote may raise.
+# What parsing a record may raise that was written by another version or by a fault.
 UNREADABLE = (KeyError, TypeError, ValueError, IndexError, AttributeError)
 
 
 class RecordView(LiveRecords):
-    """The live records, kept up to date by the changes that are fed to it, in any order."""
+    """The live records, kept up to date by changes that may arrive in any order."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -35,9 +35,9 @@
         self.revision = 0
         # Grows with every change of the view.
         self.version = 0
-        # Whether everything has been read once.
+        # Whether all records have been read at least once.
         self.loaded = False
-        # Called with the key of each record that changed, outside the lock.
+        # Called with the key of each changed record, outside the lock.
         self.watchers: list[Callable[[str], None]] = []
         self._mod_revisions = ModRevisions()
 
@@ -46,36 +46,36 @@
         return self._mod_revisions.of(key)
 
     def put(self, key: str, value: Any, mod_revision: int) -> None:
-        """Take in a record as written at a revision, unless a newer change of it is known."""
+        """Apply the write of a record at a revision, unless a newer change of it is known."""
         with self.lock:
-            if not self._mod_revisions.is_news(key, mod_revision):
+            if not self._mod_revisions.is_newer(key, mod_revision):
                 return
             try:
                 self._store(key, value, mod_revision)
             except UNREADABLE as error:
-                # A record that can't be read must not stop the rest from being served.
+                # A malformed record must not keep the others from being used.
                 log.error("record-unreadable", key=key, error=repr(error)[:120])
                 return
             self._mod_revisions.put(key, mod_revision)
             self.version += 1
-        self._tell(key)
+        self._notify(key)
 
     def drop(self, key: str, mod_revision: int) -> None:
-        """Take in that a record was deleted at a revision, unless a newer change is known."""
+        """Apply the deletion of a record at a revision, unless a newer change of it is known."""
         with self.lock:
-            if not self._mod_revisions.is_news(key, mod_revision):
+            if not self._mod_revisions.is_newer(key, mod_revision):
                 return
             if not self._mod_revisions.delete(key, mod_revision):
                 return
             self._remove(key)
             self.version += 1
-        self._tell(key)
+        self._notify(key)
 
     def apply_transaction(self, changes: Iterable[Change], revision: int) -> None:
-        """Take in the changes of our own transaction, which was carried out at a revision.
+        """Apply the changes of our own transaction, which was committed at a revision.
 
-        An answer that comes after the log has passed that revision is old news: applying it could
-        bring back a record that was deleted since.
+        Nothing is applied if the change log has already passed that revision: that could restore a
+        record that has been deleted since.
         """
         if revision <= self.revision:
             return
@@ -87,8 +87,8 @@
             else:
                 self.drop(change.key, revision)
 
-    def events(self, events: Iterable[ChangeEvent], revision: int) -> None:
-        """Take in a piece of the change log that ends at a revision."""
+    def apply_events(self, events: Iterable[ChangeEvent], revision: int) -> None:
+        """Apply a section of the change log that ends at a revision."""
         for event in events:
             if isinstance(event, StoredRecord):
                 self.put(*event)
@@ -99,9 +99,9 @@
             self._mod_revisions.forget_deleted(self.revision)
 
     def load(self, records: Collection[StoredRecord], revision: int) -> None:
-        """Take in everything read anew, as listed at a revision.
+        """Apply a full listing made at a revision.
 
-        What is not listed, and not newer than the listing, has been deleted.
+        A record that is not listed, and is not newer than the listing, has been deleted.
         """
         for record in records:
             self.put(record.key, record.value, record.mod_revision)
@@ -112,6 +112,6 @@
             self.revision = revision
             self.loaded = True
 
-    def _tell(self, key: str) -> None:
+    def _notify(self, key: str) -> None:
         for watcher in self.watchers:
             watcher(key)
--- a/roadbend/store/records/__init__.py
+++ b/roadbend/store/records/__init__.py
@@ -1,6 +1,6 @@
-"""The records: all that must last is in one of these.
+"""The records: all durable state, its contents and how it is serialized.
 
-What is in them, and how they are written and read back; `roadbend.store.keys` has their names.
+`roadbend.store.keys` has the keys of the records.
 """
 
 from roadbend.store.records.job import PRIORITY, Job, JobSpec, job_end_value
--- a/roadbend/store/records/job.py
+++ b/roadbend/store/records/job.py
@@ -1,4 +1,4 @@
-"""The records of live jobs, and of how jobs ended."""
+"""The records of live jobs, and of the final states of jobs."""
 
 from dataclasses import dataclass, field, replace
 from datetime import datetime, timedelta
@@ -14,18 +14,19 @@
 JobValue = dict[str, Any]
 JobSpecValue = list[Any]
 
-# The priorities as users name them, and as they are recorded; higher ones go first.
+# The priorities by the names that users give, as they are recorded; higher ones go first.
 PRIORITY = {"production": 3, "high": 2, "normal": 1, "best_effort": 0}
 
-# How many fields a recorded specification has. More, which a newer version may add, are left out.
+# The number of fields of a recorded specification. Further fields, which a newer version may add,
+# are ignored.
 SPEC_FIELDS = 15
-# Upper bounds, in bytes, of what parts of a job's value take: all that is always there; what a name
-# takes beside its characters, and each character; and a range of tasks or a partition's name.
+# Upper bounds, in bytes, of the sizes of parts of a job's value: all fixed parts; a name's overhead
+# and each of its characters; and a range of tasks.
 FIXED_BYTES = 300
 NAME_BYTES = 2
 CHARACTER_BYTES = 6
 RANGE_BYTES = 18
-# A partition's name takes as much as so many ranges.
+# A partition's name is counted as this many ranges.
 PARTITION_RANGES = 8
 
 
@@ -33,9 +34,10 @@
 class JobSpec:
     """A job as its user submitted it.
 
-    `machine_types` and `zone` are the only ones allowed, None means any; `together` and `apart` say
-    whether tasks must be in one zone, or at most half of them may be; `checkpoint` is zero for a
-    job that saves no progress; `save` is the grace period that saving takes.
+    `machine_types` and `zone` are the only ones allowed; None means any. `together`: all tasks must
+    run in one zone; `apart`: at most half of the tasks may run in one zone. `checkpoint` is the
+    checkpoint interval, zero for a job that saves no progress; `save` is the grace period that
+    saving takes.
     """
 
     team: str
@@ -55,18 +57,18 @@
     checkpoint: timedelta
     save: timedelta
     due: timedelta | None
-    # All tasks run at the same time or none does. It is not part of the specification's value:
-    # versions before gangs would drop it when they write the job again. It is in the job's record,
-    # and in a record of its own that they leave alone.
+    # All tasks run at the same time or none does. This is not part of the specification's value,
+    # since versions without gangs would drop it when they rewrite the job. It is in the job's
+    # record and in a gang record, which they leave alone.
     gang: bool = False
 
     @property
     def zone_cap(self) -> int:
-        """How many tasks one zone may have: half of them, rounded up, if they must be apart."""
+        """The maximum number of tasks in one zone: half of them, rounded up, with `apart`."""
         return (self.task_count + 1) // 2 if self.apart else self.task_count
 
     def to_value(self) -> JobSpecValue:
-        """Return the form that stands in a job's record: all fields but `gang`, in this order."""
+        """Return the value for a job's record: all fields but `gang`, in this order."""
         return [
             self.team,
             self.job_class,
@@ -91,7 +93,7 @@
 
     @staticmethod
     def from_value(value: JobSpecValue, *, gang: bool = False) -> "JobSpec":
-        """Read the form that stands in a job's record; raises ValueError if fields are missing."""
+        """Parse the value in a job's record; raise ValueError if fields are missing."""
         (
             team,
             job_class,
@@ -144,7 +146,7 @@
 
     @cached_property
     def unassigned(self) -> Ranges:
-        """Tasks that are neither done nor held by a partition."""
+        """The tasks that are neither done nor held by a partition."""
         held = ranges.normalize(
             [*self.done, *(pair for tasks in self.allocation.values() for pair in tasks)]
         )
@@ -152,12 +154,12 @@
 
     @cached_property
     def deadline(self) -> datetime | None:
-        """When the job should be complete, if its user said so."""
+        """When the job should be complete; None if its user gave no due time."""
         return None if self.spec.due is None else self.submitted_at + self.spec.due
 
     @property
     def size_bound(self) -> int:
-        """An upper bound of the value's size in bytes, in the form in which limits are measured."""
+        """An upper bound of the value's size in bytes, in the encoding that the limits refer to."""
         count = len(self.done)
         count += sum(len(tasks) + PARTITION_RANGES for tasks in self.allocation.values())
         spec = self.spec
@@ -176,14 +178,14 @@
         return self if self.spec.gang else replace(self, spec=replace(self.spec, gang=True))
 
     def with_partition(self, partition: str, held: Ranges) -> "Job":
-        """Return the job with other tasks held by a partition."""
+        """Return a copy of the job in which a partition holds the given tasks."""
         allocation = {name: tasks for name, tasks in self.allocation.items() if name != partition}
         if held:
             allocation[partition] = held
         return replace(self, allocation=allocation)
 
     def to_value(self) -> JobValue:
-        """Return the value that the state store keeps."""
+        """Return the value for the state store."""
         value: JobValue = {"s": self.spec.to_value(), "at": clock.to_ms(self.submitted_at)}
         if self.spec.gang:
             value["g"] = 1
@@ -197,15 +199,14 @@
             value["d"] = [list(pair) for pair in self.done]
         return value
 
-    def to_compact_value(self, most: int) -> JobValue:
-        """Return the value within a limit, in bytes.
+    def to_compact_value(self, max_bytes: int) -> JobValue:
+        """Return the value, with its ranges as text if it would otherwise exceed a limit in bytes.
 
-        What would not fit, since a version with larger values wrote it, has its ranges as text.
-        Older versions can't read that, so it is written only where the usual form is too
-        large.
+        That happens if a version that permitted larger values wrote the job. Older versions can't
+        parse the text form, so it is written only where the usual form is too large.
         """
         value = self.to_value()
-        if value_size_bound(value) > most:
+        if value_size_bound(value) > max_bytes:
             value["a"] = {
                 partition: ranges.to_text(tasks)
                 for partition, tasks in self.allocation.items()
@@ -216,7 +217,7 @@
 
     @staticmethod
     def from_value(job: str, value: JobValue, mod_revision: int) -> "Job":
-        """Read the value that the state store keeps."""
+        """Parse the value in the state store."""
         return Job(
             id=job,
             spec=JobSpec.from_value(value["s"], gang=bool(value.get("g"))),
@@ -230,5 +231,5 @@
 
 
 def job_end_value(status: str, done: int) -> JobValue:
-    """Return the value of a job's end: its final status, and how many tasks were done."""
+    """Return the value of a job's final state: its status, and the number of done tasks."""
     return {"s": status, "n": done}
--- a/roadbend/store/records/leadership.py
+++ b/roadbend/store/records/leadership.py
@@ -1,17 +1,17 @@
-"""The records of elections: who may act for a partition, and which controllers are up."""
+"""The records of elections: each partition's term and leader, and the live controllers."""
 
 from dataclasses import dataclass
 from typing import Any
 
-# The workers' fencing token is the partition's term with this many bits below it, which number a
-# machine's incarnations.
+# A worker's fencing token is the partition's term, followed by this many bits for the machine's
+# incarnation.
 INCARNATION_BITS = 16
 INCARNATION_MASK = (1 << INCARNATION_BITS) - 1
 
 
 @dataclass(frozen=True)
 class TermRecord:
-    """A partition's term, and the controller that began it."""
+    """A partition's term, and the controller that started it."""
 
     number: int
     controller: str
@@ -19,7 +19,7 @@
 
     @staticmethod
     def from_value(_partition: str, value: dict[str, Any], mod_revision: int) -> "TermRecord":
-        """Read the value that the state store keeps."""
+        """Parse the value in the state store."""
         return TermRecord(
             number=int(value["n"]), controller=value["node"], mod_revision=mod_revision
         )
@@ -36,7 +36,7 @@
 
     @staticmethod
     def from_value(_partition: str, value: dict[str, Any], mod_revision: int) -> "LeaderRecord":
-        """Read the value that the state store keeps."""
+        """Parse the value in the state store."""
         return LeaderRecord(
             controller=value["node"],
             incarnation=value["boot"],
@@ -55,5 +55,5 @@
 
     @staticmethod
     def from_value(name: str, value: dict[str, Any], mod_revision: int) -> "ControllerRecord":
-        """Read the value that the state store keeps."""
+        """Parse the value in the state store."""
         return ControllerRecord(name=name, incarnation=value["boot"], mod_revision=mod_revision)
--- a/roadbend/store/records/quota.py
+++ b/roadbend/store/records/quota.py
@@ -5,7 +5,7 @@
 
 QuotaValue = dict[str, list[float]]
 
-# Amounts below this are what is left over by adding and subtracting fractions.
+# Amounts below this are rounding errors of adding and subtracting fractions.
 NEGLIGIBLE = 1e-9
 
 
@@ -23,8 +23,8 @@
 class QuotaRecord:
     """What each partition has reserved of a team's quota.
 
-    It is never less than what the partition's attempts take that are not known to be terminated.
-    A partition changes its own entry only.
+    A partition's reservation is never less than the usage of those of its attempts that are not
+    known to be terminated. A partition changes only its own entry.
     """
 
     team: str
@@ -33,28 +33,28 @@
 
     @property
     def cpus(self) -> float:
-        """The CPUs that all partitions have reserved."""
+        """The CPUs that all partitions together have reserved."""
         return sum(cpus for cpus, _ in self.partitions.values())
 
     @property
     def gpus(self) -> float:
-        """The GPUs that all partitions have reserved."""
+        """The GPUs that all partitions together have reserved."""
         return sum(gpus for _, gpus in self.partitions.values())
 
     def with_partition(self, partition: str, cpus: float, gpus: float) -> "QuotaRecord":
-        """Return the record with another reservation for a partition."""
+        """Return a copy of the record with the given reservation for a partition."""
         partitions = {name: usage for name, usage in self.partitions.items() if name != partition}
         if cpus > NEGLIGIBLE or gpus > NEGLIGIBLE:
             partitions[partition] = Usage(round(cpus, 6), round(gpus, 6))
         return replace(self, partitions=partitions)
 
     def to_value(self) -> QuotaValue:
-        """Return the value that the state store keeps."""
+        """Return the value for the state store."""
         return {partition: [cpus, gpus] for partition, (cpus, gpus) in self.partitions.items()}
 
     @staticmethod
     def from_value(team: str, value: QuotaValue, mod_revision: int) -> "QuotaRecord":
-        """Read the value that the state store keeps."""
+        """Parse the value in the state store."""
         partitions = {
             partition: Usage(float(cpus), float(gpus)) for partition, (cpus, gpus) in value.items()
         }
--- a/roadbend/store/records/recovery.py
+++ b/roadbend/store/records/recovery.py
@@ -1,27 +1,28 @@
-"""The records of recovery: how far a partition's is, and jobs that no other record names."""
+"""The records of recovery: its progress by partition, and jobs that have no job record."""
 
 from dataclasses import dataclass, field
 from typing import Any, ClassVar
 
 RecoveryValue = dict[str, Any]
-# The version of the form in which unrecorded jobs are written.
+# The format version of the records of unrecorded jobs.
 UNRECORDED_JOB_VERSION = 1
 
 
 @dataclass(frozen=True)
 class RecoveryProgress:
-    """How far a partition's recovery is under one term.
+    """The progress of a partition's recovery under one term.
 
-    Its leader writes it for the other controllers and for operators.
+    The partition's leader writes it for the other controllers and for operators.
     """
 
     VERSION: ClassVar[int] = 1
 
     term: int
     phase: str
-    # The state store is known to have lost writes that machines have acted on.
+    # Whether the state store is known to have lost writes that machines have acted on.
     lost_writes: bool
-    # How many machines were expected and how many were heard, and what differed, by kind.
+    # How many machines were expected, how many of them have sent a heartbeat, and the number of
+    # differences by kind.
     expected: int = 0
     heard: int = 0
     differences: dict[str, int] = field(default_factory=dict)
@@ -30,7 +31,7 @@
     mod_revision: int = 0
 
     def to_value(self) -> RecoveryValue:
-        """Return the value that the state store keeps."""
+        """Return the value for the state store."""
         return {
             "v": self.VERSION,
             "t": self.term,
@@ -43,9 +44,9 @@
 
     @staticmethod
     def from_value(value: RecoveryValue, mod_revision: int) -> "RecoveryProgress":
-        """Read the value that the state store keeps; raises ValueError for another version's."""
+        """Parse the value in the state store; raise ValueError for another format version."""
         if value["v"] != RecoveryProgress.VERSION:
-            raise ValueError(f"version {value['v']}")
+            raise ValueError(f"unsupported format version {value['v']}")
         return RecoveryProgress(
             term=int(value["t"]),
             phase=str(value["p"]),
@@ -61,15 +62,15 @@
 def read_recovery_progress(
     _partition: str, value: RecoveryValue, mod_revision: int
 ) -> RecoveryProgress:
-    """Read a partition's recovery record as the record view does, which knows the key as well."""
+    """Parse a partition's recovery record, with the signature that `RecordTable` requires."""
     return RecoveryProgress.from_value(value, mod_revision)
 
 
 def unrecorded_job_value(partition: str) -> dict[str, Any]:
-    """Return the value that says that a partition stops a job which no other record names."""
+    """Return the record value of a job without a job record, which a partition is to stop."""
     return {"v": UNRECORDED_JOB_VERSION, "part": partition}
 
 
 def read_unrecorded_job(_job: str, value: dict[str, Any], _mod_revision: int) -> str:
-    """Return the partition that stops a job which machines run and no other record names."""
+    """Parse the record of an unrecorded job; return the partition that is to stop it."""
     return str(value["part"])
--- a/roadbend/store/records/slice_shard.py
+++ b/roadbend/store/records/slice_shard.py
@@ -1,4 +1,4 @@
-"""The records of a partition's attempts at a job's tasks."""
+"""The shards of job slices: the records of a partition's attempts at a job's tasks."""
 
 import os.path
 from dataclasses import dataclass, field
@@ -10,8 +10,8 @@
 
 SliceShardValue = dict[str, Any]
 
-# An attempt's number is the term in which it was started, above so many bits that number the
-# attempts of that term.
+# An attempt's number is the term in which it was started, followed by this many bits for its
+# sequence number within the term.
 SEQUENCE_BITS = 32
 SEQUENCE_MASK = (1 << SEQUENCE_BITS) - 1
 
@@ -25,10 +25,10 @@
 
 @dataclass(frozen=True)
 class SliceShard:
-    """A shard of a job slice: what one record holds of a partition's part of a job.
+    """A shard of a job slice: the part of the slice that is in one record.
 
     An attempt stays in `attempts` from before its start command is sent until it is known to be
-    terminated; that is what the team's usage counts.
+    terminated; during that time it counts towards the team's usage.
     """
 
     job: str
@@ -46,7 +46,7 @@
         return keys.slice_key(self.partition, self.job, self.shard)
 
     def to_value(self) -> SliceShardValue:
-        """Return the value that the state store keeps."""
+        """Return the value for the state store."""
         return {
             "t": self.team,
             "n": self.resources.to_value(),
@@ -58,7 +58,7 @@
     def from_value(
         partition: str, job: str, shard: int, value: SliceShardValue, mod_revision: int
     ) -> "SliceShard":
-        """Read the value that the state store keeps."""
+        """Parse the value in the state store."""
         return SliceShard(
             job=job,
             partition=partition,
@@ -72,10 +72,10 @@
 
 
 def _write_attempts(attempts: dict[int, Attempt]) -> list[list[Any]]:
-    """Write attempts by term, with what their machines' names begin with said once.
+    """Serialize attempts by term, with the common prefix of their machines' names written once.
 
-    Each row is a term, that common prefix, and for each attempt the task index, its number within
-    the term, and the rest of the machine's name, all in one flat list.
+    Each row is a term, that prefix, and a flat list with three items for each attempt: the task
+    index, the sequence number within the term, and the rest of the machine's name.
     """
     by_term: dict[int, list[tuple[int, int, str]]] = {}
     for task_index, (number, machine) in attempts.items():
@@ -83,23 +83,25 @@
         started.append((task_index, number & SEQUENCE_MASK, machine))
     rows: list[list[Any]] = []
     for term, started in by_term.items():
-        # Character by character, whatever the names consist of, is what is wanted here.
+        # The prefix is by character on purpose: the names are not paths.
         prefix = os.path.commonprefix([machine for _, _, machine in started])  # noqa: RUF071
-        cut = len(prefix)
+        prefix_length = len(prefix)
         flat: list[int | str] = []
         for task_index, sequence, machine in started:
-            flat += (task_index, sequence, machine[cut:])
+            flat += (task_index, sequence, machine[prefix_length:])
         rows.append([term, prefix, flat])
     return rows
 
 
 def _read_attempts(value: Any) -> dict[int, Attempt]:
-    """Read attempts by term, or as version 0.1 wrote them: number and machine by task index."""
+    """Parse attempts by term, or in the form of version 0.1: number and machine by task index."""
     if isinstance(value, dict):
         return {int(task_index): Attempt(row[0], row[1]) for task_index, row in value.items()}
     attempts: dict[int, Attempt] = {}
     for term, prefix, flat in value:
-        high = term << SEQUENCE_BITS
-        for at in range(0, len(flat), 3):
-            attempts[flat[at]] = Attempt(high | flat[at + 1], prefix + flat[at + 2])
+        term_bits = term << SEQUENCE_BITS
+        for offset in range(0, len(flat), 3):
+            attempts[flat[offset]] = Attempt(
+                term_bits | flat[offset + 1], prefix + flat[offset + 2]
+            )
     return attempts
--- a/roadbend/store/request_budget.py
+++ b/roadbend/store/request_budget.py
@@ -1,6 +1,6 @@
-"""The budget of requests to the state store, of which each controller has a share.
+"""Rate limits for requests to the state store, shared by all controllers.
 
-Everyone has an equal share; what the others say they do not use may be borrowed. Urgent requests
+Each controller has an equal share and may borrow what the others report as unused. Urgent requests
 (leases, elections, cancellations, the read barrier) do not queue behind the rest.
 """
 
@@ -13,112 +13,116 @@
 
 log = Log("store")
 
-# What is used of the limits: the rest is room for what is not counted as we count it.
+# The share of the limits that is used; the rest covers differences between our count and the state
+# store's.
 USED_SHARE = 0.92
-# A rate that was changed permits bursts of so many seconds, times what the bucket was made with.
+# After a change of rate a bucket permits bursts of this many seconds, times its original burst.
 BURST_S = 0.9
-# Of its equal share, what a controller keeps for itself however little it used; and how much more
-# than it used lately it may use soon.
+# A controller that uses less than its equal share still keeps this part of it, or its recent usage
+# times this growth if that is more.
 KEPT_SHARE = 0.4
-GROWTH = 1.5
-# Rates are averaged over measurements of at least so many seconds, the last counting this much.
+USAGE_GROWTH = 1.5
+# Rates are averaged exponentially over measurements of at least so many seconds; the weight of the
+# latest one.
 MEASUREMENT_S = 1.0
-LAST_MEASUREMENT = 0.5
-# After so long without another refusal the former rate is tried again: the state store may not have
-# changed its limits.
+LAST_MEASUREMENT_WEIGHT = 0.5
+# The former rate is tried again after this time without another refusal, since the state store may
+# not have changed its limits.
 RETRY_FORMER_RATE_AFTER = timedelta(minutes=10)
-# What is waited beyond the time at which the tokens should be there.
+# Added to the computed time at which the tokens are available.
 READY_MARGIN, TAKE_MARGIN = timedelta(milliseconds=1), timedelta(milliseconds=5)
 
 
 class TokenBucket:
-    """Tokens that come at a rate per second, up to a burst; each request takes some."""
+    """A token bucket: refilled at a rate per second, up to a burst; each request takes tokens."""
 
     def __init__(self, rate: float, burst: float, now: datetime) -> None:
-        """Make a full bucket."""
+        """Create a full bucket."""
         self.rate = rate
         self.burst = max(1.0, burst)
         self._level = self.burst
         self._filled_at = now
 
     def fill(self, now: datetime) -> None:
-        """Add the tokens that have come since the last time."""
-        came = (now - self._filled_at).total_seconds() * self.rate
-        self._level = min(self.burst, self._level + came)
+        """Add the tokens for the time since the last call."""
+        added = (now - self._filled_at).total_seconds() * self.rate
+        self._level = min(self.burst, self._level + added)
         self._filled_at = now
 
     def wait(self, amount: float) -> timedelta:
-        """Return how long it takes until so many tokens are there.
+        """Return how long it takes until so many tokens are available.
 
-        More than a burst never are; such an amount may go into debt rather than never go.
+        An amount larger than the burst would never be; it waits for a full bucket and then takes
+        the level below zero.
         """
-        lack = min(amount, self.burst) - self._level
-        return timedelta(seconds=max(0.0, lack) / self.rate)
+        shortage = min(amount, self.burst) - self._level
+        return timedelta(seconds=max(0.0, shortage) / self.rate)
 
     def spend(self, amount: float) -> None:
-        """Take tokens, whether they are there or not."""
+        """Take tokens, even if that takes the level below zero."""
         self._level -= amount
 
     def empty(self) -> None:
-        """Lose what tokens there are."""
+        """Discard the available tokens."""
         self._level = min(self._level, 0.0)
 
 
 class SharedTokenBucket:
-    """One controller's share of a limit that several have together."""
+    """One controller's share of a rate limit that several controllers have together."""
 
-    def __init__(self, total: float, sharers: int, burst: float = 1.0) -> None:
-        """Make a full bucket.
+    def __init__(self, total: float, controller_count: int, burst: float = 1.0) -> None:
+        """Create a full bucket.
 
-        `total` is what all may use per second; `burst` how many seconds' worth may go at once.
+        `total` is the rate per second of all controllers; `burst` is in seconds at the own rate.
         """
-        self._total, self._sharers, self._burst = total, max(1, sharers), burst
+        self._total, self._controller_count, self._burst = total, max(1, controller_count), burst
         self._bucket = TokenBucket(
-            total / self._sharers, burst * total / self._sharers, clock.now()
+            total / self._controller_count, burst * total / self._controller_count, clock.now()
         )
         self._count, self._counted_since = 0.0, clock.now()
-        # What was used per second lately, for the others to know.
+        # The recent usage per second, which is reported to the other controllers.
         self.used = 0.0
 
     def wait(self, amount: float) -> timedelta:
-        """Return how long it takes until so many tokens are there."""
+        """Return how long it takes until so many tokens are available."""
         self._bucket.fill(clock.now())
         return self._bucket.wait(amount)
 
     def spend(self, amount: float) -> None:
-        """Take tokens, whether they are there or not."""
+        """Take tokens, even if that takes the level below zero."""
         self._bucket.spend(amount)
         self._count += amount
 
     def empty(self) -> None:
-        """Lose what tokens there are: the service says that together we went over the limit."""
+        """Discard the available tokens: the service reports that the shared limit was exceeded."""
         self._bucket.empty()
 
     def set_total(self, total: float) -> None:
-        """Set what all may use per second together; what was borrowed is given back."""
+        """Set the total rate per second; borrowed rate is given back."""
         self._total = total
-        self._set_rate(total / self._sharers)
+        self._set_rate(total / self._controller_count)
 
     def measure(self) -> None:
-        """Update what was used lately."""
+        """Update the recent usage."""
         now = clock.now()
         length = (now - self._counted_since).total_seconds()
         if length >= MEASUREMENT_S:
-            former = (1 - LAST_MEASUREMENT) * self.used
-            self.used = former + LAST_MEASUREMENT * self._count / length
+            former = (1 - LAST_MEASUREMENT_WEIGHT) * self.used
+            self.used = former + LAST_MEASUREMENT_WEIGHT * self._count / length
             self._count, self._counted_since = 0.0, now
 
     def borrow(self, others: Sequence[float]) -> None:
-        """Take what the others leave, by what each used per second lately.
+        """Add to the own share what the others leave, given the recent usage of each.
 
-        That, with room to grow, stays theirs; those that are not heard of keep a part of theirs.
+        The others keep their usage with some growth; those that did not report keep `KEPT_SHARE`
+        of their equal shares.
         """
-        equal = self._total / self._sharers
-        left = self._total - sum(
-            min(equal, max(KEPT_SHARE * equal, GROWTH * used)) for used in others
+        equal_share = self._total / self._controller_count
+        available = self._total - sum(
+            min(equal_share, max(KEPT_SHARE * equal_share, USAGE_GROWTH * used)) for used in others
         )
-        left -= KEPT_SHARE * equal * (self._sharers - 1 - len(others))
-        self._set_rate(max(equal, left))
+        available -= KEPT_SHARE * equal_share * (self._controller_count - 1 - len(others))
+        self._set_rate(max(equal_share, available))
 
     def _set_rate(self, rate: float) -> None:
         self._bucket.fill(clock.now())
@@ -127,46 +131,51 @@
 
 
 class RequestRates(NamedTuple):
-    """Requests, and puts and deletes within them, per second."""
+    """Requests per second, and the changes (puts and deletes) in them per second."""
 
     requests: float
     changes: float
 
 
 class RequestBudget:
-    """What this controller may ask of the state store, of what all may together.
+    """This controller's share of the rates that the state store permits to all of them.
 
-    Urgent requests keep the rules and the leases, and never wait.
+    Urgent requests, on which leases and the safety rules depend, never wait.
     """
 
     def __init__(
-        self, rps: float, write_rps: float, sharers: int, next_write_rps: float | None = None
+        self,
+        rps: float,
+        write_rps: float,
+        controller_count: int,
+        next_write_rps: float | None = None,
     ) -> None:
-        """Make a budget of the state store's limits per second, for so many controllers.
+        """Create a budget from the state store's limits per second and the number of controllers.
 
-        `next_write_rps` is a lower limit of changes that is to come, at a time that is not known.
+        `next_write_rps` is a lower limit for changes, which will apply from an unknown time on.
         """
-        self._requests = SharedTokenBucket(rps * USED_SHARE, sharers)
-        self._changes = SharedTokenBucket(write_rps * USED_SHARE, sharers)
+        self._requests = SharedTokenBucket(rps * USED_SHARE, controller_count)
+        self._changes = SharedTokenBucket(write_rps * USED_SHARE, controller_count)
         self._change_rate = write_rps * USED_SHARE
         self._next_change_rate = min(write_rps, next_write_rps or write_rps) * USED_SHARE
-        # When the state store last refused changes, if their rate is reduced.
+        # When the state store last refused changes; None while their rate is not reduced.
         self._reduced_at: datetime | None = None
 
     @property
     def used(self) -> RequestRates:
-        """What was used per second lately."""
+        """The recent usage per second."""
         return RequestRates(self._requests.used, self._changes.used)
 
     async def wait_until_ready(self) -> None:
-        """Wait until a change could go out at once; nothing is taken."""
+        """Wait until a change could be sent without delay; takes no tokens."""
         while (wait := self._wait(1)) > clock.ZERO:
             await clock.pause(wait + READY_MARGIN)
 
     async def take(self, writes: int, urgent: bool) -> None:
-        """Take one request with so many changes, after a wait unless it is urgent.
+        """Take the tokens for one request with `writes` changes; wait for them unless it is urgent.
 
-        Urgent ones are counted but never wait: they keep the rules, and they are few.
+        Urgent requests are counted but never wait: the safety rules depend on them, and they are
+        few.
         """
         if not urgent:
             while (wait := self._wait(writes)) > clock.ZERO:
@@ -176,10 +185,10 @@
             self._changes.spend(writes)
 
     def throttle(self, writing: bool = False) -> None:
-        """Slow down: the state store says that together we went over its limits.
+        """Slow down after the state store reported that the controllers exceed its limits.
 
-        For a change that may be since the limit that was to come is in force now: the rate falls to
-        it, and the former one is tried again only after a long while.
+        For a change the cause may be that the announced lower limit is now in force: the rate
+        drops to it, and the former rate is tried again only after `RETRY_FORMER_RATE_AFTER`.
         """
         self._requests.empty()
         self._changes.empty()
@@ -190,7 +199,7 @@
             self._changes.set_total(self._next_change_rate)
 
     def borrow(self, others: Sequence[tuple[float, float]]) -> None:
-        """Borrow what the other controllers leave, by the requests and changes each used."""
+        """Borrow what the other controllers leave, given the requests and changes each used."""
         now = clock.now()
         if self._reduced_at is not None and now - self._reduced_at > RETRY_FORMER_RATE_AFTER:
             self._reduced_at = None
@@ -201,6 +210,6 @@
         self._changes.borrow([changes for _, changes in others])
 
     def _wait(self, changes: int) -> timedelta:
-        """Return how long it takes until a request with so many changes may go."""
+        """Return how long it takes until a request with so many changes may be sent."""
         wait = self._requests.wait(1)
         return max(wait, self._changes.wait(changes)) if changes else wait
--- a/roadbend/store/test_ranges.py
+++ b/roadbend/store/test_ranges.py
@@ -1,4 +1,4 @@
-"""Ranges: 100,000 tasks cost nothing until they are cut up."""
+"""Ranges of task indexes: set operations, and a job array of 100,000 tasks as one range."""
 
 import random
 
@@ -10,13 +10,13 @@
     for _ in range(200):
         a = {rng.randrange(40) for _ in range(rng.randrange(25))}
         b = {rng.randrange(40) for _ in range(rng.randrange(25))}
-        ra, rb = ranges.of(a), ranges.of(b)
-        assert set(ranges.iter_indexes(ranges.union(ra, rb))) == a | b
-        assert set(ranges.iter_indexes(ranges.minus(ra, rb))) == a - b
-        assert ranges.size(ra) == len(a)
+        ranges_a, ranges_b = ranges.of(a), ranges.of(b)
+        assert set(ranges.iter_indexes(ranges.union(ranges_a, ranges_b))) == a | b
+        assert set(ranges.iter_indexes(ranges.minus(ranges_a, ranges_b))) == a - b
+        assert ranges.size(ranges_a) == len(a)
         n = rng.randrange(30)
-        assert list(ranges.iter_indexes(ranges.first(ra, n))) == sorted(a)[:n]
-        assert all(ranges.contains(ra, x) == (x in a) for x in range(40))
+        assert list(ranges.iter_indexes(ranges.first(ranges_a, n))) == sorted(a)[:n]
+        assert all(ranges.contains(ranges_a, x) == (x in a) for x in range(40))
 
 
 def test_a_huge_array_is_one_range():
--- a/roadbend/store/test_store.py
+++ b/roadbend/store/test_store.py
@@ -1,4 +1,4 @@
-"""The view, the barrier, the budget, and transactions whose answers get lost."""
+"""The record view, the read barrier, the request budget, and transactions with lost answers."""
 
 import random
 from datetime import timedelta
@@ -42,7 +42,7 @@
 S = timedelta(seconds=1)
 
 
-class Desk:
+class Harness:
     def __init__(self, nursery, host="node"):
         self.network, self.service = Network(nursery), FakeStateService()
 
@@ -59,58 +59,58 @@
 
 async def test_records_come_back_as_they_were_written():
     name, spec = read_submission(job(1, legs=9, rigs=["g2"], yard="east"))
-    one = Job(
+    original = Job(
         name, spec, clock.from_ms(1_700_000_000_123), {"east": ((0, 4), (6, 7))}, ((4, 5),), 3
     )
-    assert Job.from_value(name, one.to_value(), 3) == one
-    assert one.unassigned == ((5, 6), (7, 9))
+    assert Job.from_value(name, original.to_value(), 3) == original
+    assert original.unassigned == ((5, 6), (7, 9))
     shard = SliceShard(
         name, "a/b", "red", Resources(1, 2, 3), ((0, 2),), {5: Attempt(1 << 40, "m-1")}, 4
     )
     assert SliceShard.from_value("a/b", name, 0, shard.to_value(), 4) == shard
-    use = (
+    quota = (
         QuotaRecord("red", {"east": (1.0, 2.0)})
         .with_partition("west", 3.0, 4.0)
         .with_partition("east", 0.0, 0.0)
     )
-    assert use.partitions == {"west": (3.0, 4.0)} and use.gpus == 4.0
+    assert quota.partitions == {"west": (3.0, 4.0)} and quota.gpus == 4.0
 
 
 async def test_a_transaction_whose_answer_is_lost_is_carried_out_once():
     async with trio.open_nursery() as nursery:
-        desk = Desk(nursery)
-        desk.service.deaf.add("node")
+        harness = Harness(nursery)
+        harness.service.deaf.add("node")
         rows = [put("r/job/x", {"n": 1})]
 
         async def heal():
             await trio.sleep(2)
-            desk.service.deaf.clear()
+            harness.service.deaf.clear()
 
         nursery.start_soon(heal)
         with pytest.raises(ConflictError):
-            await commit(desk.state, {"r/job/x": 0}, rows, within=10 * S)
-        assert desk.service.revision == 1
+            await commit(harness.state, {"r/job/x": 0}, rows, within=10 * S)
+        assert harness.service.revision == 1
         nursery.cancel_scope.cancel()
 
 
 async def test_the_barrier_shows_what_another_wrote_before_the_question():
     async with trio.open_nursery() as nursery:
-        desk = Desk(nursery)
+        harness = Harness(nursery)
         view = RecordView()
-        reader = RecordReader(view, desk.state, OperatorSettings())
+        reader = RecordReader(view, harness.state, OperatorSettings())
         nursery.start_soon(reader.run)
         await reader.read_barrier()
-        desk.service.compare_and_swap(
+        harness.service.compare_and_swap(
             {"apply": [put(keys.term_key("east"), {"n": 4, "node": "b"}).to_map()]}
         )
         await reader.read_barrier()
         assert view.terms["east"].number == 4
-        # Many who wait share one read.
-        before = desk.service.requests
-        async with trio.open_nursery() as many:
+        # Many waiting callers share one read.
+        before = harness.service.requests
+        async with trio.open_nursery() as readers:
             for _ in range(200):
-                many.start_soon(reader.read_barrier)
-        assert desk.service.requests - before <= 2
+                readers.start_soon(reader.read_barrier)
+        assert harness.service.requests - before <= 2
         nursery.cancel_scope.cancel()
 
 
@@ -118,23 +118,25 @@
     view = RecordView()
     view.load([], 0)
     key = keys.term_key("east")
-    view.events([StoredRecord(key, {"n": 1, "node": "a"}, 5), DeletedRecord(key, 6)], 6)
+    view.apply_events([StoredRecord(key, {"n": 1, "node": "a"}, 5), DeletedRecord(key, 6)], 6)
     view.apply_transaction([put(key, {"n": 1, "node": "a"})], 5)
     assert "east" not in view.terms
     view.apply_transaction([put(key, {"n": 2, "node": "a"})], 9)
-    view.events([DeletedRecord(key, 8)], 9)
+    view.apply_events([DeletedRecord(key, 8)], 9)
     assert view.terms["east"].number == 2
     view.apply_transaction([delete(key)], 11)
-    view.events([StoredRecord(key, {"n": 2, "node": "a"}, 9)], 10)
+    view.apply_events([StoredRecord(key, {"n": 2, "node": "a"}, 9)], 10)
     assert "east" not in view.terms
 
 
 def changes_after(service: FakeStateService, revision: int) -> ChangeLog:
-    """Read what the service's log has after a revision, as the client does."""
+    """Parse the service's change log after a revision, as the client does."""
     rows = [row for _, row in service.log if row["stamp"] > revision]
-    found = read_change_log(answer({"ledger": service.revision, "log": rows}, Operation.FOLLOW))
-    assert found is not None
-    return found
+    change_log = read_change_log(
+        answer({"ledger": service.revision, "log": rows}, Operation.FOLLOW)
+    )
+    assert change_log is not None
+    return change_log
 
 
 def answer(body, operation=Operation.GET, status=200) -> Answer:
@@ -147,15 +149,17 @@
     view.load([], 0)
     for _ in range(300):
         key = keys.term_key(f"p{rng.randrange(6)}")
-        row = delete(key) if rng.random() < 0.3 else put(key, {"n": rng.randrange(99), "node": "a"})
-        revision = service.compare_and_swap({"apply": [row.to_map()]}).body["ledger"]
+        change = (
+            delete(key) if rng.random() < 0.3 else put(key, {"n": rng.randrange(99), "node": "a"})
+        )
+        revision = service.compare_and_swap({"apply": [change.to_map()]}).body["ledger"]
         if rng.random() < 0.5:
-            view.apply_transaction([row], revision)
+            view.apply_transaction([change], revision)
         if rng.random() < 0.3:
-            view.events(*changes_after(service, view.revision))
-    view.events(*changes_after(service, view.revision))
-    want = {keys.term_key(partition): term.number for partition, term in view.terms.items()}
-    assert want == {key: row[0]["n"] for key, row in service.keys.items()}
+            view.apply_events(*changes_after(service, view.revision))
+    view.apply_events(*changes_after(service, view.revision))
+    expected = {keys.term_key(partition): term.number for partition, term in view.terms.items()}
+    assert expected == {key: stored[0]["n"] for key, stored in service.keys.items()}
 
 
 async def test_nonsense_from_the_service_is_no_answer():
@@ -185,7 +189,7 @@
 
 @pytest.mark.parametrize("revision", [None, True, "7", 1.0, -1, 1 << 64, 1 << 70])
 def test_what_is_no_revision_is_refused(revision):
-    """Guards against a revision beyond all that come later, after which no change is read."""
+    """Guards against a bad revision above all later ones, after which no change would be read."""
     answer = Answer(Operation.FOLLOW, ("x",), 200, {"ledger": revision})
     with pytest.raises(MalformedAnswerError):
         read_revision(answer)
@@ -208,7 +212,7 @@
     budget.borrow([(30.0, 10.0), (30.0, 10.0)])
     await spend(5)
     assert 8 < await spend(20) < 10
-    # What keeps the rules never waits.
+    # Urgent requests never wait.
     began = trio.current_time()
     for _ in range(50):
         await budget.take(1, True)
@@ -236,17 +240,17 @@
         {"renamed": "r/term/west", "stamp": 2},
         {"write": keys.term_key("north"), "value": {"n": 1, "node": "a"}},
     ]
-    view, found = RecordView(), read_change_log(answer({"ledger": 3, "log": rows}))
-    assert found is not None
-    with pytest.raises(MalformedAnswerError, match="nonsense: stamp") as caught:
-        view.events(*found)
+    view, change_log = RecordView(), read_change_log(answer({"ledger": 3, "log": rows}))
+    assert change_log is not None
+    with pytest.raises(MalformedAnswerError, match="malformed answer: stamp") as caught:
+        view.apply_events(*change_log)
     assert caught.value.outcome is Outcome.UNKNOWN and caught.value.keys == ("r/",)
     assert view.terms.keys() == {"east"} and view.revision == 0
     assert read_change_log(answer(None, Operation.FOLLOW, 410)) is None
 
 
-class Refusing:
-    """A connection to a state store that gives the same answer to everything."""
+class FixedAnswerClient:
+    """A client of a state store that gives the same answer to every request."""
 
     def __init__(self, status, body):
         self.answer = status, body
@@ -268,7 +272,7 @@
     ],
 )
 async def test_an_error_says_what_failed_and_what_is_known_of_it(status, body, kind, outcome):
-    state = StateStoreClient(Refusing(status, body), RequestBudget(1000, 1000, 1))
+    state = StateStoreClient(FixedAnswerClient(status, body), RequestBudget(1000, 1000, 1))
     with pytest.raises(kind) as caught:
         await state.compare_and_swap({"r/job/x": 0}, [put("r/job/x", 1)])
     error = caught.value
