--- a/roadbend/__main__.py
+++ b/roadbend/__main__.py
@@ -1,4 +1,4 @@
-"""`python3 -m roadbend`: the same as run.py."""
+"""`python3 -m roadbend`, which does the same as run.py."""
 
 import sys
 
--- a/roadbend/cli.py
+++ b/roadbend/cli.py
@@ -1,7 +1,7 @@
-"""The command line. Exit status: 0 all well, 2 bad arguments or settings."""
+"""The command line. Exit status: 0 for success, 2 for invalid arguments or settings."""
 
-# What a command does not need is not imported: checking settings and printing help take no
-# controller, and a controller without extensions takes none of theirs.
+# Imports that only some commands need are local: checking settings and printing help don't load the
+# controller, and a controller without extensions loads none of their modules.
 # ruff: noqa: PLC0415
 
 from __future__ import annotations
@@ -23,56 +23,56 @@
 if TYPE_CHECKING:
     from roadbend.controller import Controller
 
-    # Switches something on in a controller that has not started yet.
+    # Installs an optional feature in a controller that has not started yet.
     Extension = Callable[[Controller], object]
 
-# Commands of operators beside starting a controller: the module has a `main(argv)`, and is imported
-# only when it is asked for.
+# Subcommands for operators, besides starting a controller: each module has a `main(argv)` and is
+# imported only when its subcommand is used.
 SUBCOMMANDS = {"recovery": "roadbend.recovery.commands"}
-# The exit status for bad settings; `argparse` ends with the same for bad arguments.
+# The exit status for invalid settings; `argparse` uses the same for invalid arguments.
 BAD_SETTINGS = 2
-# Layouts make and drop many small objects that are in no cycle: looking for cycles is left to every
-# 50,000th.
+# Placement allocates and releases many small objects that are in no reference cycle, so the garbage
+# collector runs only after 50,000 net allocations.
 GC_THRESHOLDS = (50_000, 20, 20)
 OPERATOR_FILE = Path(__file__).resolve().parent.parent / "deploy" / "roadbend.sexp"
 
 
 def parser() -> argparse.ArgumentParser:
-    """Describe the options of a start."""
-    out = argparse.ArgumentParser(
+    """Return the parser of the options for starting a controller."""
+    argument_parser = argparse.ArgumentParser(
         prog="roadbend", description="A cluster scheduler whose controllers bid for jobs."
     )
-    out.add_argument(
+    argument_parser.add_argument(
         "--config", type=Path, help="the platform's settings file (TOML); needed to start"
     )
-    out.add_argument(
+    argument_parser.add_argument(
         "--operator",
         type=Path,
         default=OPERATOR_FILE,
         help="operators' own settings (S-expressions); a missing file means the defaults",
     )
-    out.add_argument(
+    argument_parser.add_argument(
         "--recovery", type=Path, help="switches recovery on: its settings (deploy/recovery.sexp)"
     )
-    out.add_argument(
+    argument_parser.add_argument(
         "--tracing", type=Path, help="switches tracing on: its settings (deploy/tracing.sexp)"
     )
-    out.add_argument(
+    argument_parser.add_argument(
         "--check", action="store_true", help="check the settings and end without starting"
     )
-    out.add_argument(
+    argument_parser.add_argument(
         "--compile",
         action="store_true",
         help="only import what a controller needs, so that its bytecode is kept (for the build)",
     )
-    out.add_argument("--version", action="version", version=f"roadbend {__version__}")
-    return out
+    argument_parser.add_argument("--version", action="version", version=f"roadbend {__version__}")
+    return argument_parser
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Start a controller, or carry out a subcommand, and return the exit status.
+    """Start a controller, or run a subcommand, and return the exit status.
 
-    `argv` is by default what the process was given.
+    `argv` defaults to the arguments of the process.
     """
     argv = sys.argv[1:] if argv is None else argv
     if argv and argv[0] in SUBCOMMANDS:
@@ -89,7 +89,7 @@
         settings, operator = load(arguments.config, arguments.operator)
         extensions = load_extensions(arguments.recovery, arguments.tracing)
     except SettingsError as error:
-        return _refuse(error)
+        return _print_error(error)
     if arguments.check:
         print("settings are good")
         return 0
@@ -98,19 +98,19 @@
     try:
         _run(settings, operator, extensions)
     except* SettingsError as group:
-        # An address to listen on is only known to be taken, or to be none, when it is listened on.
-        status = _refuse(_first_error(group))
+        # Whether an address can be listened on is only known after the controller has started.
+        status = _print_error(_first_error(group))
     return status
 
 
-def _refuse(error: BaseException) -> int:
-    """Say on one line what is wrong with the settings, and return the exit status."""
+def _print_error(error: BaseException) -> int:
+    """Print the error in the settings as one line, and return the exit status."""
     print(f"roadbend: {error}", file=sys.stderr)
     return BAD_SETTINGS
 
 
 def _first_error(group: BaseExceptionGroup) -> BaseException:
-    """Return the first error of a group, however deep it lies."""
+    """Return the first error of a group, in nested groups as well."""
     error: BaseException = group
     while isinstance(error, BaseExceptionGroup):
         error = error.exceptions[0]
@@ -118,7 +118,7 @@
 
 
 def load_extensions(recovery: Path | None, tracing: Path | None) -> list[Extension]:
-    """Return what is switched on beside the core, with its settings.
+    """Return the optional features that are switched on, with their settings.
 
     Raises `SettingsError`.
     """
@@ -131,7 +131,7 @@
         from roadbend.tracing import settings as tracing_settings
         from roadbend.tracing import switch
 
-        # Tracing comes first: what is installed after it tells it what happens.
+        # Tracing is installed first, since the later extensions notify it of events.
         extensions.insert(0, partial(switch.install, settings=tracing_settings.load(tracing)))
     return extensions
 
@@ -148,7 +148,7 @@
     from roadbend.controller import Controller
     from roadbend.http.net import Net
 
-    # What was imported is never looked at again.
+    # Imported objects are excluded from garbage collection: they stay until the process ends.
     gc.freeze()
     gc.set_threshold(*GC_THRESHOLDS)
     gc.enable()
--- a/roadbend/clock.py
+++ b/roadbend/clock.py
@@ -1,23 +1,24 @@
 """Instants and durations.
 
-Instants of the steady clock are naive datetimes counted from an arbitrary origin: only their
-differences mean anything, and only within one process. The time of day is an aware datetime, in
-UTC. Durations are timedeltas. Numbers of seconds appear only where trio takes them.
+Instants of the steady (monotonic) clock are naive datetimes from an arbitrary origin: only their
+differences are meaningful, and only within one process. The time of day is an aware datetime in
+UTC. Durations are timedeltas. Numbers of seconds are used only where trio requires them.
 """
 
 from datetime import UTC, datetime, timedelta
 
 import trio
 
-# Where the steady clock begins to count.
+# The origin of the steady clock.
 ORIGIN = datetime(2000, 1, 1)
 ZERO = timedelta()
-# The steady clocks of two machines may run apart by this share (protocol: 0.05% each way).
+# The maximum relative difference of the rates of two machines' steady clocks (protocol: each clock
+# is off by at most 0.05%).
 DRIFT = 0.001
 
 
 def now() -> datetime:
-    """Return the instant of the steady clock."""
+    """Return the current instant of the steady clock."""
     return from_steady_s(trio.current_time())
 
 
@@ -27,7 +28,7 @@
 
 
 def wall() -> datetime:
-    """Return the time of day, in UTC."""
+    """Return the current time of day, in UTC."""
     return datetime.now(UTC)
 
 
@@ -42,5 +43,5 @@
 
 
 async def pause(length: timedelta) -> None:
-    """Sleep; not at all, but with a checkpoint, if the duration is negative."""
+    """Sleep; a negative duration is only a checkpoint."""
     await trio.sleep(max(0.0, length.total_seconds()))
--- a/roadbend/http/__init__.py
+++ b/roadbend/http/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 over trio and h11: a server, a pooled client, and the network they use."""
+"""HTTP/1.1 over trio and h11: a server, a client with a connection pool, and TCP."""
--- a/roadbend/http/accepted_stream.py
+++ b/roadbend/http/accepted_stream.py
@@ -1,4 +1,4 @@
-"""A connection that somebody opened to us."""
+"""Streams for accepted connections."""
 
 import socket
 
@@ -8,13 +8,13 @@
 
 
 class AcceptedStream(trio.abc.Stream):
-    """A connection that somebody opened to us, on a plain socket that does not block.
+    """A stream over a non-blocking socket of an accepted connection.
 
-    Those who serve wait for the next request, and nearly always it is not there yet: waiting first
-    saves a system call, and an exception, for each. What can be sent at once is sent without giving
-    way to other tasks, which every wait for a request does. A heartbeat took twice as many turns of
-    the scheduler over `trio.SocketStream`. As with that, one task at a time may receive, and one
-    send.
+    A server waits for the next request, which has nearly always not arrived yet: waiting before
+    `recv` saves a system call and an exception for each request. Data that can be sent at once is
+    sent without a checkpoint, since every wait for a request is one. With `trio.SocketStream` a
+    heartbeat took twice as many turns of trio's scheduler. As with that, only one task at a time
+    may receive, and one may send.
     """
 
     __slots__ = ("_socket",)
@@ -23,7 +23,7 @@
         self._socket = sock
 
     async def receive_some(self, max_bytes: int | None = None) -> bytes:
-        """Return the next bytes; none where the other side is done."""
+        """Return the next bytes; empty at the end of the stream."""
         while True:
             await trio.lowlevel.wait_readable(self._checked())
             try:
@@ -35,17 +35,17 @@
 
     async def send_all(self, data: bytes | bytearray | memoryview) -> None:
         """Send all of the bytes."""
-        left = memoryview(data)
-        while left:
+        remaining = memoryview(data)
+        while remaining:
             try:
-                left = left[self._checked().send(left) :]
+                remaining = remaining[self._checked().send(remaining) :]
             except (BlockingIOError, InterruptedError):
                 await trio.lowlevel.wait_writable(self._socket)
             except OSError as error:
                 raise trio.BrokenResourceError(str(error)) from error
 
     async def wait_send_all_might_not_block(self) -> None:
-        """Return when something might be sent at once."""
+        """Wait until data might be sent without blocking."""
         await trio.lowlevel.wait_writable(self._checked())
 
     async def aclose(self) -> None:
@@ -57,12 +57,12 @@
 
     def _checked(self) -> socket.socket:
         if self._socket.fileno() < 0:
-            raise trio.ClosedResourceError("this connection was closed")
+            raise trio.ClosedResourceError("the connection was closed")
         return self._socket
 
 
 def accept(listener: socket.socket) -> AcceptedStream:
-    """Return the next connection that waits; raise `BlockingIOError` where none does."""
+    """Accept the next connection; raise `BlockingIOError` if there is none."""
     sock, _ = listener.accept()
     sock.setblocking(False)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
--- a/roadbend/http/client.py
+++ b/roadbend/http/client.py
@@ -1,4 +1,4 @@
-"""A client with a bounded pool of connections to one address."""
+"""An HTTP client with a bounded pool of connections to one address."""
 
 from datetime import timedelta
 from typing import Any, NamedTuple
@@ -10,17 +10,17 @@
 from roadbend.http.messages import MalformedError, decode, encode
 from roadbend.http.net import Net
 
-# No answer of any service we talk to is near this size; more is nonsense.
+# Far above the size of any answer of the services that we use; a larger one is malformed.
 ANSWER_LIMIT = 32 * 1024 * 1024
 RECEIVE_BYTES = 64 * 1024
 
 
 class NoAnswerError(UnknownOutcomeError):
-    """No usable answer came; the request may have been carried out, or may be still."""
+    """No usable answer was received; the request may have been, or may still be, carried out."""
 
 
 class Answer(NamedTuple):
-    """What a request was answered."""
+    """The answer to a request."""
 
     status: int
     body: Any
@@ -32,26 +32,26 @@
 
 
 class Client:
-    """Requests to one address.
+    """Sends requests to one address.
 
-    `most`: connections at once; `keep`: how many of them are kept for requests to come.
+    At most `max_connections` are open at once; at most `max_idle` are kept open for reuse.
     """
 
     def __init__(self, net: Net, address: str, max_connections: int = 8, max_idle: int = 4) -> None:
         self.address = address
         self._net = net
-        self._slots = trio.CapacityLimiter(max_connections)
+        self._connection_limit = trio.CapacityLimiter(max_connections)
         self._max_idle = max_idle
         self._idle: list[_Connection] = []
 
     async def request(
         self, method: str, target: str, body: Any = None, *, within: timedelta
     ) -> Answer:
-        """Send one request and return its answer; raise `NoAnswerError` where none comes."""
+        """Send one request and return its answer; raise `NoAnswerError` if none comes in time."""
         try:
             with trio.fail_after(within.total_seconds()):
-                async with self._slots:
-                    return await self._once(method, target, body)
+                async with self._connection_limit:
+                    return await self._send_request(method, target, body)
         except (
             OSError,
             trio.TooSlowError,
@@ -60,14 +60,14 @@
         ) as error:
             raise NoAnswerError(f"{type(error).__name__}") from None
         except (h11.ProtocolError, MalformedError) as error:
-            raise NoAnswerError(f"nonsense: {error}") from None
+            raise NoAnswerError(f"malformed answer: {error}") from None
 
     async def close(self) -> None:
-        """Close the connections that are kept."""
+        """Close the idle connections."""
         while self._idle:
             await trio.aclose_forcefully(self._idle.pop().stream)
 
-    async def _once(self, method: str, target: str, body: Any) -> Answer:
+    async def _send_request(self, method: str, target: str, body: Any) -> Answer:
         is_reused = bool(self._idle)
         connection = self._idle.pop() if is_reused else await self._open()
         stream, conn = connection
@@ -76,15 +76,15 @@
             await stream.send_all(self._request_bytes(conn, method, target, body))
             status, data = await _read_answer(stream, conn)
             answer = Answer(status, decode(data) if data else None)
-            is_over = conn.our_state is h11.DONE and conn.their_state is h11.DONE
-            if is_over and len(self._idle) < self._max_idle:
+            is_complete = conn.our_state is h11.DONE and conn.their_state is h11.DONE
+            if is_complete and len(self._idle) < self._max_idle:
                 conn.start_next_cycle()
                 is_reusable = True
             return answer
         finally:
             if is_reused and not is_reusable:
-                # A kept connection that failed says that its like are gone too (the other side
-                # restarted).
+                # If a reused connection failed, the other idle ones have probably failed, too (the
+                # server restarted).
                 await self.close()
             if is_reusable:
                 self._idle.append(connection)
@@ -106,7 +106,7 @@
 
 
 async def _read_answer(stream: trio.abc.Stream, conn: h11.Connection) -> tuple[int, bytes]:
-    """Return the answer's status and body."""
+    """Read an answer; return its status and body."""
     status, data = 0, bytearray()
     while True:
         event = conn.next_event()
@@ -121,4 +121,4 @@
         elif isinstance(event, h11.EndOfMessage):
             return status, bytes(data)
         elif isinstance(event, h11.ConnectionClosed):
-            raise MalformedError("connection closed")
+            raise MalformedError("connection closed before the end of the answer")
--- a/roadbend/http/connections.py
+++ b/roadbend/http/connections.py
@@ -1,4 +1,4 @@
-"""Open connections of a server: how many, who waits, and who makes room for others."""
+"""The open connections of a server: their limit, and which are closed in favor of new ones."""
 
 from collections import OrderedDict
 
@@ -6,11 +6,11 @@
 
 
 class OpenConnection:
-    """A connection that is open.
+    """An open connection.
 
-    `scope` ends it; `deadline` is the steady time, in seconds, until which its client may take for
-    what it does now; `waiting` is the queue in which it waits for a request, by what it is known to
-    be for.
+    Cancelling `scope` closes it. `deadline` is the time, in seconds of the steady clock, at which
+    the present step (receiving or sending) times out. `waiting` is the queue, by the kind of its
+    last request, in which it stays while it waits for the next one.
     """
 
     __slots__ = ("deadline", "scope", "waiting")
@@ -21,21 +21,21 @@
         self.waiting = waiting
 
 
-# Connections that wait for a request, with the steady time since when; the longest waiting first.
+# Connections that wait for a request, with the time at which they began to wait, in that order.
 WaitingConnections = OrderedDict[OpenConnection, float]
 
 
 class ConnectionTable:
     """All open connections of a server.
 
-    `limit`: how many there may be. `spare`: how many of these are kept free for clients to come.
-    `stale_after_s`: for how many seconds at least a favoured connection is kept without a request.
+    `limit` is their maximum number; `reserved` of these are kept free for new clients. Prioritized
+    connections are kept without a request for at least `stale_after_s` seconds.
     """
 
     def __init__(self, limit: int, reserved: int, stale_after_s: float) -> None:
         self._limit, self._reserved, self._stale_after_s = limit, reserved, stale_after_s
         self._open: set[OpenConnection] = set()
-        # By the last request of a connection: new ones have had none.
+        # By the kind of the last request; new connections have had none.
         self.new = WaitingConnections()
         self.prioritized = WaitingConnections()
         self.other = WaitingConnections()
@@ -44,57 +44,58 @@
         return len(self._open)
 
     def add(self, deadline: float) -> OpenConnection | None:
-        """Take in a new connection; None where there is no room for it.
+        """Add a new connection; None if the limit is reached.
 
-        Past the limit a connection that only waits makes room, or else the new one is refused at
-        once instead of waiting for memory.
+        At the limit a connection that waits for a request is closed in its favor; if there is none
+        to close, the new one is refused at once instead of being queued.
         """
-        if len(self._open) >= self._limit and not self._make_room():
+        if len(self._open) >= self._limit and not self._close_longest_waiting():
             return None
         connection = OpenConnection(deadline, self.new)
         self._open.add(connection)
         return connection
 
     def remove(self, connection: OpenConnection) -> None:
-        """Forget a connection that is over."""
+        """Remove a closed connection."""
         self._open.discard(connection)
         connection.waiting.pop(connection, None)
 
-    def end_overdue(self, now: float) -> None:
-        """End the connections whose deadline has passed."""
+    def close_overdue(self, now: float) -> None:
+        """Close the connections whose deadline has passed."""
         for connection in [one for one in self._open if one.deadline < now]:
-            self._end(connection)
+            self._close(connection)
 
     def is_crowded(self) -> bool:
-        """Return whether connections are to be closed after their responses.
+        """Return whether connections should be closed after their responses.
 
-        So more clients than there are connections take turns: a worker that found no connection
-        would lose its lease.
+        This makes clients take turns if they outnumber the connections: a worker that could not
+        connect would lose its lease.
         """
         return self._reserved > 0 and len(self._open) > self._limit - self._reserved
 
-    def _make_room(self) -> bool:
-        """End the connection that has waited longest.
+    def _close_longest_waiting(self) -> bool:
+        """Close the connection that has waited longest; return whether there was one to close.
 
-        Favoured ones, the workers', are kept from storms of users: one of theirs goes only when a
-        living worker would long have used it, as after a network partition that left it half open.
-        One that has just been opened goes last, for it may be a worker's that is about to speak.
+        Prioritized connections, which are the workers', are protected from floods of user requests:
+        one is closed only when a live worker would long have used it, as after a network partition
+        that left it half-open. Connections without a request so far are closed last, since they may
+        be those of workers about to send a heartbeat.
         """
-        return self._end_longest(self.other) or self._end_stale() or self._end_longest(self.new)
+        return self._close_first(self.other) or self._close_stale() or self._close_first(self.new)
 
-    def _end_longest(self, waiting: WaitingConnections) -> bool:
+    def _close_first(self, waiting: WaitingConnections) -> bool:
         connection = next(iter(waiting), None)
         if connection is None:
             return False
-        self._end(connection)
+        self._close(connection)
         return True
 
-    def _end_stale(self) -> bool:
+    def _close_stale(self) -> bool:
         since = next(iter(self.prioritized.values()), None)
         if since is None or trio.current_time() - since <= self._stale_after_s:
             return False
-        return self._end_longest(self.prioritized)
+        return self._close_first(self.prioritized)
 
-    def _end(self, connection: OpenConnection) -> None:
+    def _close(self, connection: OpenConnection) -> None:
         self.remove(connection)
         connection.scope.cancel()
--- a/roadbend/http/exchange.py
+++ b/roadbend/http/exchange.py
@@ -9,21 +9,21 @@
 
 BODY_LIMIT = 64 * 1024
 RECEIVE_BYTES = 64 * 1024
-# A client that dribbles its request for this long is cut off.
-REQUEST_S = 10.0
+# A connection is closed if its request has not arrived completely within this time.
+REQUEST_TIMEOUT_S = 10.0
 
 
 class Exchange:
-    """One connection's requests and responses.
+    """The requests and responses of one connection.
 
-    A request whose head is known goes past h11, and so does its response.
+    A request whose head is cached bypasses h11, and so does its response.
     """
 
     __slots__ = (
         "_conn",
         "_connection",
         "_has_trailing_data",
-        "_is_known",
+        "_is_head_cached",
         "_request_heads",
         "_response_heads",
         "_stream",
@@ -41,33 +41,33 @@
         self._request_heads = request_heads
         self._response_heads = response_heads
         self._conn = h11.Connection(h11.SERVER)
-        # Whether the last request's head was known.
-        self._is_known = False
-        # Where a client sent more than one request at once, h11 has the rest.
+        # Whether the last request's head was cached.
+        self._is_head_cached = False
+        # Whether h11 holds bytes of a further request, which the client pipelined.
         self._has_trailing_data = False
 
     async def receive(self, sent_after_s: float) -> Request | Response | None:
-        """Return the next request, a response that refuses it, or None after the last one.
+        """Return the next request, a response that rejects it, or None after the last one.
 
-        `sent_after_s` is the steady time, in seconds, since when the client may send it.
-        Raises `h11.RemoteProtocolError` where it is no request.
+        `sent_after_s` is the time, in seconds of the steady clock, before which the client can't
+        have sent it. Raises `h11.RemoteProtocolError` for malformed requests.
         """
         data = None
         if not self._has_trailing_data:
             received = await self._stream.receive_some(RECEIVE_BYTES)
             data = received if type(received) is bytes else bytes(received)
-            self._connection.deadline = trio.current_time() + REQUEST_S
+            self._connection.deadline = trio.current_time() + REQUEST_TIMEOUT_S
             request = self._request_heads.find(data, sent_after_s)
             if request is not None:
-                self._is_known = True
+                self._is_head_cached = True
                 return request
-        self._is_known = False
+        self._is_head_cached = False
         return await self._read(data, sent_after_s)
 
     async def send(self, response: Response) -> bool:
         """Send a response; return whether another request may follow."""
         body = encode(response.body)
-        if self._is_known:
+        if self._is_head_cached:
             head = self._response_heads.get(
                 response.status, len(body), response.headers, response.close
             )
@@ -87,7 +87,7 @@
         return True
 
     async def _read(self, first: bytes | None, sent_after_s: float) -> Request | Response | None:
-        """Read a request with h11, which gets the bytes that have come already first."""
+        """Read a request with h11, starting with the bytes that have already been received."""
         head: h11.Request | None = None
         body: list[bytes] = []
         size, data = 0, first
@@ -113,7 +113,7 @@
                 return None
 
     async def _send_continue(self) -> None:
-        """Tell a client to go on that waits for that before it sends its body."""
+        """Send `100 Continue` to a client that waits for it before it sends the body."""
         if self._conn.they_are_waiting_for_100_continue:
             head = h11.InformationalResponse(status_code=100, headers=[])
             await self._stream.send_all(self._conn.send(head) or b"")
@@ -121,7 +121,7 @@
     def _finish(
         self, head: h11.Request, body: bytes, first: bytes | None, sent_after_s: float
     ) -> Request:
-        """Make the request; `first` are its bytes, if it came in one piece."""
+        """Create the request; `first` holds its bytes if they were received at once."""
         path, _, query = head.target.decode("ascii", "replace").partition("?")
         request = Request(
             method=head.method.decode("ascii", "replace"),
@@ -132,7 +132,7 @@
             sent_after_s=sent_after_s,
         )
         if first is not None:
-            self._request_heads.remember(first, head, request, self._conn)
+            self._request_heads.add(first, head, request, self._conn)
         return request
 
 
--- a/roadbend/http/heads.py
+++ b/roadbend/http/heads.py
@@ -1,7 +1,7 @@
-"""Caches of heads, the part of a message before its body.
+"""Caches of heads, that is, of the parts of messages before their bodies.
 
-Nearly all requests and responses repeat a head to the last byte. Parsing and writing them anew took
-two fifths of the processor time of a fleet's controller.
+The heads of nearly all requests and responses recur byte for byte. Parsing and serializing each of
+them took two fifths of a controller's CPU time under the load of a fleet.
 """
 
 from dataclasses import dataclass
@@ -10,20 +10,21 @@
 
 from roadbend.http.messages import Headers, Request
 
-# Heads of each kind that are remembered, and how long one of a request may be without its end.
+# The maximum number of cached heads of each kind, and the maximum length of a cached request head
+# without its final blank line.
 MAX_HEADS = 4096
 MAX_HEAD_LENGTH = 508
 END_OF_HEAD = b"\r\n\r\n"
 PLAIN_METHODS = ("GET", "POST")
-# Requests with one of these are read by h11 every time.
-ODD_HEADERS = {b"transfer-encoding", b"expect", b"upgrade", b"traceparent"}
+# Requests with one of these headers are always parsed by h11.
+UNCACHED_HEADERS = {b"transfer-encoding", b"expect", b"upgrade", b"traceparent"}
 
-_HeadKey = tuple[int, int, Headers, bool]
+_ResponseKey = tuple[int, int, Headers, bool]
 
 
 @dataclass(frozen=True, slots=True)
-class _KnownHead:
-    """What a request's head says, and how long the body after it is."""
+class _RequestHead:
+    """The parsed head of a request, and the length of the body after it."""
 
     method: str
     path: str
@@ -32,29 +33,27 @@
 
 
 class RequestHeads:
-    """Heads of requests that h11 has parsed: the same bytes mean the same again."""
+    """A cache of the request heads that h11 has parsed, by their bytes."""
 
     def __init__(self) -> None:
-        self._known: dict[bytes, _KnownHead] = {}
+        self._cached: dict[bytes, _RequestHead] = {}
 
     def __len__(self) -> int:
-        return len(self._known)
+        return len(self._cached)
 
     def find(self, data: bytes, sent_after_s: float = 0.0) -> Request | None:
-        """Return the request, if the bytes are a whole one with a known head."""
+        """Return the request if the bytes are a complete one with a cached head."""
         head, end_of_head, body = data.partition(END_OF_HEAD)
-        known = self._known.get(head)
-        if known is None or not end_of_head or len(body) != known.body_length:
+        cached = self._cached.get(head)
+        if cached is None or not end_of_head or len(body) != cached.body_length:
             return None
-        return Request(known.method, known.path, known.query, body, None, sent_after_s)
+        return Request(cached.method, cached.path, cached.query, body, None, sent_after_s)
 
-    def remember(
-        self, data: bytes, parsed: h11.Request, request: Request, conn: h11.Connection
-    ) -> None:
-        """Take in a request that came in `data`.
+    def add(self, data: bytes, parsed: h11.Request, request: Request, conn: h11.Connection) -> None:
+        """Cache the head of a request whose bytes are `data`.
 
-        Only plain ones are remembered, that came whole and in one piece, and after which the
-        connection stays open.
+        Only plain requests are cached which were received completely and at once, and after which
+        the connection stays open.
         """
         head, end_of_head, body = data.partition(END_OF_HEAD)
         is_whole = body == request.body and not conn.trailing_data[0]
@@ -62,9 +61,9 @@
             return
         if not _is_plain(parsed, request) or conn.their_state is not h11.DONE:
             return
-        if len(self._known) >= MAX_HEADS:
-            self._known.clear()
-        self._known[head] = _KnownHead(
+        if len(self._cached) >= MAX_HEADS:
+            self._cached.clear()
+        self._cached[head] = _RequestHead(
             request.method, request.path, request.query, len(request.body)
         )
 
@@ -73,12 +72,12 @@
     return (
         request.method in PLAIN_METHODS
         and head.http_version == b"1.1"
-        and not any(name in ODD_HEADERS for name, _ in head.headers)
+        and not any(name in UNCACHED_HEADERS for name, _ in head.headers)
     )
 
 
 def response_head(status: int, body_length: int, headers: Headers, close: bool) -> h11.Response:
-    """Make the head of a response."""
+    """Create the head of a response."""
     fields = [("content-length", str(body_length))]
     if body_length:
         fields.append(("content-type", "application/cbor"))
@@ -89,28 +88,30 @@
 
 
 class ResponseHeads:
-    """Bytes of heads of responses: h11 writes each kind once."""
+    """A cache of serialized response heads: h11 serializes each only once."""
 
     def __init__(self) -> None:
-        self._written: dict[_HeadKey, bytes] = {}
+        self._serialized: dict[_ResponseKey, bytes] = {}
 
     def get(self, status: int, body_length: int, headers: Headers, close: bool) -> bytes:
         """Return the head of a response to a plain request."""
         key = (status, body_length, headers, close)
-        found = self._written.get(key)
-        if found is None:
-            if len(self._written) >= MAX_HEADS:
-                self._written.clear()
-            found = self._written[key] = _write(response_head(status, body_length, headers, close))
-        return found
-
-
-def _write(head: h11.Response) -> bytes:
-    """Return a head's bytes, as h11 writes them after a plain request."""
+        serialized = self._serialized.get(key)
+        if serialized is None:
+            if len(self._serialized) >= MAX_HEADS:
+                self._serialized.clear()
+            serialized = self._serialized[key] = _serialize(
+                response_head(status, body_length, headers, close)
+            )
+        return serialized
+
+
+def _serialize(head: h11.Response) -> bytes:
+    """Serialize a head as h11 does after a plain request."""
     conn = h11.Connection(h11.SERVER)
     conn.receive_data(b"GET / HTTP/1.1\r\nhost: a\r\n\r\n")
     while conn.next_event() is not h11.NEED_DATA and conn.their_state is not h11.DONE:
         pass
     data = conn.send(head)
-    assert data is not None  # Only the end of a connection has no bytes.
+    assert data is not None  # Only `ConnectionClosed` has no bytes.
     return data
--- a/roadbend/http/messages.py
+++ b/roadbend/http/messages.py
@@ -1,4 +1,4 @@
-"""Requests and responses as the program sees them; bodies are CBOR on the wire."""
+"""Requests and responses; their bodies are CBOR on the wire."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass, field
@@ -12,28 +12,28 @@
 
 
 class MalformedError(PermanentError):
-    """The peer's bytes are not what the protocol asks for."""
+    """The received bytes violate the protocol."""
 
 
 @dataclass(frozen=True)
 class Request:
-    """A request that came whole."""
+    """A completely received request."""
 
     method: str
     path: str
     query: str
     body: bytes
-    # The W3C trace context that came with it, unchecked.
+    # The W3C trace context of the request, not validated.
     trace_parent: str | None = None
-    # The steady time, in seconds, before which its client can't have sent it: when its connection
-    # was accepted, or when the response before it went out. What was held back on its way came on
-    # an old connection.
+    # The time, in seconds of the steady clock, before which the client can't have sent it: when its
+    # connection was accepted, or when the previous response was sent. It reveals requests that the
+    # network delayed: these arrive on a connection that has been open for long.
     sent_after_s: float = 0.0
 
 
 @dataclass(frozen=True)
 class Response:
-    """What a request is answered; `close` ends the connection after it."""
+    """The response to a request; `close` closes the connection after it."""
 
     status: int
     body: Any = None
@@ -45,18 +45,18 @@
 
 
 def method_not_allowed(allowed: str) -> Response:
-    """Answer that a path knows only one method."""
+    """Return the response for a path that supports only another method."""
     return Response(405, {"error": allowed}, (("allow", allowed),))
 
 
 def encode(body: Any) -> bytes:
-    """Return a body's bytes; None is no body."""
+    """Serialize a body; None means no body."""
     return b"" if body is None else cbor2.dumps(body)
 
 
 def decode(body: bytes) -> Any:
-    """Return what a body says; raise `MalformedError` where it is not CBOR."""
+    """Parse a body; raise `MalformedError` if it is not CBOR."""
     try:
         return cbor2.loads(body)
-    except Exception as error:  # cbor2 raises many kinds on hostile input
+    except Exception as error:  # cbor2 raises many kinds of errors for hostile input
         raise MalformedError(f"not CBOR: {type(error).__name__}") from None
--- a/roadbend/http/net.py
+++ b/roadbend/http/net.py
@@ -1,4 +1,4 @@
-"""The network as the rest of the program sees it; tests put a fake in its place."""
+"""TCP connections and listeners; tests replace them with a fake network."""
 
 import socket
 from collections.abc import Awaitable, Callable
@@ -10,19 +10,19 @@
 from roadbend.log import Log
 
 log = Log("http")
-# Connections that wait to be accepted; they take sockets, too. Whoever finds no place tries the
-# next controller, and a longer queue would be of clients that have given up.
+# The length of the queue of connections to be accepted, which take sockets, too. A refused client
+# tries the next controller; a longer queue would fill with clients that have given up.
 BACKLOG = 128
-# Connections accepted before other tasks have their turn, and the pause after the system had no
-# sockets left.
-ACCEPTED_AT_ONCE = 32
-REFUSED_PAUSE_S = 0.1
+# The number of connections accepted before other tasks run, and the pause after the system ran out
+# of sockets.
+ACCEPT_BATCH = 32
+ACCEPT_RETRY_S = 0.1
 
 Handler = Callable[[trio.abc.Stream], Awaitable[None]]
 
 
 class ListenError(PermanentError):
-    """An address can't be listened on; the message says which and why."""
+    """An address can't be listened on; the message has the address and the reason."""
 
 
 def split(address: str) -> tuple[str, int]:
@@ -32,21 +32,21 @@
 
 
 def _bind(listener: socket.socket, address: str) -> None:
-    """Listen on an address; raise `ListenError` where it is taken, not ours or no address."""
+    """Listen on an address; raise `ListenError` if it is taken, not local or malformed."""
     try:
         listener.bind(split(address))
         listener.listen(BACKLOG)
-    # The last two are what the system's interface raises for hosts and ports that it can't encode.
+    # `bind` raises the last two for hosts and ports that it can't encode.
     except (OSError, ValueError, TypeError, OverflowError) as error:
         reason = getattr(error, "strerror", None) or str(error)
         raise ListenError(f"can't listen on {address!r}: {reason}") from None
 
 
 class Net:
-    """TCP over IPv4, by number; nothing is ever looked up."""
+    """TCP over IPv4. Addresses are numeric; there are no DNS queries."""
 
     async def connect(self, address: str) -> trio.abc.Stream:
-        """Open a connection; raise `OSError` where that fails."""
+        """Open a connection; raise `OSError` if that fails."""
         sock = trio.socket.socket(trio.socket.AF_INET, trio.socket.SOCK_STREAM)
         try:
             sock.setsockopt(trio.socket.IPPROTO_TCP, trio.socket.TCP_NODELAY, 1)
@@ -63,9 +63,9 @@
         *,
         task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED,
     ) -> None:
-        """Hand connections to `handler`, each in a task of its own, until cancelled.
+        """Accept connections and run `handler` for each in a task of its own, until cancelled.
 
-        Raises `ListenError` before it has started.
+        Raises `ListenError` before it reports that it has started.
         """
         with socket.socket(socket.AF_INET, socket.SOCK_STREAM) as listener:
             listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -76,11 +76,11 @@
                 while True:
                     await trio.lowlevel.wait_readable(listener)
                     try:
-                        for _ in range(ACCEPTED_AT_ONCE):
+                        for _ in range(ACCEPT_BATCH):
                             nursery.start_soon(handler, accept(listener))
                     except (BlockingIOError, InterruptedError, ConnectionAbortedError):
                         pass
                     except OSError as error:
-                        # No sockets or no memory left: those who end leave some.
+                        # Out of sockets or memory: connections that close will release some.
                         log.error("connection-not-accepted", error=error)
-                        await trio.sleep(REFUSED_PAUSE_S)
+                        await trio.sleep(ACCEPT_RETRY_S)
--- a/roadbend/http/server.py
+++ b/roadbend/http/server.py
@@ -1,4 +1,4 @@
-"""Serving requests; a connection stays open until one side closes it."""
+"""An HTTP server; connections stay open until one side closes them."""
 
 import math
 from collections.abc import Callable
@@ -16,20 +16,21 @@
 __all__ = ["MalformedError", "Request", "Response", "Server", "decode"]
 
 log = Log("http")
-# A client that says nothing for this long, or does not take its response, is cut off.
-IDLE_S = 75.0
-WRITE_S = 10.0
-# How often all connections are looked at for that.
-SWEEP_S = 1.0
+# A connection is closed if it is idle for this long, or if its response can't be sent in this time.
+IDLE_TIMEOUT_S = 75.0
+WRITE_TIMEOUT_S = 10.0
+# The interval of checking all connections for these timeouts.
+SWEEP_INTERVAL_S = 1.0
 MAX_LOGGED_PATH = 80
 
 
 class Server:
-    """Answers requests with what `handle` makes of them.
+    """Answers requests by calling `handle`.
 
-    `most`: connections at once. `favoured`: requests whose connections are kept before all others,
-    and for `stale` seconds at least without another request. `spare`: so many connections are kept
-    free for those who come, by closing others after their responses.
+    At most `max_connections` are open at once; `reserved` of these are kept free for new clients by
+    closing connections after their responses. `prioritized` selects the requests whose connections
+    are kept in preference to all others, and for at least `stale_after_s` seconds without another
+    request.
     """
 
     def __init__(
@@ -37,7 +38,7 @@
         handle: Handle,
         max_connections: int,
         prioritized: Callable[[Request], bool] | None = None,
-        stale_after_s: float = IDLE_S,
+        stale_after_s: float = IDLE_TIMEOUT_S,
         reserved: int = 0,
     ) -> None:
         self._handle = handle
@@ -47,8 +48,8 @@
         self._response_heads = ResponseHeads()
 
     async def serve(self, stream: trio.abc.Stream) -> None:
-        """Answer the requests of one connection until it is over."""
-        connection = self._connections.add(trio.current_time() + IDLE_S)
+        """Answer the requests of one connection until it is closed."""
+        connection = self._connections.add(trio.current_time() + IDLE_TIMEOUT_S)
         if connection is None:
             await trio.aclose_forcefully(stream)
             return
@@ -58,32 +59,32 @@
         except (OSError, trio.BrokenResourceError, trio.ClosedResourceError, h11.ProtocolError):
             pass
         except Exception:
-            # One bad connection must not end the process.
+            # A failure on one connection must not end the process.
             log.crash("connection-failed")
         finally:
             self._connections.remove(connection)
             await trio.aclose_forcefully(stream)
 
     async def sweep(self) -> None:
-        """End connections that say nothing, dribble, or don't take their response.
+        """Close connections that are idle, send too slowly, or don't read their responses.
 
-        One look at all of them now and then is cheaper than a timer for each request.
+        A periodic check of all connections is cheaper than a timer for each request.
         """
         while True:
-            await trio.sleep(SWEEP_S)
-            self._connections.end_overdue(trio.current_time())
+            await trio.sleep(SWEEP_INTERVAL_S)
+            self._connections.close_overdue(trio.current_time())
 
     async def _answer_all(self, stream: trio.abc.Stream, connection: OpenConnection) -> None:
         exchange = Exchange(stream, connection, self._request_heads, self._response_heads)
         is_open = True
         while is_open:
             now = trio.current_time()
-            connection.deadline = now + IDLE_S
+            connection.deadline = now + IDLE_TIMEOUT_S
             connection.waiting[connection] = now
             try:
                 request = await exchange.receive(now)
             except h11.RemoteProtocolError as error:
-                connection.deadline = trio.current_time() + WRITE_S
+                connection.deadline = trio.current_time() + WRITE_TIMEOUT_S
                 status = error.error_status_hint or 400
                 await exchange.send(Response(status, {"error": "bad request"}))
                 return
@@ -94,7 +95,7 @@
             response = (
                 await self._answer(request, connection) if isinstance(request, Request) else request
             )
-            connection.deadline = trio.current_time() + WRITE_S
+            connection.deadline = trio.current_time() + WRITE_TIMEOUT_S
             if self._connections.is_crowded() and not response.close:
                 response = replace(response, close=True)
             is_open = await exchange.send(response)
@@ -103,11 +104,11 @@
         is_prioritized = self._prioritized is not None and self._prioritized(request)
         connections = self._connections
         connection.waiting = connections.prioritized if is_prioritized else connections.other
-        # What a response takes is bounded by whoever makes it.
+        # The handler bounds the time that it takes.
         connection.deadline = math.inf
         try:
             return await self._handle(request)
         except Exception:
-            # One bad request must not end the process, nor leave its client waiting.
+            # A failed request must neither end the process nor leave its client without a response.
             log.crash("request-failed", path=request.path[:MAX_LOGGED_PATH])
             return Response(500, {"error": "internal"})
--- a/roadbend/http/test_net.py
+++ b/roadbend/http/test_net.py
@@ -1,4 +1,4 @@
-"""Accepted connections, over real sockets of this machine and on trio's own clock."""
+"""Accepted connections, over real local sockets and with trio's real clock."""
 
 import socket
 
@@ -48,7 +48,7 @@
         with socket.socket() as listener:
             listener.bind(("127.0.0.1", 0))
             listener.listen()
-            callers = [socket.create_connection(listener.getsockname()) for _ in range(2)]
+            clients = [socket.create_connection(listener.getsockname()) for _ in range(2)]
             closed, broken = accept(listener), accept(listener)
         async with trio.open_nursery() as nursery:
 
@@ -61,14 +61,14 @@
             await closed.aclose()
         with pytest.raises(trio.ClosedResourceError):
             await closed.send_all(b"a")
-        # A reset in place of an orderly end.
-        callers[1].setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\0\0\0\0\0\0\0")
-        callers[1].close()
+        # SO_LINGER with a zero timeout: a reset instead of an orderly close.
+        clients[1].setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\0\0\0\0\0\0\0")
+        clients[1].close()
         with pytest.raises(trio.BrokenResourceError):
             await broken.receive_some()
         with pytest.raises(trio.BrokenResourceError):
             await broken.send_all(b"a")
         await broken.aclose()
-        callers[0].close()
+        clients[0].close()
 
     trio.run(main)
--- a/roadbend/http/test_sent_after.py
+++ b/roadbend/http/test_sent_after.py
@@ -1,4 +1,4 @@
-"""Since when a request may have been sent."""
+"""The earliest time at which a request may have been sent (`Request.sent_after_s`)."""
 
 import h11
 import pytest
@@ -7,7 +7,7 @@
 
 from roadbend.http.server import Request, Response, Server
 
-# How long the client waits before its first request and between requests; in seconds.
+# How long the client waits before its first request and between requests, in seconds.
 FIRST_S, BETWEEN_S = 20.0, 30.0
 
 
@@ -20,7 +20,7 @@
 
 @pytest.mark.parametrize("in_pieces", [False, True])
 async def test_a_request_is_no_older_than_its_connection_or_the_response_before(in_pieces):
-    """Guards against a heartbeat that was held back on its way and counts as new."""
+    """Guards against a heartbeat that the network delayed and that counts as recent."""
     requests: list[Request] = []
 
     async def answer(request: Request) -> Response:
@@ -28,9 +28,9 @@
         return Response(200)
 
     async with trio.open_nursery() as nursery:
-        stream, theirs = trio.testing.memory_stream_pair()
+        stream, server_stream = trio.testing.memory_stream_pair()
         accepted_at = trio.current_time()
-        nursery.start_soon(Server(answer, max_connections=4).serve, theirs)
+        nursery.start_soon(Server(answer, max_connections=4).serve, server_stream)
         answered_at = []
         for pause in (FIRST_S, BETWEEN_S, BETWEEN_S):
             await trio.sleep(pause)
--- a/roadbend/http/test_server.py
+++ b/roadbend/http/test_server.py
@@ -1,4 +1,4 @@
-"""Connections: who is kept when there are more than sockets."""
+"""Connections: which are kept when clients outnumber the sockets."""
 
 import contextlib
 import itertools
@@ -8,22 +8,22 @@
 import trio
 import trio.testing
 
-from roadbend.http.server import IDLE_S, Request, Response, Server
+from roadbend.http.server import IDLE_TIMEOUT_S, Request, Response, Server
 
 
 async def answer(request: Request) -> Response:
     return Response(200, {"path": request.path})
 
 
-class Caller:
+class ClientConnection:
     """One connection to a server."""
 
     def __init__(self, nursery: trio.Nursery, server: Server):
-        self.stream, theirs = trio.testing.memory_stream_pair()
-        nursery.start_soon(server.serve, theirs)
+        self.stream, server_stream = trio.testing.memory_stream_pair()
+        nursery.start_soon(server.serve, server_stream)
 
-    async def ask(self, path: str) -> int | None:
-        """Return the status; None where the connection is gone."""
+    async def send(self, path: str) -> int | None:
+        """Send a request and return the status; None if the connection is closed."""
         conn = h11.Connection(h11.CLIENT)
         try:
             await self.stream.send_all(
@@ -41,7 +41,7 @@
 
 
 async def test_a_storm_of_users_keeps_out_no_worker():
-    """Users and workers share a port and its sockets; users once could take all of them."""
+    """Guards against users taking all sockets of the port that they share with workers."""
     async with trio.open_nursery() as nursery:
         server = Server(
             answer,
@@ -49,17 +49,17 @@
             prioritized=lambda request: request.path == "/hello",
             stale_after_s=10.0,
         )
-        workers = [Caller(nursery, server) for _ in range(5)]
-        assert [await w.ask("/hello") for w in workers] == [200] * 5
+        workers = [ClientConnection(nursery, server) for _ in range(5)]
+        assert [await w.send("/hello") for w in workers] == [200] * 5
         users = []
         for _ in range(40):
-            users.append(Caller(nursery, server))
-            assert await users[-1].ask("/v1/jobs") == 200
-        # The users that had waited longest made room; every worker still has its connection.
-        assert [await w.ask("/hello") for w in workers] == [200] * 5
-        assert await users[0].ask("/v1/jobs") is None and await users[-1].ask("/v1/jobs") == 200
-        late = Caller(nursery, server)
-        assert await late.ask("/hello") == 200
+            users.append(ClientConnection(nursery, server))
+            assert await users[-1].send("/v1/jobs") == 200
+        # The longest idle connections of users were closed; every worker still has its connection.
+        assert [await w.send("/hello") for w in workers] == [200] * 5
+        assert await users[0].send("/v1/jobs") is None and await users[-1].send("/v1/jobs") == 200
+        late = ClientConnection(nursery, server)
+        assert await late.send("/hello") == 200
         nursery.cancel_scope.cancel()
 
 
@@ -71,24 +71,24 @@
             prioritized=lambda request: request.path == "/hello",
             stale_after_s=10.0,
         )
-        lost = [Caller(nursery, server) for _ in range(6)]
-        assert [await w.ask("/hello") for w in lost] == [200] * 6
-        # All are workers that were heard a moment ago: nobody makes room, and the new one is told
-        # so at once.
-        assert await Caller(nursery, server).ask("/hello") is None
+        lost = [ClientConnection(nursery, server) for _ in range(6)]
+        assert [await w.send("/hello") for w in lost] == [200] * 6
+        # All are workers that have just sent a heartbeat: no connection is closed, and the new one
+        # is refused at once.
+        assert await ClientConnection(nursery, server).send("/hello") is None
         await trio.sleep(6)
-        assert await lost[0].ask("/hello") == 200
+        assert await lost[0].send("/hello") == 200
         await trio.sleep(6)
-        back = [Caller(nursery, server) for _ in range(5)]
-        assert [await w.ask("/hello") for w in back] == [200] * 5
-        assert await lost[0].ask("/hello") == 200 and await lost[1].ask("/hello") is None
+        back = [ClientConnection(nursery, server) for _ in range(5)]
+        assert [await w.send("/hello") for w in back] == [200] * 5
+        assert await lost[0].send("/hello") == 200 and await lost[1].send("/hello") is None
         nursery.cancel_scope.cancel()
 
 
 async def test_more_workers_than_connections_take_turns():
-    """Four thousand workers and two controllers with 1,800 sockets each.
+    """Guards against workers that can't connect: 4,000 of them, 2 controllers, 1,800 sockets each.
 
-    Whoever found no connection for the length of its lease would lose its tasks.
+    A worker that got no connection for the duration of its lease would lose its tasks.
     """
     async with trio.open_nursery() as nursery:
         server = Server(
@@ -97,14 +97,14 @@
             prioritized=lambda request: request.path == "/hello",
             reserved=4,
         )
-        workers = [Caller(nursery, server) for _ in range(30)]
+        workers = [ClientConnection(nursery, server) for _ in range(30)]
         for _ in range(3):
             for n in range(len(workers)):
-                status = await workers[n].ask("/hello")
+                status = await workers[n].send("/hello")
                 if status is None:
-                    # Its connection was closed after the last answer; it opens another.
-                    workers[n] = Caller(nursery, server)
-                    status = await workers[n].ask("/hello")
+                    # Its connection was closed after the last response; it opens another.
+                    workers[n] = ClientConnection(nursery, server)
+                    status = await workers[n].send("/hello")
                 assert status == 200
             assert len(server._connections) <= 8
         nursery.cancel_scope.cancel()
@@ -112,21 +112,21 @@
 
 async def test_a_connection_that_says_nothing_is_closed_and_one_whose_answer_is_being_made_is_not():
     async def slow(request: Request) -> Response:
-        await trio.sleep(IDLE_S * 2)
+        await trio.sleep(IDLE_TIMEOUT_S * 2)
         return Response(200)
 
     async with trio.open_nursery() as nursery:
         server = Server(slow, max_connections=4)
         nursery.start_soon(server.sweep)
-        silent, asking = Caller(nursery, server), Caller(nursery, server)
-        with trio.fail_after(IDLE_S * 3):
-            assert await asking.ask("/v1/jobs") == 200
-            assert await silent.ask("/v1/jobs") is None
+        silent, asking = ClientConnection(nursery, server), ClientConnection(nursery, server)
+        with trio.fail_after(IDLE_TIMEOUT_S * 3):
+            assert await asking.send("/v1/jobs") == 200
+            assert await silent.send("/v1/jobs") is None
         nursery.cancel_scope.cancel()
 
 
 async def test_requests_that_come_whole_are_answered_as_those_that_come_in_pieces():
-    """A head that h11 has parsed is not parsed again; that must not show, whatever comes how."""
+    """A cached head is not parsed again; the responses must not differ from those of h11."""
     rng = random.Random(4)
 
     async def echo(request: Request) -> Response:
@@ -145,7 +145,7 @@
         ]
         return "\r\n".join(lines).encode() + body
 
-    kinds = [
+    requests = [
         request("POST", "/hello", b"x" * 40),
         request("POST", "/hello", b"\r\n\r\n" * 9),
         request("GET", "/v1/jobs/run-1?a=b", b""),
@@ -161,35 +161,35 @@
         b"nonsense\r\n\r\n",
     ]
 
-    async def talk(server: Server, data: list[bytes], cut: bool) -> list[bytes]:
+    async def talk(server: Server, data: list[bytes], in_pieces: bool) -> list[bytes]:
         answers = []
         async with trio.open_nursery() as nursery:
-            mine, theirs = trio.testing.memory_stream_pair()
-            nursery.start_soon(server.serve, theirs)
+            client_stream, server_stream = trio.testing.memory_stream_pair()
+            nursery.start_soon(server.serve, server_stream)
             try:
                 for one in data:
-                    # What is answered before it has come whole is no longer listened to.
-                    at = (
+                    # The server stops reading a request that it answers before the end.
+                    bounds = (
                         [0, *sorted(rng.sample(range(1, len(one)), 2)), len(one)]
-                        if cut
+                        if in_pieces
                         else [0, len(one)]
                     )
-                    for low, high in itertools.pairwise(at):
+                    for low, high in itertools.pairwise(bounds):
                         with contextlib.suppress(trio.BrokenResourceError):
-                            await mine.send_all(one[low:high])
+                            await client_stream.send_all(one[low:high])
                         await trio.sleep(0.01)
-                    answers.append(bytes(await mine.receive_some(65536)))
+                    answers.append(bytes(await client_stream.receive_some(65536)))
             except (trio.BrokenResourceError, trio.ClosedResourceError):
                 answers.append(b"gone")
             nursery.cancel_scope.cancel()
         return answers
 
-    # Two at once are answered one after the other.
-    both = await talk(Server(echo, max_connections=64), [kinds[0] + kinds[2]], False)
-    assert both[0].startswith(b"HTTP/1.1 200")
+    # Two pipelined requests are answered one after the other.
+    pipelined = await talk(Server(echo, max_connections=64), [requests[0] + requests[2]], False)
+    assert pipelined[0].startswith(b"HTTP/1.1 200")
     server = Server(echo, max_connections=64)
     for _ in range(150):
-        data = [rng.choice(kinds) for _ in range(rng.randrange(1, 6))]
+        data = [rng.choice(requests) for _ in range(rng.randrange(1, 6))]
         assert await talk(server, data, False) == await talk(
             Server(echo, max_connections=64), data, True
         )
--- a/roadbend/listen_address.py
+++ b/roadbend/listen_address.py
@@ -1,4 +1,4 @@
-"""Names the setting whose address can't be listened on."""
+"""Errors that name the setting whose address can't be listened on."""
 
 from collections.abc import Iterator
 from contextlib import contextmanager
@@ -9,7 +9,7 @@
 
 @contextmanager
 def listen_address(key: str) -> Iterator[None]:
-    """Turn a `ListenError` into a `SettingsError` that names the platform's key of the address."""
+    """Convert a `ListenError` into a `SettingsError` that names the key of the address."""
     try:
         yield
     except ListenError as error:
--- a/roadbend/log.py
+++ b/roadbend/log.py
@@ -1,6 +1,6 @@
-"""Structured logging to standard error: one event a line, with key=value fields.
+"""Structured logging to standard error: one event per line, with key=value fields.
 
-The environment variable LOG_LEVEL sets how much is logged: error (the default), info or debug.
+The environment variable LOG_LEVEL sets the level: error (the default), info or debug.
 """
 
 import logging
@@ -16,7 +16,7 @@
     logging.basicConfig(
         stream=sys.stderr, level=level, format="%(levelname).1s %(name)s %(message)s"
     )
-    # A standard error that can't be written to must not bring tracebacks of the logging itself.
+    # If standard error can't be written to, the logging module must not raise errors of its own.
     logging.raiseExceptions = False
 
 
@@ -25,28 +25,28 @@
 
 
 class Log:
-    """A component's logger. It builds a line only if the level wants it."""
+    """A component's logger. It formats a line only if the level is enabled."""
 
     def __init__(self, component: str) -> None:
         self._logger = logging.getLogger(component)
 
     def debug(self, event: str, /, **fields: object) -> None:
-        """Log what helps in an investigation."""
+        """Log details for investigations."""
         if self._logger.isEnabledFor(logging.DEBUG):
             self._logger.debug(_format(event, fields))
 
     def info(self, event: str, /, **fields: object) -> None:
-        """Log what operators may want to follow."""
+        """Log events that operators may want to follow."""
         if self._logger.isEnabledFor(logging.INFO):
             self._logger.info(_format(event, fields))
 
     def warning(self, event: str, /, **fields: object) -> None:
-        """Log what must not happen and does no harm; shown at `info` and `debug`."""
+        """Log an unexpected but harmless event; shown at `info` and `debug`."""
         if self._logger.isEnabledFor(logging.WARNING):
             self._logger.warning(_format(event, fields))
 
     def error(self, event: str, /, **fields: object) -> None:
-        """Log what operators must know."""
+        """Log an event that operators must know of."""
         self._logger.error(_format(event, fields))
 
     def crash(self, event: str, /, **fields: object) -> None:
--- a/roadbend/retry.py
+++ b/roadbend/retry.py
@@ -1,19 +1,19 @@
-"""Waits between attempts: they grow to a bound, with jitter.
+"""Exponential backoff with jitter.
 
-The jitter keeps those who failed together from coming back together.
+The jitter keeps callers that failed at the same time from retrying at the same time.
 """
 
 import random
 from datetime import timedelta
 
-# The shortest part of a wait that jitter leaves, and by how much a wait grows with each attempt.
-LEAST_SHARE = 0.5
+# The minimum share of a wait after jitter, and the growth of the wait with each attempt.
+MIN_JITTER_SHARE = 0.5
 GROWTH = 2
 
 
 def jittered(wait: timedelta, rng: random.Random) -> timedelta:
-    """Draw a duration between half of a wait and all of it."""
-    return wait * rng.uniform(LEAST_SHARE, 1.0)
+    """Return a random duration between half of a wait and all of it."""
+    return wait * rng.uniform(MIN_JITTER_SHARE, 1.0)
 
 
 class Backoff:
@@ -26,11 +26,11 @@
         self._wait = first
 
     def next_wait(self) -> timedelta:
-        """Return how long to wait before the next attempt; the wait after that is longer."""
+        """Return how long to wait before the next attempt, and increase the wait after that."""
         wait = self._wait
         self._wait = min(wait * GROWTH, self._longest)
         return jittered(wait, self._rng)
 
     def reset(self) -> None:
-        """Begin anew with the first wait, after an attempt that succeeded."""
+        """Start again with the first wait, after a successful attempt."""
         self._wait = self._first
--- a/roadbend/settings/__init__.py
+++ b/roadbend/settings/__init__.py
@@ -1,4 +1,4 @@
-"""Settings: the platform's file (TOML) and the operators' own files (S-expressions)."""
+"""Settings: the platform's file (TOML) and the operators' files (S-expressions)."""
 
 from roadbend.settings.errors import SettingsError
 from roadbend.settings.files import load, read_file
--- a/roadbend/settings/errors.py
+++ b/roadbend/settings/errors.py
@@ -1,7 +1,7 @@
-"""What a settings file that can't be used raises."""
+"""The error for invalid settings."""
 
 from roadbend.errors import PermanentError
 
 
 class SettingsError(PermanentError):
-    """A settings file can't be used; the message names the key."""
+    """A settings file is invalid or unreadable; the message names the key or the file."""
--- a/roadbend/settings/files.py
+++ b/roadbend/settings/files.py
@@ -1,4 +1,4 @@
-"""The settings files of a controller."""
+"""Loading a controller's settings files."""
 
 from pathlib import Path
 
@@ -9,7 +9,7 @@
 
 
 def load(platform: Path, operator: Path | None) -> tuple[PlatformSettings, OperatorSettings]:
-    """Read both files of a controller; a missing operators' file means the defaults.
+    """Read a controller's settings files; without an operators' file the defaults apply.
 
     Raises `SettingsError`.
     """
@@ -20,7 +20,7 @@
 
 
 def read_file(path: Path) -> str:
-    """Return a settings file's text; raise `SettingsError` where it can't be read."""
+    """Return a settings file's text; raise `SettingsError` if it can't be read."""
     try:
         return path.read_text()
     except (OSError, UnicodeDecodeError) as error:
--- a/roadbend/settings/forms.py
+++ b/roadbend/settings/forms.py
@@ -1,7 +1,7 @@
 """Settings written as an S-expression, `(name (key value) ...)`.
 
-Every key is a field of a dataclass, with its default and its range. An unknown key, a key given
-twice and a value out of range are refused by name.
+Every key is a field of a dataclass, with its default and its range. For an unknown key, a duplicate
+key or a value out of range the error names the key.
 """
 
 from __future__ import annotations
@@ -18,18 +18,18 @@
 if TYPE_CHECKING:
     from _typeshed import DataclassInstance
 
-# The longest text that a setting may be.
+# The maximum length of a text value.
 MAX_TEXT_LENGTH = 200
-# Longer durations are cut to this before they are compared with their range.
+# Longer durations are clamped to this before the check of their range: `timedelta` would overflow.
 MAX_SECONDS = 1e9
-# A row is a key and a value.
+# The number of items in a row: a key and a value.
 ROW_LENGTH = 2
 _Form = TypeVar("_Form", bound="DataclassInstance")
 _Number = TypeVar("_Number", int, float)
 
 
 def seconds(default: float, low: float, high: float, text: str) -> timedelta:
-    """Describe a duration by its default, its range and what it means; all three in seconds."""
+    """Define a duration field by its default, its range (all in seconds), and a description."""
     return field(
         default=timedelta(seconds=default),
         metadata={"low": timedelta(seconds=low), "high": timedelta(seconds=high), "text": text},
@@ -37,18 +37,18 @@
 
 
 def number(default: _Number, low: float, high: float, text: str) -> _Number:
-    """Describe a number by its default, its range and what it means.
+    """Define a number field by its default, its range, and a description.
 
-    Where the default is an integer, so must the value be.
+    If the default is an integer, the value must be one as well.
     """
     return field(default=default, metadata={"low": low, "high": high, "text": text})
 
 
 def read_form(text: str, name: str, kind: type[_Form]) -> _Form:
-    """Read settings of one kind, written as `(name (key value) ...)`.
+    """Parse settings of the dataclass `kind`, written as `(name (key value) ...)`.
 
-    Keys are the names of the fields of `kind`, with hyphens. The metadata of a field hold its range
-    (`low`, `high`); text has none. Raises `SettingsError`.
+    Keys are the names of its fields, with hyphens. A field's metadata has its range (`low`,
+    `high`), except for text. Raises `SettingsError`.
     """
     specs = {spec.name.replace("_", "-"): spec for spec in fields(kind)}
     values: dict[str, Any] = {}
@@ -64,10 +64,10 @@
 
 
 def _parse(text: str, name: str) -> list[Any]:
-    """Return the rows of a form, unchecked."""
+    """Return the rows of a form, not validated."""
     try:
         tree = sexpdata.loads(text)
-    except Exception as error:  # sexpdata raises several unrelated kinds
+    except Exception as error:  # sexpdata raises several unrelated types
         raise SettingsError(f"not an S-expression: {type(error).__name__}") from None
     if not isinstance(tree, list) or not tree or tree[0] != sexpdata.Symbol(name):
         raise SettingsError(f"operators' settings must have the form ({name} (key value) ...)")
@@ -75,7 +75,7 @@
 
 
 def _split_row(row: Any) -> tuple[str, Any]:
-    """Return a row's key and its value, unchecked."""
+    """Return a row's key, and its value, which is not validated."""
     is_row = isinstance(row, list) and len(row) == ROW_LENGTH
     if not is_row or not isinstance(row[0], sexpdata.Symbol):
         raise SettingsError(f"expected (key value), found: {sexpdata.dumps(row)}")
@@ -99,7 +99,7 @@
 
 
 def _read_amount(key: str, value: Any, default: object) -> float | timedelta:
-    """Return a value as what its default is: a duration, an integer or a decimal number."""
+    """Return a value in the type of its default: a duration, an integer or a float."""
     is_number = isinstance(value, int | float) and not isinstance(value, bool)
     if not is_number or (isinstance(value, float) and math.isnan(value)):
         raise SettingsError(f"bad value for {key}: expected a number")
--- a/roadbend/settings/platform_file.py
+++ b/roadbend/settings/platform_file.py
@@ -1,6 +1,6 @@
-"""Reading the platform's settings file (TOML); what we don't know in it is ignored.
+"""Parsing the platform's settings file (TOML); unknown keys are ignored.
 
-The source of all keys is the deploy page.
+The keys are defined by the deploy page.
 """
 
 import tomllib
@@ -25,7 +25,7 @@
 
 
 def read_platform(text: str) -> PlatformSettings:
-    """Read the platform's settings; raise `SettingsError`, which names the first bad key."""
+    """Parse the platform's settings; raise `SettingsError`, which names the first invalid key."""
     try:
         table = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
@@ -112,7 +112,7 @@
 
 
 def _rows(table: object, path: str) -> list[Any]:
-    """Return a list, empty where the key is missing."""
+    """Return a list, empty if the key is missing."""
     return _optional(table, path, list, [])
 
 
@@ -121,9 +121,9 @@
 
 
 def _checked_address(text: str, path: str) -> str:
-    """Return an address; the host is not looked at before it is connected to or listened on."""
+    """Return an address after a check of its port; the host is not checked until it is used."""
     host, colon, port = text.rpartition(":")
-    # `int` takes decimal digits only, and not thousands of them.
+    # `int` rejects some characters that count as digits, and strings of thousands of digits.
     is_number = port.isdecimal() and len(port.lstrip("0")) <= len(str(MAX_PORT))
     if not colon or not host or not is_number or not 0 < int(port) <= MAX_PORT:
         raise SettingsError(f"bad value for {path}: expected host:port")
@@ -135,13 +135,13 @@
 
 
 def _smaller_limit(table: object, key: str) -> float:
-    """Return the smaller of a limit of the state store and of the one that is to come."""
+    """Return the smaller of a present limit of the state store and of its announced next value."""
     now = _positive(table, f"{STATE_STORE}.{key}")
     return min(now, _positive(table, f"{STATE_STORE}.next.{key}", now))
 
 
 def _positive(table: object, path: str, default: float | None = None) -> float:
-    """Return a number above zero; where the key is missing, the default, if there is one."""
+    """Return a number above zero; if the key is missing, the default, if there is one."""
     if default is None:
         value = _required(table, path, float)
     else:
@@ -152,7 +152,7 @@
 
 
 def _required(table: object, path: str, kind: type[_Value]) -> _Value:
-    """Return the value of a key, given as a path with dots."""
+    """Return the value of a key, given as a dotted path."""
     value = _find(table, path)
     if value is None:
         raise SettingsError(f"missing key: {path}")
@@ -160,13 +160,13 @@
 
 
 def _optional(table: object, path: str, kind: type[_Value], default: _Value) -> _Value:
-    """As `_required`, with a default for a missing key."""
+    """Return the value of a key, given as a dotted path, or the default if it is missing."""
     value = _find(table, path)
     return default if value is None else _checked(value, path, kind)
 
 
 def _find(table: object, path: str) -> object | None:
-    """Return the value of a key, unchecked; None where it is missing. TOML has no null."""
+    """Return the value of a key, not validated; None if it is missing (TOML has no null)."""
     value: object = table
     for part in path.split("."):
         value = value.get(part) if isinstance(value, dict) else None
@@ -174,7 +174,7 @@
 
 
 def _checked(value: object, path: str, kind: type[_Value]) -> _Value:
-    """Return a value of one kind; whole numbers are decimal numbers, too, and booleans are none."""
+    """Return a value after a check of its type; integers are valid floats, booleans are not."""
     if kind is float and isinstance(value, int) and not isinstance(value, bool):
         value = float(value)
     if not isinstance(value, kind) or isinstance(value, bool):
--- a/roadbend/settings/platform_settings.py
+++ b/roadbend/settings/platform_settings.py
@@ -1,21 +1,22 @@
-"""What the platform sets for a controller, and what follows from it."""
+"""The settings that the platform gives to a controller, and values derived from them."""
 
 from dataclasses import dataclass
 from datetime import timedelta
 
-# How wide a shard is, in tasks. An attempt takes 16 to 24 bytes in the form in which limits are
-# measured; a shard of only running tasks must fit with room for a few ranges.
+# The bounds of a shard's width, in tasks. An attempt takes 16 to 24 bytes in the encoding that the
+# limits refer to; a shard whose tasks are all running must fit, with space for a few ranges.
 MIN_SHARD_WIDTH, MAX_SHARD_WIDTH = 8, 512
 USED_VALUE_SHARE = 0.8
 SHARD_OVERHEAD_BYTES = 400
 ATTEMPT_BYTES = 28
-# A transaction takes four conditions a change; one in four is left for what is not a shard.
+# A transaction may have four conditions for each permitted change; one in four is reserved for
+# records other than shards.
 SHARD_CONDITIONS_PER_CHANGE = 3
 
 
 @dataclass(frozen=True)
 class Peer:
-    """Another controller."""
+    """Another controller: its name, its zone, and its address."""
 
     name: str
     zone: str
@@ -24,7 +25,7 @@
 
 @dataclass(frozen=True)
 class Team:
-    """A team's guarantee and limit; 0 means none."""
+    """A team's guaranteed resources and its limits (`_max`); 0 means none."""
 
     name: str
     cpus: float
@@ -35,21 +36,21 @@
 
 @dataclass(frozen=True)
 class ServiceLevelObjective:
-    """An aim as the platform restates it; kinds that we don't know are ignored."""
+    """A service level objective as the platform states it; unknown kinds are ignored."""
 
     kind: str
     job_class: str | None
     share: float
     within: timedelta | None
-    # Of a deadline: how many times the due time it is about.
+    # For deadlines: the multiple of the due time that the objective concerns.
     times: float = 1.0
 
 
 @dataclass(frozen=True)
 class PlatformSettings:
-    """What the platform sets.
+    """The platform's settings, as defined by the deploy page.
 
-    Source: the deploy page; rates are per second, sizes in bytes.
+    Rates are per second, sizes in bytes.
     """
 
     name: str
@@ -72,34 +73,33 @@
     cloud_rps: float
     list_lag: timedelta
     sockets: int
-    # How much of a core we have.
+    # The share of a CPU core that the controller has.
     cpu: float = 1.0
-    # The changes a second that the state store will allow from some moment on, without notice. Its
-    # other limits to come are in `value_bytes` and `txn_ops`: from the start we write within the
-    # smaller of both.
+    # The changes per second that the state store will permit from an unknown time on. Its other
+    # announced limits are already included in `value_bytes` and `txn_ops`, which are the smaller of
+    # the present and the announced values.
     state_write_rps_next: float | None = None
-    # How long a gang's tasks wait for each other, and how soon they notice that one is gone.
+    # How long a gang's tasks wait for each other, and how soon they detect that one is missing.
     gang_wait: timedelta = timedelta(seconds=30)
     gang_peer: timedelta = timedelta(seconds=5)
     objectives: tuple[ServiceLevelObjective, ...] = ()
 
     @property
     def controller_count(self) -> int:
-        """How many controllers there are, this one among them."""
+        """The number of controllers, including this one."""
         return len(self.peers) + 1
 
     @property
     def shard_width(self) -> int:
-        """How many neighbouring tasks share a record."""
+        """The number of consecutive tasks that share a record."""
         usable = int(self.value_bytes * USED_VALUE_SHARE - SHARD_OVERHEAD_BYTES)
         return max(MIN_SHARD_WIDTH, min(MAX_SHARD_WIDTH, usable // ATTEMPT_BYTES))
 
     @property
     def widest_gang(self) -> int:
-        """The widest gang whose attempts can all be recorded while its first task waits.
+        """The maximum size of a gang whose attempts can all be recorded while the first one waits.
 
-        That is with half of the changes that the state store permits, within half of the time that
-        tasks wait.
+        That is with half of the permitted change rate, within half of the time that tasks wait.
         """
         changes = min(self.state_write_rps, self.state_write_rps_next or self.state_write_rps)
         seconds = self.gang_wait.total_seconds() / 2
@@ -107,9 +107,9 @@
 
     @property
     def widest_apart_gang(self) -> int:
-        """As `widest_gang`, for one whose shares several partitions hold.
+        """As `widest_gang`, for a gang whose tasks are spread over several partitions.
 
-        The record of every shard is a condition of each start.
+        Each start then has the records of all its shards as conditions.
         """
         shards = SHARD_CONDITIONS_PER_CHANGE * self.txn_ops
         return min(self.widest_gang, shards * self.shard_width)
--- a/roadbend/store/request_budget.py
+++ b/roadbend/store/request_budget.py
@@ -16,7 +16,7 @@
 # The share of the limits that is used; the rest covers differences between our count and the state
 # store's.
 USED_SHARE = 0.92
-# After a change of rate a bucket permits bursts of this many seconds, times its original burst.
+# After a change of rate, a bucket's burst, in seconds of its rate, is this share of the original.
 BURST_S = 0.9
 # A controller that uses less than its equal share still keeps this part of it, or its recent usage
 # times this growth if that is more.
--- a/roadbend/test_errors.py
+++ b/roadbend/test_errors.py
@@ -1,4 +1,4 @@
-"""Every error class stands in the hierarchy that `roadbend.errors` describes."""
+"""Every error class belongs to the hierarchy that `roadbend.errors` describes."""
 
 import importlib
 import inspect
@@ -9,12 +9,12 @@
 from roadbend.store.errors import StateStoreError
 
 GROUPS = (PermanentError, RetryableError, UnknownOutcomeError)
-# What is common to a service's errors, of several groups; never raised itself.
+# Common bases of a service's errors in several groups; never raised themselves.
 COMMON_BASES = {StateStoreError}
 
 
 def error_classes():
-    """Find the error classes that the program defines, tests and stand-ins left out."""
+    """Yield the error classes that the program defines, except those of tests and fakes."""
     for module in pkgutil.walk_packages(roadbend.__path__, "roadbend."):
         last = module.name.rpartition(".")[2]
         if last.startswith("test_") or last in ("conftest", "__main__") or ".fakes" in module.name:
--- a/roadbend/test_house.py
+++ b/roadbend/test_house.py
@@ -1,4 +1,4 @@
-"""Rules of the house that a reader would miss when they slip."""
+"""Conventions of the code base whose violations a review would easily miss."""
 
 import ast
 from dataclasses import fields
--- a/roadbend/test_listen_address.py
+++ b/roadbend/test_listen_address.py
@@ -1,4 +1,4 @@
-"""An address that can't be listened on ends the process: one line that names the setting."""
+"""An address that can't be listened on ends the process with one line that names the setting."""
 
 import gc
 import os
@@ -19,8 +19,8 @@
 
 
 @pytest.fixture
-def taken():
-    """Listen on an address of this machine and return it."""
+def used_address():
+    """Listen on a local address and return it."""
     with socket.socket() as listener:
         listener.bind(("127.0.0.1", 0))
         listener.listen()
@@ -29,7 +29,7 @@
 
 @pytest.fixture
 def collector():
-    """Put back the settings of the garbage collector, which a start changes."""
+    """Restore the settings of the garbage collector, which starting a controller changes."""
     threshold = gc.get_threshold()
     yield
     gc.unfreeze()
@@ -44,7 +44,7 @@
 
 
 def write_settings(folder: Path, client_listen: str, back: str) -> Path:
-    """Write settings that are good but for these addresses; nothing answers at the others."""
+    """Write settings that are valid except for these addresses; nothing listens at the others."""
     text = PLATFORM
     for former, address in {
         "10.0.0.1:8080": client_listen,
@@ -60,7 +60,7 @@
     return path
 
 
-def refusal(key: str, address: str, reason: str) -> str:
+def expected_error(key: str, address: str, reason: str) -> str:
     return f"roadbend: bad value for {key}: can't listen on '{address}': {reason}\n"
 
 
@@ -78,17 +78,22 @@
 
 
 @pytest.mark.parametrize("key", ["client_listen", "back"])
-def test_an_address_that_is_taken_is_named_by_its_setting(key, taken, tmp_path, capsys, collector):
-    addresses = {"client_listen": free_address(), "back": free_address(), key: taken}
+def test_an_address_that_is_taken_is_named_by_its_setting(
+    key, used_address, tmp_path, capsys, collector
+):
+    addresses = {"client_listen": free_address(), "back": free_address(), key: used_address}
     assert main(["--config", str(write_settings(tmp_path, **addresses))]) == 2
-    said = capsys.readouterr()
-    assert (said.out, said.err) == ("", refusal(key, taken, "Address already in use"))
+    captured = capsys.readouterr()
+    assert (captured.out, captured.err) == (
+        "",
+        expected_error(key, used_address, "Address already in use"),
+    )
 
 
 def test_of_two_settings_with_one_address_the_second_is_named(tmp_path, capsys, collector):
     address = free_address()
     assert main(["--config", str(write_settings(tmp_path, address, address))]) == 2
-    assert capsys.readouterr().err == refusal("back", address, "Address already in use")
+    assert capsys.readouterr().err == expected_error("back", address, "Address already in use")
 
 
 @pytest.mark.parametrize("key", ["client_listen", "back"])
@@ -109,9 +114,9 @@
 ):
     addresses = {"client_listen": free_address(), "back": free_address(), key: address}
     assert main(["--config", str(write_settings(tmp_path, **addresses))]) == 2
-    said = capsys.readouterr()
-    assert said.out == "" and said.err.count("\n") == 1
-    assert said.err.startswith(f"roadbend: bad value for {key}: can't listen on ")
+    captured = capsys.readouterr()
+    assert captured.out == "" and captured.err.count("\n") == 1
+    assert captured.err.startswith(f"roadbend: bad value for {key}: can't listen on ")
 
 
 @pytest.mark.parametrize("key", ["client_listen", "back"])
@@ -125,12 +130,12 @@
 
 
 @pytest.mark.parametrize("key", ["client_listen", "back"])
-def test_a_process_ends_with_one_line_and_status_two(key, taken, tmp_path):
-    addresses = {"client_listen": free_address(), "back": free_address(), key: taken}
+def test_a_process_ends_with_one_line_and_status_two(key, used_address, tmp_path):
+    addresses = {"client_listen": free_address(), "back": free_address(), key: used_address}
     process = run_controller(write_settings(tmp_path, **addresses))
     output, errors = process.communicate(timeout=START_WITHIN_S)
-    said = refusal(key, taken, "Address already in use")
-    assert (process.returncode, output, errors) == (2, "", said)
+    captured = expected_error(key, used_address, "Address already in use")
+    assert (process.returncode, output, errors) == (2, "", captured)
 
 
 def test_a_process_whose_addresses_are_free_listens_on_both(tmp_path):
--- a/roadbend/test_nonsense.py
+++ b/roadbend/test_nonsense.py
@@ -1,6 +1,6 @@
-"""Nonsense from workers, peers, the cloud and the state store is refused or ignored.
+"""Malformed input from workers, peers, the cloud and the state store is rejected or ignored.
 
-It ends no process.
+It must not end a process.
 """
 
 import random
@@ -63,10 +63,10 @@
 
 
 async def test_gang_states_of_arrays_and_attempts_that_nobody_began_change_nothing():
-    """A machine's heartbeats show what can't be, and it changes nothing.
+    """Guards against impossible contents of a machine's heartbeats that change the state.
 
-    They show states that its tasks can't have, reasons that nobody knows, and attempts that were
-    never begun, for tasks of a job array, a service, a gang and of no job.
+    They report states that its tasks can't have, unknown reasons, and attempts that were never
+    started, for tasks of a job array, a service, a gang and of no job.
     """
     rng = random.Random(6)
     async with world(count=1, teams=TEAMS) as w:
--- a/roadbend/test_settings.py
+++ b/roadbend/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings: what is wrong is named; what the platform adds is ignored."""
+"""Settings: errors name the bad key; unknown keys of the platform's file are ignored."""
 
 from datetime import timedelta
 
