--- a/roadbend/partitions/acquisition.py
+++ b/roadbend/partitions/acquisition.py
@@ -100,7 +100,7 @@
             # effect: the records show which.
             written = await self._find_own_term(partition)
             if written is not None:
-                self._records.view.applied(changes, written.mod_revision)
+                self._records.view.apply_transaction(changes, written.mod_revision)
             return written
         return TermRecord(number, self._controller)
 
--- a/roadbend/partitions/election.py
+++ b/roadbend/partitions/election.py
@@ -107,7 +107,7 @@
         Our lease must be valid, and the records must have been read recently, so that we learn of
         cancellations soon.
         """
-        contact, valid_until = self._reader.contact, self.lease.valid_until
+        contact, valid_until = self._reader.last_read_at, self.lease.valid_until
         return (
             valid_until is not None
             and now < valid_until
@@ -118,7 +118,7 @@
     def may_renew(self, now: datetime) -> bool:
         """Return whether we may renew the leases of workers in partitions that we lead."""
         until = policy.renew_until(
-            self._reader.contact,
+            self._reader.last_read_at,
             [link.peer_state for link in self._peers.links.values()],
             self._settings.cancel_within,
             self._settings.lease,
@@ -197,7 +197,7 @@
             self._lose_all(LossReason.LEASE_ENDED)
         if self.lease.id is None:
             return
-        now, contact = clock.now(), self._reader.contact
+        now, contact = clock.now(), self._reader.last_read_at
         if contact is None or now - contact > DECISION_FRESHNESS:
             return
         controllers = self._live_controllers.observe(self.leaderships.keys(), now)
--- a/roadbend/placement/apart_gangs.py
+++ b/roadbend/placement/apart_gangs.py
@@ -101,7 +101,7 @@
     def share_conditions(self, job: Job, partition: str) -> dict[str, int]:
         """Return the mod revisions of the records of a partition's share; 0 for a missing one."""
         tasks = job.allocation.get(partition, ())
-        shards = {index // self._records.shard_width for index in ranges.numbers(tasks)}
+        shards = {index // self._records.shard_width for index in ranges.iter_indexes(tasks)}
         record_keys = [keys.slice_key(partition, job.id, shard) for shard in sorted(shards)]
         return {key: self._context.view.mod_revision(key) for key in record_keys}
 
--- a/roadbend/placement/gangs.py
+++ b/roadbend/placement/gangs.py
@@ -84,7 +84,7 @@
         All of them once no earlier attempt is recorded any more; or the missing tasks of an attempt
         that still gathers or is still being recorded.
         """
-        if is_scattered(job) or self._context.view.any_done(job):
+        if is_scattered(job) or self._context.view.has_done_tasks(job):
             # A gang with a completed task is ended in the records and not started again.
             return None
         if ranges.size(unplaced) == self.share_size(job):
--- a/roadbend/placement/leader.py
+++ b/roadbend/placement/leader.py
@@ -213,7 +213,7 @@
             return False
         # Waits for the request budget first, so that all that arrives meanwhile goes into one
         # transaction instead of several.
-        await self.context.state.ready()
+        await self.context.state.wait_until_ready()
         now = clock.now()
         if not self.context.election.may_start(now):
             return False
--- a/roadbend/placement/preemption.py
+++ b/roadbend/placement/preemption.py
@@ -251,7 +251,7 @@
         """Return for each team whether it uses more than its guarantee."""
         over_guarantee_by_team = {}
         for team in self._context.settings.teams.values():
-            cpus, gpus = self._context.view.used_by(team.name)
+            cpus, gpus = self._context.view.team_usage(team.name)
             over_guarantee_by_team[team.name] = (
                 team.gpus > 0 and gpus > team.gpus + RESOURCE_TOLERANCE
             ) or (team.cpus > 0 and cpus > team.cpus + RESOURCE_TOLERANCE)
--- a/roadbend/placement/test_gang_end.py
+++ b/roadbend/placement/test_gang_end.py
@@ -173,7 +173,7 @@
     assert not kept & transaction.changes.keys()
     assert transaction.changes.keys() - JOB_KEYS <= {keys.slice_key("east", GANG, 0)}
     # After the commit nothing is left to be written, except for tasks on machines.
-    fixture.view.applied(transaction.changes.values(), 9)
+    fixture.view.apply_transaction(transaction.changes.values(), 9)
     assert not fixture.step().changes
 
 
@@ -251,7 +251,7 @@
     """Commit transactions, none too large, until nothing is left to be written."""
     while (transaction := fixture.step()).changes:
         assert len(transaction.changes) <= fixture.settings.txn_ops
-        fixture.view.applied(transaction.changes.values(), fixture.next_revision())
+        fixture.view.apply_transaction(transaction.changes.values(), fixture.next_revision())
         fixture.state.terminations.keep_only(
             lambda key, _: fixture.state.records.recorded_attempt(key) is not None
         )
@@ -261,15 +261,15 @@
     """Guards against an index of completed tasks that differs from the records."""
     fixture = PartitionFixture({"east": ALL_TASKS})
     view = fixture.view
-    assert view.done_gangs() == [] and not view.any_done(view.jobs[GANG])
+    assert view.done_gangs() == [] and not view.has_done_tasks(view.jobs[GANG])
     fixture.write_slice(FIRST_TASKS, shard=0, revision=6)
     fixture.write_slice(LAST_TASKS, shard=1, revision=6)
     fixture.write_slice(LAST_TASKS, partition="west", revision=6)
     for revision, (partition, shard) in enumerate([("east", 0), ("west", 0), ("east", 1)], 7):
-        assert view.done_gangs() == [GANG] and view.any_done(view.jobs[GANG])
+        assert view.done_gangs() == [GANG] and view.has_done_tasks(view.jobs[GANG])
         view.drop(keys.slice_key(partition, GANG, shard), revision)
-    assert view.done_gangs() == [] and not view.any_done(view.jobs[GANG])
+    assert view.done_gangs() == [] and not view.has_done_tasks(view.jobs[GANG])
     fixture.write_job(replace(fixture.job, done=FIRST_TASKS), 10)
-    assert view.done_gangs() == [GANG] and view.any_done(view.jobs[GANG])
+    assert view.done_gangs() == [GANG] and view.has_done_tasks(view.jobs[GANG])
     view.drop(keys.job_key(GANG), 11)
     assert view.done_gangs() == []
--- a/roadbend/placement/transaction.py
+++ b/roadbend/placement/transaction.py
@@ -9,7 +9,7 @@
 from roadbend.store import keys, records
 from roadbend.store.client import Change, delete, put
 from roadbend.store.record_view import RecordView
-from roadbend.store.records import Job, QuotaRecord, Resources, SliceShard, weigh
+from roadbend.store.records import Job, QuotaRecord, Resources, SliceShard, value_size_bound
 
 # The total size of a transaction's values; the protocol allows 64 KiB, including conditions.
 MAX_BODY_BYTES = 56 * 1024
@@ -106,16 +106,16 @@
 
     def _put(self, key: str, value: Any, size: int | None = None) -> None:
         self.changes[key] = put(key, value)
-        self._sizes[key] = (weigh(value) if size is None else size) + len(key) + 60
+        self._sizes[key] = (value_size_bound(value) if size is None else size) + len(key) + 60
 
     def fits(self, shard: SliceShard) -> bool:
         """Return whether a shard fits into one record."""
-        return weigh(shard.to_value()) <= self._max_value_bytes * 0.95
+        return value_size_bound(shard.to_value()) <= self._max_value_bytes * 0.95
 
     def set_shard(self, shard: SliceShard) -> bool:
         """Write a shard; change nothing and return False if it does not fit into one record."""
         key, value = shard.key, shard.to_value()
-        size = weigh(value)
+        size = value_size_bound(value)
         if size > self._max_value_bytes * 0.95:
             return False
         self.conditions.setdefault(key, self._view.mod_revision(key))
@@ -138,7 +138,7 @@
     def set_job(self, job: Job) -> None:
         """Write a job's record."""
         self.require_job(job)
-        self._put(keys.job_key(job.id), job.to_small_value(int(self._max_value_bytes * 0.95)))
+        self._put(keys.job_key(job.id), job.to_compact_value(int(self._max_value_bytes * 0.95)))
 
     def end_job(self, job: Job, status: str, done: int) -> None:
         """Replace a job's record with a record of its end."""
--- a/roadbend/placement/transaction_sender.py
+++ b/roadbend/placement/transaction_sender.py
@@ -87,7 +87,7 @@
             self._in_doubt = dict(transaction.conditions)
             return await self.resolve_in_doubt()
         else:
-            self._context.view.applied(changes, revision)
+            self._context.view.apply_transaction(changes, revision)
             self._complete(transaction)
             return has_more
         finally:
@@ -110,7 +110,7 @@
         for callback in transaction.on_commit:
             callback()
         for job, status in transaction.ended_jobs:
-            self._context.observer.job_over(job, status)
+            self._context.observer.job_ended(job, status)
         self._direct_starts.send_all()
 
     async def resolve_in_doubt(self) -> bool:
@@ -150,7 +150,7 @@
                 )
             except (ConflictError, UnavailableError):
                 return False
-            view.applied(changes, revision)
+            view.apply_transaction(changes, revision)
             log.info("in-doubt-transaction-resolved", partition=partition, key=key)
             self._clear_in_doubt()
             return True
