--- a/roadbend/placement/fair_share.py
+++ b/roadbend/placement/fair_share.py
@@ -15,7 +15,8 @@
 
     def __init__(self, settings: PlatformSettings, view: RecordView) -> None:
         self._settings, self._view = settings, view
-        # Computed again only when a job is added or removed: the view counts that as `membership_version`.
+        # Computed again only when a job is added or removed: the view counts that as
+        # `membership_version`.
         self._guaranteed: set[str] = set()
         self._guaranteed_at = -1
 
--- a/roadbend/placement/starts.py
+++ b/roadbend/placement/starts.py
@@ -135,7 +135,9 @@
             for item in blocked
             if self._aging.waited(item.job.id, now) < apart_gangs.MAX_BLOCKED_RESERVATION
         ]
-        self._queue.update_not_placed(quotas.limit_to_quota(quota, result.unplaced + still_reserving))
+        self._queue.update_not_placed(
+            quotas.limit_to_quota(quota, result.unplaced + still_reserving)
+        )
         return result
 
     def _split_by_readiness(self, queue: list[PendingTasks]) -> _Candidates:
