--- a/roadbend/cli.py
+++ b/roadbend/cli.py
@@ -43,27 +43,29 @@
         prog="roadbend", description="A cluster scheduler whose controllers bid for jobs."
     )
     argument_parser.add_argument(
-        "--config", type=Path, help="the platform's settings file (TOML); needed to start"
+        "--config",
+        type=Path,
+        help="the platform's settings file (TOML); required to start a controller",
     )
     argument_parser.add_argument(
         "--operator",
         type=Path,
         default=OPERATOR_FILE,
-        help="operators' own settings (S-expressions); a missing file means the defaults",
-    )
-    argument_parser.add_argument(
-        "--recovery", type=Path, help="switches recovery on: its settings (deploy/recovery.sexp)"
+        help="the operators' settings file (S-expressions); without it the defaults apply",
     )
     argument_parser.add_argument(
-        "--tracing", type=Path, help="switches tracing on: its settings (deploy/tracing.sexp)"
+        "--recovery",
+        type=Path,
+        help="enable recovery with this settings file (deploy/recovery.sexp)",
     )
     argument_parser.add_argument(
-        "--check", action="store_true", help="check the settings and end without starting"
+        "--tracing", type=Path, help="enable tracing with this settings file (deploy/tracing.sexp)"
     )
+    argument_parser.add_argument("--check", action="store_true", help="check the settings and exit")
     argument_parser.add_argument(
         "--compile",
         action="store_true",
-        help="only import what a controller needs, so that its bytecode is kept (for the build)",
+        help="only import a controller's modules, to cache their bytecode (for the build)",
     )
     argument_parser.add_argument("--version", action="version", version=f"roadbend {__version__}")
     return argument_parser
@@ -118,7 +120,7 @@
 
 
 def load_extensions(recovery: Path | None, tracing: Path | None) -> list[Extension]:
-    """Return the optional features that are switched on, with their settings.
+    """Return the enabled extensions, with their settings.
 
     Raises `SettingsError`.
     """
--- a/roadbend/http/connections.py
+++ b/roadbend/http/connections.py
@@ -47,7 +47,7 @@
         """Add a new connection; None if the limit is reached.
 
         At the limit a connection that waits for a request is closed in its favor; if there is none
-        to close, the new one is refused at once instead of being queued.
+        to close, the new one is refused at once instead of being queued, which would take memory.
         """
         if len(self._open) >= self._limit and not self._close_longest_waiting():
             return None
--- a/roadbend/observer.py
+++ b/roadbend/observer.py
@@ -1,7 +1,7 @@
 """Notifications of events of jobs, attempts and recoveries.
 
-The class here does nothing. It is used while tracing (`roadbend.tracing`) is switched off, so that
-the core needs no conditions for tracing and imports none of it.
+The class here does nothing. It is used if tracing (`roadbend.tracing`) is disabled, so that the
+core needs no conditions for tracing and imports none of it.
 """
 
 from __future__ import annotations
--- a/roadbend/settings/platform_settings.py
+++ b/roadbend/settings/platform_settings.py
@@ -55,6 +55,7 @@
 
     name: str
     zone: str
+    # The addresses to listen on: for users and workers, and for the other controllers.
     listen: str
     back: str
     peers: tuple[Peer, ...]
@@ -68,6 +69,7 @@
     cancel_within: timedelta
     state_rps: float
     state_write_rps: float
+    # The state store's limits on the size of a value and on the changes in a transaction.
     value_bytes: int
     txn_ops: int
     cloud_rps: float
--- a/roadbend/store/client.py
+++ b/roadbend/store/client.py
@@ -115,7 +115,7 @@
     ) -> int:
         """Apply changes if all conditions (mod revisions by key) hold; return the revision.
 
-        Raises ConflictError, LeaseEndedError or TooLargeError if nothing was changed for certain.
+        Raises ConflictError, LeaseEndedError or TooLargeError if certainly nothing was changed.
         """
         transaction = CompareAndSwap.of(conditions, changes)
         answer = await self._request(
@@ -177,7 +177,7 @@
         return messages.read_revision(answer)
     if answer.status == messages.CONFLICT and isinstance(answer.body, dict):
         raise ConflictError(messages.read_failed_keys(answer))
-    if messages.says_no_such_lease(answer):
+    if messages.is_lease_missing(answer):
         raise LeaseEndedError("a lease of the transaction expired", answer.operation, answer.keys)
     if answer.status == messages.BAD_REQUEST:
         # Our requests are well formed, so the only cause left is size: a value, or the whole
--- a/roadbend/store/live_records.py
+++ b/roadbend/store/live_records.py
@@ -59,14 +59,14 @@
         self.jobs = self._jobs.jobs
         # Partition -> ids of the jobs of which it holds tasks, in order of arrival.
         self.assigned_jobs = self._jobs.assigned_jobs
-        # Partition -> job id -> what the partition runs of it.
+        # Partition -> job id -> the slice of the job.
         self.job_slices = attempts.job_slices
         # Partition -> machine -> the attempts recorded on it; and a version that changes with them.
         self.attempts_by_machine = attempts.attempts_by_machine
         self.machine_versions = attempts.machine_versions
         # Called when an attempt is newly recorded.
         self.attempt_listeners = attempts.listeners
-        # Partition -> team -> what the recorded attempts use.
+        # Partition -> team -> the usage of its recorded attempts.
         self.usage = attempts.usage
         # Team -> what each partition has reserved of its quota.
         self.quotas = quotas.records
--- a/roadbend/store/messages.py
+++ b/roadbend/store/messages.py
@@ -239,7 +239,7 @@
     return [str(key) for key in answer.body.get("failed") or []]
 
 
-def says_no_such_lease(answer: Answer) -> bool:
+def is_lease_missing(answer: Answer) -> bool:
     """Return whether a transaction was refused because a lease in it has expired."""
     return (
         answer.status == BAD_REQUEST
--- a/roadbend/store/mod_revisions.py
+++ b/roadbend/store/mod_revisions.py
@@ -37,7 +37,7 @@
         self._deleted[key] = mod_revision
         return self._live.pop(key, None) is not None
 
-    def unlisted(self, listed: Collection[str], revision: int) -> list[str]:
+    def missing_from(self, listed: Collection[str], revision: int) -> list[str]:
         """Return the live keys that are missing from a listing made at a revision."""
         return [key for key, at in self._live.items() if key not in listed and at <= revision]
 
--- a/roadbend/store/record_reader.py
+++ b/roadbend/store/record_reader.py
@@ -17,7 +17,7 @@
 
 # Of consecutive failed reads, these and every hundredth are logged.
 LOGGED_FAILURES = (1, 10)
-LOGGED_EVERY = 100
+LOGGED_FAILURE_INTERVAL = 100
 
 
 class RecordReader:
@@ -78,7 +78,7 @@
 
     def _record_failure(self, error: Exception) -> None:
         self.failed_reads += 1
-        if self.failed_reads in LOGGED_FAILURES or self.failed_reads % LOGGED_EVERY == 0:
+        if self.failed_reads in LOGGED_FAILURES or self.failed_reads % LOGGED_FAILURE_INTERVAL == 0:
             log.error("state-store-unavailable", error=str(error)[:80], failures=self.failed_reads)
 
     def _record_success(self, sent: datetime) -> None:
--- a/roadbend/store/record_view.py
+++ b/roadbend/store/record_view.py
@@ -22,7 +22,7 @@
 log = Log("store")
 
 # What parsing a record may raise that was written by another version or by a fault.
-UNREADABLE = (KeyError, TypeError, ValueError, IndexError, AttributeError)
+PARSE_ERRORS = (KeyError, TypeError, ValueError, IndexError, AttributeError)
 
 
 class RecordView(LiveRecords):
@@ -52,7 +52,7 @@
                 return
             try:
                 self._store(key, value, mod_revision)
-            except UNREADABLE as error:
+            except PARSE_ERRORS as error:
                 # A malformed record must not keep the others from being used.
                 log.error("record-unreadable", key=key, error=repr(error)[:120])
                 return
@@ -105,8 +105,8 @@
         """
         for record in records:
             self.put(record.key, record.value, record.mod_revision)
-        listed = {record.key for record in records}
-        for key in self._mod_revisions.unlisted(listed, revision):
+        listed_keys = {record.key for record in records}
+        for key in self._mod_revisions.missing_from(listed_keys, revision):
             self.drop(key, revision)
         with self.lock:
             self.revision = revision
--- a/roadbend/test_listen_address.py
+++ b/roadbend/test_listen_address.py
@@ -15,7 +15,7 @@
 from roadbend.test_settings import PLATFORM
 
 ROOT = Path(__file__).resolve().parent.parent
-START_WITHIN_S = 30
+START_TIMEOUT_S = 30
 
 
 @pytest.fixture
@@ -133,16 +133,16 @@
 def test_a_process_ends_with_one_line_and_status_two(key, used_address, tmp_path):
     addresses = {"client_listen": free_address(), "back": free_address(), key: used_address}
     process = run_controller(write_settings(tmp_path, **addresses))
-    output, errors = process.communicate(timeout=START_WITHIN_S)
-    captured = expected_error(key, used_address, "Address already in use")
-    assert (process.returncode, output, errors) == (2, "", captured)
+    output, errors = process.communicate(timeout=START_TIMEOUT_S)
+    expected = expected_error(key, used_address, "Address already in use")
+    assert (process.returncode, output, errors) == (2, "", expected)
 
 
 def test_a_process_whose_addresses_are_free_listens_on_both(tmp_path):
     addresses = [free_address(), free_address()]
     process = run_controller(write_settings(tmp_path, *addresses))
     try:
-        deadline = time.monotonic() + START_WITHIN_S
+        deadline = time.monotonic() + START_TIMEOUT_S
         for address in addresses:
             host, _, port = address.rpartition(":")
             while True:
--- a/roadbend/test_nonsense.py
+++ b/roadbend/test_nonsense.py
@@ -14,7 +14,7 @@
 from roadbend.http.server import Response
 from roadbend.peers import frames
 
-ODD = [
+MALFORMED_VALUES = [
     None,
     -1,
     1e300,
@@ -38,22 +38,27 @@
         assert await w.submit(0, job(1, shape="daemon", dueS=None), None) == 201
         assert await w.until(lambda: w.board.running("run-000001"), 60)
         worker = w.workers()[0]
-        codes = set()
+        statuses = set()
         for n in range(400):
             body = {**worker.heartbeat(), "hitch": f"m-{700_000 + n}"}
             row = {"leg": "run-000001/0", "try": 1, "status": "running"}
             body["legs"] = (
-                [{**row, rng.choice(list(row)): rng.choice(ODD)}] if n % 3 else body["legs"]
+                [{**row, rng.choice(list(row)): rng.choice(MALFORMED_VALUES)}]
+                if n % 3
+                else body["legs"]
             )
-            body[rng.choice(list(body))] = rng.choice(ODD)
-            codes.add(
+            body[rng.choice(list(body))] = rng.choice(MALFORMED_VALUES)
+            statuses.add(
                 (
                     await w.call(
-                        0, "POST", "/hello", rng.choice((body, body, body, rng.choice(ODD)))
+                        0,
+                        "POST",
+                        "/hello",
+                        rng.choice((body, body, body, rng.choice(MALFORMED_VALUES))),
                     )
                 )[0]
             )
-        assert codes <= {200, 400, 503} and 400 in codes
+        assert statuses <= {200, 400, 503} and 400 in statuses
         await trio.sleep(30)
         assert w.board.running("run-000001") and len(w.board.starts) == 1
 
@@ -97,28 +102,28 @@
         await w.over()
 
 
-@pytest.mark.parametrize("who", ["state", "cloud"])
-async def test_odd_answers_of_services_end_nothing(who):
-    rng = random.Random(who)
+@pytest.mark.parametrize("service_name", ["state", "cloud"])
+async def test_odd_answers_of_services_end_nothing(service_name):
+    rng = random.Random(service_name)
     async with world() as w:
-        service = getattr(w, who)
-        real = service.handle
+        service = getattr(w, service_name)
+        original_handle = service.handle
 
-        async def odd(request, host=""):
-            answer = await real(request, host)
+        async def handle_with_malformed_answers(request, host=""):
+            answer = await original_handle(request, host)
             if rng.random() < 0.3:
-                body = rng.choice([x for x in ODD if not isinstance(x, bytes)])
+                body = rng.choice([x for x in MALFORMED_VALUES if not isinstance(x, bytes)])
                 if isinstance(answer.body, dict) and answer.body and rng.random() < 0.7:
                     body = {**answer.body, rng.choice(list(answer.body)): body}
                 return Response(rng.choice((200, 200, 200, 404, 500, 302)), body)
             return answer
 
-        service.handle = odd
+        service.handle = handle_with_malformed_answers
         for n in range(1, 6):
             await w.call(n % 3, "POST", "/v1/jobs", job(n, legs=2, dueS=30.0))
             w.board.lengths[f"run-{n:06d}"] = 5.0
             await trio.sleep(4)
-        service.handle = real
+        service.handle = original_handle
         assert await w.settled() and len(w.controllers) == 3
         assert await w.submit(0, job(20), 5.0) == 201
         assert await w.until(lambda: is_done(w), 120)
