--- a/roadbend/recovery/adoption.py
+++ b/roadbend/recovery/adoption.py
@@ -10,7 +10,7 @@
 
 from roadbend.placement.free_capacity import RESOURCE_TOLERANCE
 from roadbend.placement.transaction import TransactionBuilder
-from roadbend.recovery.judgement import Judgement
+from roadbend.recovery.attempt_evaluator import AttemptEvaluator
 from roadbend.recovery.pace import AdaptiveBound
 from roadbend.recovery.unrecorded import Decision, HeldAttempt, HeldAttempts
 from roadbend.store import keys, ranges
@@ -30,11 +30,11 @@
         self,
         leader: PartitionLeader,
         held_attempts: HeldAttempts,
-        judgement: Judgement,
+        evaluator: AttemptEvaluator,
         pace: AdaptiveBound,
         release: Callable[[HeldAttempt, str], None],
     ) -> None:
-        self._leader, self._held_attempts, self._judgement = leader, held_attempts, judgement
+        self._leader, self._held_attempts, self._evaluator = leader, held_attempts, evaluator
         self._pace, self._release = pace, release
         # Those in the transaction that was last put together, until it is confirmed.
         self._unconfirmed: set[tuple[str, int]] = set()
@@ -52,7 +52,7 @@
             held
             for held in self._held_attempts.all()
             if held.decision in (Decision.ADOPT, Decision.RECORD_DONE)
-            and self._judgement.decide(held, now) is held.decision
+            and self._evaluator.decide(held, now) is held.decision
         ]
         due.sort(key=self._order)
         for count, held in enumerate(due):
--- a/roadbend/recovery/judgement.py
+++ b/roadbend/recovery/attempt_evaluator.py
@@ -24,7 +24,7 @@
     from roadbend.placement.leader import PartitionLeader
 
 
-class Judgement:
+class AttemptEvaluator:
     """Gathers the facts about held attempts, and decides by them.
 
     `machines_known` tells whether, at an instant, no machine of the partition can hold anything
--- a/roadbend/recovery/attempt_holder.py
+++ b/roadbend/recovery/attempt_holder.py
@@ -8,7 +8,7 @@
 from roadbend.fleet.machines import Machine
 from roadbend.fleet.messages import TaskStatus, WorkerHeartbeat
 from roadbend.log import Log
-from roadbend.recovery.judgement import Judgement
+from roadbend.recovery.attempt_evaluator import AttemptEvaluator
 from roadbend.recovery.machines import ATTEMPT_TERM_BITS
 from roadbend.recovery.unrecorded import Decision, HeldAttempt, HeldAttempts
 
@@ -22,9 +22,9 @@
     """Keeps a partition's machines from stopping attempts that the records may have lost."""
 
     def __init__(
-        self, leader: PartitionLeader, held_attempts: HeldAttempts, judgement: Judgement
+        self, leader: PartitionLeader, held_attempts: HeldAttempts, evaluator: AttemptEvaluator
     ) -> None:
-        self._leader, self._held_attempts, self._judgement = leader, held_attempts, judgement
+        self._leader, self._held_attempts, self._evaluator = leader, held_attempts, evaluator
 
     def keeps(self, machine: Machine, task: TaskStatus, now: datetime) -> bool:
         """Tell whether an unrecorded attempt is left alone, and hold it until that is decided."""
@@ -63,7 +63,7 @@
         job = context.view.jobs.get(task.job)
         if job is None:
             return task.state != "ended"
-        return not self._judgement.is_superseded(job, task.task_index)
+        return not self._evaluator.is_superseded(job, task.task_index)
 
     def drop_absent(self, machine: Machine, heartbeat: WorkerHeartbeat) -> None:
         """Release what a machine's current heartbeat no longer shows."""
@@ -78,7 +78,7 @@
             if held.machine not in self._leader.machines:
                 self.release(held, "machine gone")
                 continue
-            before, held.decision = held.decision, self._judgement.decide(held, now)
+            before, held.decision = held.decision, self._evaluator.decide(held, now)
             if held.decision is before:
                 continue
             log.info("held-attempt-decided", **self._log_fields(held), decision=held.decision)
--- a/roadbend/recovery/partition.py
+++ b/roadbend/recovery/partition.py
@@ -14,9 +14,9 @@
 from roadbend.placement import recovery_hooks
 from roadbend.placement.transaction import TransactionBuilder
 from roadbend.recovery.adoption import Adoption
+from roadbend.recovery.attempt_evaluator import AttemptEvaluator
 from roadbend.recovery.attempt_holder import AttemptHolder
 from roadbend.recovery.environment import RecoveryEnvironment
-from roadbend.recovery.judgement import Judgement
 from roadbend.recovery.machines import PartitionMachines
 from roadbend.recovery.pace import AdaptiveBound
 from roadbend.recovery.phases import Comparing, Gathering, Phase, PhaseName, Settling
@@ -56,10 +56,10 @@
         self.machines = PartitionMachines(leader, environment.inventory)
         self.terms_in_use = TermsInUse(leader, self.machines, cold)
         self.held_attempts = HeldAttempts(settings.hold_most)
-        judgement = Judgement(leader, environment, self.held_attempts, self.machines_known)
-        self._holder = AttemptHolder(leader, self.held_attempts, judgement)
+        evaluator = AttemptEvaluator(leader, environment, self.held_attempts, self.machines_known)
+        self._holder = AttemptHolder(leader, self.held_attempts, evaluator)
         pace = AdaptiveBound(settings.settle_least, settings.settle_most)
-        self._adoption = Adoption(leader, self.held_attempts, judgement, pace, self._holder.release)
+        self._adoption = Adoption(leader, self.held_attempts, evaluator, pace, self._holder.release)
         # How many differences of each kind there were when the machines had been gathered;
         # recorded and shown later.
         self.found: dict[str, int] = {}
