--- a/roadbend/recovery/__init__.py
+++ b/roadbend/recovery/__init__.py
@@ -1,1 +1,1 @@
-"""Recovery: stored records and reporting workers compared and settled after a restart."""
+"""Recovery: reconciles the stored records with the machines after a restart."""
--- a/roadbend/recovery/adoption.py
+++ b/roadbend/recovery/adoption.py
@@ -1,4 +1,4 @@
-"""Writes unrecorded attempts that are to be kept into the records."""
+"""Adoption: writes unrecorded attempts that are to be kept into the records."""
 
 from __future__ import annotations
 
@@ -21,9 +21,9 @@
 
 
 class Adoption:
-    """Puts held attempts into a leader's transactions.
+    """Adds held attempts to the transactions of a leader.
 
-    `release` is called with each that was written, and why it is no longer held.
+    `release` is called for each attempt that was written, with the reason why it is released.
     """
 
     def __init__(
@@ -31,22 +31,22 @@
         leader: PartitionLeader,
         held_attempts: HeldAttempts,
         evaluator: AttemptEvaluator,
-        pace: AdaptiveBound,
+        batch_limit: AdaptiveBound,
         release: Callable[[HeldAttempt, str], None],
     ) -> None:
         self._leader, self._held_attempts, self._evaluator = leader, held_attempts, evaluator
-        self._pace, self._release = pace, release
-        # Those in the transaction that was last put together, until it is confirmed.
+        self._batch_limit, self._release = batch_limit, release
+        # Tasks whose attempts are in the latest transaction, until that is confirmed.
         self._unconfirmed: set[tuple[str, int]] = set()
 
     def adopt(self, transaction: TransactionBuilder, now: datetime) -> bool:
-        """Write what is to be adopted, services first, as much at once as the pace allows.
+        """Add attempts to be adopted to the transaction, services first, up to the batch limit.
 
-        Tells whether some is left for the next transaction.
+        Return whether some are left for the next transaction.
         """
         if self._unconfirmed:
-            # Nobody confirmed the last ones: they were refused, or their answer was lost.
-            self._pace.failed()
+            # The previous transaction was not confirmed: it was refused, or its response was lost.
+            self._batch_limit.record_failure()
             self._unconfirmed = set()
         due = [
             held
@@ -54,63 +54,66 @@
             if held.decision in (Decision.ADOPT, Decision.RECORD_DONE)
             and self._evaluator.decide(held, now) is held.decision
         ]
-        due.sort(key=self._order)
+        due.sort(key=self._sort_key)
         for count, held in enumerate(due):
-            if count >= self._pace.value or not self._adopt_one(transaction, held):
+            if count >= self._batch_limit.value or not self._adopt_one(transaction, held):
                 return True
         return False
 
-    def _order(self, held: HeldAttempt) -> tuple[bool, int, datetime]:
+    def _sort_key(self, held: HeldAttempt) -> tuple[bool, int, datetime]:
         job = self._leader.records.live_job(held.job)
         service = job is not None and job.spec.service
         return (not service, -(job.spec.priority if job is not None else 0), held.since)
 
     def _adopt_one(self, transaction: TransactionBuilder, held: HeldAttempt) -> bool:
-        """Put one attempt into the transaction; return False where it does not fit."""
+        """Add one attempt to the transaction; return False if it does not fit."""
         job = self._leader.records.live_job(held.job)
         if job is None or keys.job_key(job.id) in transaction.changes:
             return False
-        piece = self._with_attempt(transaction, job, held)
-        here = ranges.has(job.allocation.get(self._leader.partition, ()), held.index)
-        wanted = [piece.key, *([] if here else [keys.job_key(job.id)])]
-        if not transaction.fits(piece) or not transaction.has_space_for(*wanted):
+        shard = self._with_attempt(transaction, job, held)
+        is_held_here = ranges.has(job.allocation.get(self._leader.partition, ()), held.index)
+        record_keys = [shard.key, *([] if is_held_here else [keys.job_key(job.id)])]
+        if not transaction.fits(shard) or not transaction.has_space_for(*record_keys):
             return False
         if held.decision is Decision.ADOPT:
-            if not self._reserve_quota(transaction, job, wanted):
+            if not self._reserve_quota(transaction, job, record_keys):
                 return False
             transaction.charge(job.spec.team, job.spec.resources, 1)
-        transaction.set_shard(piece)
-        self._hold_task(transaction, job, held.index)
+        transaction.set_shard(shard)
+        self._assign_task(transaction, job, held.index)
         self._unconfirmed.add((held.job, held.index))
-        transaction.on_commit.append(partial(self._adopted, held))
+        transaction.on_commit.append(partial(self._on_adopted, held))
         return True
 
     def _with_attempt(
         self, transaction: TransactionBuilder, job: Job, held: HeldAttempt
     ) -> SliceShard:
-        """Return the shard that names the attempt, or says that its task is done."""
+        """Return the shard with the attempt added, or with its task marked as done."""
         leader, job_slice = self._leader, self._leader.records.job_slices().get(job.id)
-        own_shard = held.index // leader.records.shard_width
-        shard = (
-            own_shard
+        default_shard = held.index // leader.records.shard_width
+        shard_number = (
+            default_shard
             if job_slice is None
             else job_slice.shard_of(held.index, leader.records.shard_width)
         )
-        piece = transaction.shard(job.id, job.spec.team, job.spec.resources, shard)
+        shard = transaction.shard(job.id, job.spec.team, job.spec.resources, shard_number)
         if held.decision is Decision.RECORD_DONE:
-            return replace(piece, done=ranges.union(piece.done, ((held.index, held.index + 1),)))
-        run = {**piece.attempts, held.index: Attempt(held.attempt, held.machine)}
-        return replace(piece, attempts=run)
+            return replace(
+                shard,
+                done=ranges.union(shard.done, ((held.index, held.index + 1),)),
+            )
+        attempts = {**shard.attempts, held.index: Attempt(held.attempt, held.machine)}
+        return replace(shard, attempts=attempts)
 
     def _reserve_quota(
         self, transaction: TransactionBuilder, job: Job, record_keys: list[str]
     ) -> bool:
-        left = self._leader.quotas.remaining_quota(transaction, job.spec.team)
+        remaining = self._leader.quotas.remaining_quota(transaction, job.spec.team)
         resources = job.spec.resources
         if (
-            left is None
-            or resources.cpus > left.cpus + RESOURCE_TOLERANCE
-            or resources.gpus > left.gpus + RESOURCE_TOLERANCE
+            remaining is None
+            or resources.cpus > remaining.cpus + RESOURCE_TOLERANCE
+            or resources.gpus > remaining.gpus + RESOURCE_TOLERANCE
         ):
             return False
         return self._leader.quotas.reserve_quota(
@@ -121,13 +124,13 @@
             record_keys=record_keys,
         )
 
-    def _hold_task(self, transaction: TransactionBuilder, job: Job, index: int) -> None:
-        """Have the partition hold the task, on condition that the job's record is as it was read.
+    def _assign_task(self, transaction: TransactionBuilder, job: Job, index: int) -> None:
+        """Assign the task to this partition, on condition that the job's record has not changed.
 
-        Where another partition held it, that partition's shard is a condition too: it may have
-        recorded a start a moment ago.
+        If another partition held the task, the transaction is conditional on its shard as well: it
+        may have just recorded a start.
         """
-        partition, one = self._leader.partition, ((index, index + 1),)
+        partition, task_range = self._leader.partition, ((index, index + 1),)
         if ranges.has(job.allocation.get(partition, ()), index):
             transaction.require_job(job)
             return
@@ -135,15 +138,17 @@
             if ranges.has(held, index):
                 key = keys.slice_key(other, job.id, index // self._leader.records.shard_width)
                 transaction.conditions[key] = self._leader.context.view.mod_revision(key)
-                job = job.with_partition(other, ranges.minus(held, one))
+                job = job.with_partition(other, ranges.minus(held, task_range))
         transaction.set_job(
-            job.with_partition(partition, ranges.union(job.allocation.get(partition, ()), one))
+            job.with_partition(
+                partition, ranges.union(job.allocation.get(partition, ()), task_range)
+            )
         )
 
-    def _adopted(self, held: HeldAttempt) -> None:
-        """Note that the transaction with an attempt was carried out."""
+    def _on_adopted(self, held: HeldAttempt) -> None:
+        """Release an attempt whose transaction was committed."""
         self._unconfirmed.discard((held.job, held.index))
-        self._pace.succeeded()
+        self._batch_limit.record_success()
         machine = self._leader.machines.get(held.machine)
         if machine is not None:
             machine.last_evaluation.invalidate()
--- a/roadbend/recovery/attempt_evaluator.py
+++ b/roadbend/recovery/attempt_evaluator.py
@@ -1,4 +1,4 @@
-"""Decides about unrecorded attempts, from what a partition and its controller know."""
+"""Decides on unrecorded attempts, from the state of a partition and its controller."""
 
 from __future__ import annotations
 
@@ -25,10 +25,10 @@
 
 
 class AttemptEvaluator:
-    """Gathers the facts about held attempts, and decides by them.
+    """Collects the facts about held attempts, and decides by them.
 
-    `machines_known` tells whether, at an instant, no machine of the partition can hold anything
-    that was not seen.
+    `machines_known` returns whether, at an instant, no machine of the partition can run attempts
+    that it has not reported.
     """
 
     def __init__(
@@ -42,7 +42,7 @@
         self._machines_known = machines_known
 
     def decide(self, held: HeldAttempt, now: datetime) -> Decision:
-        """Return what is done about an attempt now."""
+        """Return the current decision on an attempt."""
         settings = self._environment.settings
         bounds = Bounds(settings.answer_most, settings.late_write)
         return decide(self._facts(held, now), bounds)
@@ -51,7 +51,7 @@
         leader = self._leader
         job, machine = leader.records.live_job(held.job), leader.machines.get(held.machine)
         others = self._held_attempts.others(held)
-        machine_current = (
+        machine_confirmed = (
             machine is not None
             and machine.token.confirmed
             and machine.lifecycle.draining is None
@@ -60,24 +60,26 @@
         )
         return Facts(
             records_read=_is_after(self._environment.records_read_at(), held.since),
-            peers_heard=_is_after(self._environment.peers_heard_since(), held.since),
+            peers_replied=_is_after(self._environment.peer_states_as_of(), held.since),
             superseded=job is not None and self.is_superseded(job, held.index),
-            job_lives=job is not None,
-            job_over=True if held.job in leader.context.cancellations.jobs else held.job_over,
+            is_job_live=job is not None,
+            job_ended=True if held.job in leader.context.cancellations.jobs else held.job_ended,
             gang=job is not None and job.spec.gang,
-            shows_done=held.shows_done,
-            machine_current=machine_current,
-            machine_allowed=job is not None and machine is not None and self._allows(job, machine),
-            also_elsewhere=bool(others),
-            higher_elsewhere=any(row.attempt > held.attempt for row in others),
+            reported_done=held.reported_done,
+            machine_confirmed=machine_confirmed,
+            machine_allowed=job is not None
+            and machine is not None
+            and self._is_allowed_on(job, machine),
+            on_other_machines=bool(others),
+            higher_attempt_elsewhere=any(row.attempt > held.attempt for row in others),
             machines_known=self._machines_known(now),
-            within_limit=job is not None
+            within_quota=job is not None
             and leader.context.fair_share.startable_tasks(job.spec, leader.partition) > 0,
-            waited=now - held.since,
+            held_for=now - held.since,
         )
 
-    def _allows(self, job: Job, machine: Machine) -> bool:
-        """Tell whether the job may run on a machine, given its other tasks."""
+    def _is_allowed_on(self, job: Job, machine: Machine) -> bool:
+        """Return whether the job may run on a machine, given the zones of its other tasks."""
         if not free_capacity.allowed(job, machine.machine_type, machine.zone, machine.spot):
             return False
         if job.spec.together:
@@ -86,7 +88,7 @@
         return not job.spec.apart or here < job.spec.zone_cap
 
     def is_superseded(self, job: Job, index: int) -> bool:
-        """Tell whether the records name an attempt of a task anywhere, or say that it is done."""
+        """Return whether any partition's records name an attempt of a task or mark it as done."""
         if index >= job.spec.task_count or ranges.has(job.done, index):
             return True
         for job_slices in self._leader.context.view.job_slices.values():
--- a/roadbend/recovery/attempt_holder.py
+++ b/roadbend/recovery/attempt_holder.py
@@ -1,4 +1,4 @@
-"""Holds the unrecorded attempts of one partition, and has each of them decided about."""
+"""Holds the unrecorded attempts of one partition until each is adopted or stopped."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from roadbend.fleet.messages import TaskStatus, WorkerHeartbeat
 from roadbend.log import Log
 from roadbend.recovery.attempt_evaluator import AttemptEvaluator
-from roadbend.recovery.machines import ATTEMPT_TERM_BITS
+from roadbend.recovery.machines import ATTEMPT_TERM_SHIFT
 from roadbend.recovery.unrecorded import Decision, HeldAttempt, HeldAttempts
 
 if TYPE_CHECKING:
@@ -19,23 +19,23 @@
 
 
 class AttemptHolder:
-    """Keeps a partition's machines from stopping attempts that the records may have lost."""
+    """Prevents a partition's machines from stopping attempts whose records may be lost."""
 
     def __init__(
         self, leader: PartitionLeader, held_attempts: HeldAttempts, evaluator: AttemptEvaluator
     ) -> None:
         self._leader, self._held_attempts, self._evaluator = leader, held_attempts, evaluator
 
-    def keeps(self, machine: Machine, task: TaskStatus, now: datetime) -> bool:
-        """Tell whether an unrecorded attempt is left alone, and hold it until that is decided."""
+    def should_keep(self, machine: Machine, task: TaskStatus, now: datetime) -> bool:
+        """Return whether an unrecorded attempt is left running, and hold it if it is."""
         held = self._held_attempts.get(task.job, task.task_index, task.attempt, machine.id)
         if held is not None:
-            held.shows_done = held.shows_done or task.cause == "done"
-            if task.state == "ended" and not held.shows_done:
+            held.reported_done = held.reported_done or task.cause == "done"
+            if task.state == "ended" and not held.reported_done:
                 self._held_attempts.remove(held)
                 return False
             return held.decision is not Decision.STOP
-        if not self._may_be_lost(task):
+        if not self._record_may_be_lost(task):
             return False
         held = HeldAttempt(
             job=task.job,
@@ -43,17 +43,17 @@
             attempt=task.attempt,
             machine=machine.id,
             since=now,
-            shows_done=task.state == "ended",
+            reported_done=task.state == "ended",
         )
         if not self._held_attempts.add(held):
             return False
         log.info("attempt-held", **self._log_fields(held))
         return True
 
-    def _may_be_lost(self, task: TaskStatus) -> bool:
-        """Tell whether the records may have lost an attempt that they don't name.
+    def _record_may_be_lost(self, task: TaskStatus) -> bool:
+        """Return whether the record of an unrecorded attempt may have been lost.
 
-        They have not if they name another attempt of the task, or know it to be over.
+        It was not if the records name another attempt of the task, or show that it has ended.
         """
         context = self._leader.context
         if task.state == "ended" and task.cause != "done":
@@ -65,15 +65,15 @@
             return task.state != "ended"
         return not self._evaluator.is_superseded(job, task.task_index)
 
-    def drop_absent(self, machine: Machine, heartbeat: WorkerHeartbeat) -> None:
-        """Release what a machine's current heartbeat no longer shows."""
-        shown = {(task.job, task.task_index, task.attempt) for task in heartbeat.tasks}
+    def release_unreported(self, machine: Machine, heartbeat: WorkerHeartbeat) -> None:
+        """Release the held attempts that a machine's latest heartbeat no longer reports."""
+        reported = {(task.job, task.task_index, task.attempt) for task in heartbeat.tasks}
         for held in self._held_attempts.all():
-            if held.machine == machine.id and (held.job, held.index, held.attempt) not in shown:
+            if held.machine == machine.id and (held.job, held.index, held.attempt) not in reported:
                 self.release(held, "gone")
 
     def decide_all(self, now: datetime) -> None:
-        """Decide anew about every attempt that is held."""
+        """Decide again on every held attempt."""
         for held in self._held_attempts.all():
             if held.machine not in self._leader.machines:
                 self.release(held, "machine gone")
@@ -88,20 +88,20 @@
     def find_lost_write(self) -> HeldAttempt | None:
         """Return an attempt that proves that the state store lost a write, if there is one.
 
-        It belongs to a live job, is of a former term, and no record names its task: an order never
-        goes out before its record is written.
+        That is one of a live job and a former term, whose task no record names: an order is never
+        sent before its record is written.
         """
         term = self._leader.leadership.term
         for held in self._held_attempts.all():
             if (
                 self._leader.records.live_job(held.job) is not None
-                and held.attempt >> ATTEMPT_TERM_BITS < term
+                and held.attempt >> ATTEMPT_TERM_SHIFT < term
             ):
                 return held
         return None
 
     def release(self, held: HeldAttempt, reason: str) -> None:
-        """Cease to hold an attempt: it is recorded, or gone."""
+        """Stop holding an attempt: it was recorded, or its machine no longer has it."""
         leader = self._leader
         self._held_attempts.remove(held)
         leader.context.observer.recovery_settled(
--- a/roadbend/recovery/commands.py
+++ b/roadbend/recovery/commands.py
@@ -1,6 +1,6 @@
-"""`roadbend recovery status|differences|plan`: reads, prints, and changes nothing.
+"""`roadbend recovery status|differences|plan`: read-only commands for operators.
 
-Exit status: 0 all well, 1 the state store or the cloud could not be read, 2 bad arguments or
+Exit status: 0 success, 1 the state store or the cloud could not be read, 2 bad arguments or
 settings.
 """
 
@@ -23,40 +23,42 @@
 from roadbend.recovery.survey import PartitionStatus, PartitionSurvey, SurveyError, Surveyor
 from roadbend.settings import PlatformSettings, SettingsError, read_file, read_platform
 
-Show = Callable[[Surveyor, argparse.Namespace], Awaitable[None]]
-# The bounds of `--every`, in seconds, and the most lines that are printed for a partition.
-MIN_PAUSE, MAX_PAUSE, MAX_LINES = 1.0, 3600.0, 200
+CommandFunction = Callable[[Surveyor, argparse.Namespace], Awaitable[None]]
+# The bounds of `--every`, and how many lines are printed for a partition.
+MIN_INTERVAL_S, MAX_INTERVAL_S, MAX_LINES = 1.0, 3600.0, 200
 
 
 def parser() -> argparse.ArgumentParser:
-    """Return the parser of the arguments of `roadbend recovery`."""
+    """Return the argument parser of `roadbend recovery`."""
     out = argparse.ArgumentParser(
         prog="roadbend recovery",
-        description="Shows how stored records and machines differ, and what settles that.",
+        description="Shows how stored records and machines differ, and how that is settled.",
     )
     commands = out.add_subparsers(dest="command", required=True)
     for name, text in (
-        ("status", "how far each part's recovery is, as recorded by its owner"),
-        ("differences", "what differs now between the records and the machines"),
-        ("plan", "what would be done about each difference, and why (a dry run)"),
+        ("status", "the progress of each partition's recovery, as recorded by its leader"),
+        ("differences", "the current differences between the records and the machines"),
+        ("plan", "how each difference would be settled, and why (a dry run)"),
     ):
         command = commands.add_parser(name, help=text, description=text)
         command.add_argument("--config", type=Path, required=True, help="the platform's settings")
         command.add_argument("--json", action="store_true")
         if name == "differences":
             command.add_argument(
-                "--every", type=float, metavar="SECONDS", help="look again and again"
+                "--every", type=float, metavar="SECONDS", help="repeat at this interval"
+            )
+            command.add_argument(
+                "--looks", type=int, default=0, help="end after so many repetitions"
             )
-            command.add_argument("--looks", type=int, default=0, help="end after so many looks")
     return out
 
 
 def main(argv: list[str]) -> int:
-    """Carry out one command, and return the exit status."""
+    """Run one command, and return the exit status."""
     arguments = parser().parse_args(argv)
     every = getattr(arguments, "every", None)
-    if every is not None and not MIN_PAUSE <= every <= MAX_PAUSE:
-        parser().error(f"argument --every: must be from {MIN_PAUSE:g} to {MAX_PAUSE:g}")
+    if every is not None and not MIN_INTERVAL_S <= every <= MAX_INTERVAL_S:
+        parser().error(f"argument --every: must be from {MIN_INTERVAL_S:g} to {MAX_INTERVAL_S:g}")
     try:
         settings = read_platform(read_file(arguments.config))
     except SettingsError as error:
@@ -66,14 +68,16 @@
 
 
 async def run(settings: PlatformSettings, net: Net, arguments: argparse.Namespace) -> int:
-    """Carry out a command against the outside that the settings name."""
-    show: dict[str, Show] = {
+    """Run a command against the state store and the cloud that the settings name."""
+    functions: dict[str, CommandFunction] = {
         "status": _show_status,
-        "differences": _follow if getattr(arguments, "every", None) else _show_differences,
+        "differences": _watch_differences
+        if getattr(arguments, "every", None)
+        else _show_differences,
         "plan": _show_plan,
     }
     try:
-        await show[arguments.command](Surveyor(settings, net), arguments)
+        await functions[arguments.command](Surveyor(settings, net), arguments)
     except SurveyError as error:
         print(f"roadbend: {error}", file=sys.stderr)
         return 1
@@ -83,16 +87,16 @@
 async def _show_status(surveyor: Surveyor, arguments: argparse.Namespace) -> None:
     rows = await surveyor.status()
     if arguments.json:
-        print(json.dumps([_status_as_map(row) for row in rows], indent=2))
+        print(json.dumps([_status_as_dict(row) for row in rows], indent=2))
         return
     for row in rows:
         print(_status_line(row))
 
 
-def _status_as_map(row: PartitionStatus) -> dict[str, Any]:
-    """Return a partition's status as operators' scripts read it.
+def _status_as_dict(row: PartitionStatus) -> dict[str, Any]:
+    """Return a partition's status with the keys that operators' scripts read.
 
-    They know the partition as `part`.
+    The partition is `part` there.
     """
     fields = asdict(row)
     return {"part": fields.pop("partition"), "owner": fields.pop("owner"), **fields}
@@ -112,7 +116,7 @@
     partitions = await surveyor.survey()
     if arguments.json:
         rows = {
-            partition.partition: [_as_map(row) for row in partition.comparison.differences]
+            partition.partition: [_as_dict(row) for row in partition.comparison.differences]
             for partition in partitions
         }
         print(json.dumps(rows, indent=2))
@@ -135,13 +139,13 @@
 
 
 def describe(row: Difference) -> str:
-    """Return a difference as a line."""
+    """Return a difference as a line of text."""
     if row.task is None:
         return f"{row.kind}: machine {row.machine}"
     return f"{row.kind}: task {row.task} attempt {row.attempt} on {row.machine}"
 
 
-def _as_map(row: Difference) -> dict[str, str | int | None]:
+def _as_dict(row: Difference) -> dict[str, str | int | None]:
     task = None if row.task is None else str(row.task)
     return {"kind": row.kind, "machine": row.machine, "task": task, "attempt": row.attempt}
 
@@ -154,7 +158,10 @@
     if arguments.json:
         print(
             json.dumps(
-                {partition: [_planned(row) for row in rows] for partition, rows in steps.items()}
+                {
+                    partition: [_planned_as_dict(row) for row in rows]
+                    for partition, rows in steps.items()
+                }
             )
         )
         return
@@ -166,41 +173,41 @@
             print(f"  {step.step}  {describe(row.difference)}  ({step.why})")
 
 
-def _planned(row: PlannedStep) -> dict[str, str | int | None]:
-    return {**_as_map(row.difference), "step": row.settlement.step, "why": row.settlement.why}
+def _planned_as_dict(row: PlannedStep) -> dict[str, str | int | None]:
+    return {**_as_dict(row.difference), "step": row.settlement.step, "why": row.settlement.why}
 
 
-async def _follow(surveyor: Surveyor, arguments: argparse.Namespace) -> None:
-    # Only this command needs the libraries for bitmaps and sketches, which need not be installed.
+async def _watch_differences(surveyor: Surveyor, arguments: argparse.Namespace) -> None:
+    # Only this command needs the libraries for bitmaps and sketches; they are optional.
     from roadbend.recovery.watch import Watch  # noqa: PLC0415 -- an optional dependency
 
-    watch, looks = Watch(), 0
+    watch, polls = Watch(), 0
     while True:
         partitions = await surveyor.survey()
         found = [row for partition in partitions for row in partition.comparison.differences]
-        look = watch.look(found, clock.now())
-        middle, worst = watch.age_quantile(0.5), watch.age_quantile(0.99)
+        result = watch.update(found, clock.now())
+        median, p99 = watch.age_quantile(0.5), watch.age_quantile(0.99)
         if arguments.json:
-            staying = [_as_map(row) for row in look.staying]
+            staying = [_as_dict(row) for row in result.persistent]
             print(
                 json.dumps(
                     {
-                        "open": look.open,
-                        "new": len(look.new),
-                        "settled": look.settled,
+                        "open": result.open,
+                        "new": len(result.new),
+                        "settled": result.settled,
                         "staying": staying,
-                        "age_median": middle,
-                        "age_p99": worst,
+                        "age_median": median,
+                        "age_p99": p99,
                     }
                 )
             )
         else:
-            ages = "" if middle is None else f", settled at {middle:.0f} s (99%: {worst:.0f} s)"
-            print(f"open {look.open}, new {len(look.new)}, settled {look.settled}{ages}")
-            for row in look.staying[:MAX_LINES]:
+            ages = "" if median is None else f", settled at {median:.0f} s (99%: {p99:.0f} s)"
+            print(f"open {result.open}, new {len(result.new)}, settled {result.settled}{ages}")
+            for row in result.persistent[:MAX_LINES]:
                 print(f"  stays  {describe(row)}")
         sys.stdout.flush()
-        looks += 1
-        if arguments.looks and looks >= arguments.looks:
+        polls += 1
+        if arguments.looks and polls >= arguments.looks:
             return
         await trio.sleep(arguments.every)
--- a/roadbend/recovery/differences.py
+++ b/roadbend/recovery/differences.py
@@ -1,7 +1,7 @@
-"""What differs between the stored records and the machines, as a pure comparison.
+"""Compares the stored records with the machines, as a pure function.
 
-Desired state is what the records say, observed state what machines show and the cloud lists.
-Every difference has one kind, and `settlement` has one settlement for each kind.
+The desired state is that of the records; the observed state is what machines report and the cloud
+lists. Every difference has one kind, and `settlement` has one settlement for each kind.
 """
 
 from __future__ import annotations
@@ -14,26 +14,26 @@
 
 
 class Kind(StrEnum):
-    """How an attempt or a machine differs; `MATCHING` does not."""
+    """How an attempt or a machine differs from the records; `MATCHING`: it does not."""
 
     MATCHING = "matching"
-    # Recorded, and a current heartbeat of its machine lacks it.
+    # Recorded, but not in the latest heartbeat of its machine.
     MISSING = "missing"
-    # Reported, and its task has no recorded attempt.
+    # Reported, but its task has no recorded attempt.
     UNRECORDED = "unrecorded"
-    # Reported, and the records name another attempt of its task.
+    # Reported, but the records name another attempt of its task.
     SUPERSEDED = "superseded"
-    # Recorded, and its machine reports its end.
+    # Recorded, and its machine reports that it has ended, or lacks it and its job has ended.
     ENDED = "ended"
-    # Its job was cancelled or is over, and the machine still has it.
+    # Its job was cancelled or has ended, but the machine still runs it.
     CANCELLED = "cancelled"
-    # Two machines show the same task, neither as the recorded attempt.
+    # Two machines report the same task, neither of them the recorded attempt.
     ON_TWO_MACHINES = "on-two-machines"
     # Recorded on a machine that has not reported to this leader.
     MACHINE_SILENT = "machine-silent"
     # The cloud lists a machine that no record names and that has not reported.
     MACHINE_UNKNOWN = "machine-unknown"
-    # Recorded on a machine that the cloud lists as failed, or lists no more.
+    # Recorded on a machine that the cloud lists as failed, or no longer lists.
     MACHINE_GONE = "machine-gone"
 
 
@@ -47,7 +47,7 @@
         return f"{self.job}/{self.task_index}"
 
 
-class Recorded(NamedTuple):
+class RecordedAttempt(NamedTuple):
     """An attempt that the records name."""
 
     task: TaskId
@@ -55,8 +55,8 @@
     machine: str
 
 
-class Reported(NamedTuple):
-    """An attempt that a machine's latest heartbeat shows."""
+class ReportedAttempt(NamedTuple):
+    """An attempt in a machine's latest heartbeat."""
 
     task: TaskId
     attempt: int
@@ -65,12 +65,13 @@
 
 
 class Presence(StrEnum):
-    """What is known of a machine."""
+    """The state of a machine, as far as it is known."""
 
-    # It has sent a heartbeat that carries the leader's token.
+    # It has sent the leader a heartbeat that carries its token, or has answered a query.
     HEARD = "heard"
+    # It may be running, but has not sent or answered anything.
     SILENT = "silent"
-    # Listed by the cloud as not up yet.
+    # The cloud lists it as booting.
     BOOTING = "booting"
     # Listed as failed, deleted, or no longer listed.
     GONE = "gone"
@@ -78,22 +79,22 @@
 
 @dataclass(frozen=True)
 class DesiredState:
-    """What the records say of one partition."""
+    """One partition by its records."""
 
-    attempts: frozenset[Recorded]
+    attempts: frozenset[RecordedAttempt]
     live_jobs: frozenset[str]
 
 
 @dataclass(frozen=True)
 class ObservedState:
-    """What machines show and the cloud lists of one partition."""
+    """One partition by its machines' reports and the cloud's list."""
 
-    attempts: frozenset[Reported]
+    attempts: frozenset[ReportedAttempt]
     machines: dict[str, Presence]
 
 
 class Difference(NamedTuple):
-    """One thing to settle. `task` and `attempt` are None where a whole machine differs."""
+    """A difference to settle. `task` and `attempt` are None if it is that of a whole machine."""
 
     kind: Kind
     machine: str
@@ -103,26 +104,26 @@
 
 @dataclass(frozen=True)
 class Comparison:
-    """All differences of a partition, in a fixed order, and how many attempts matched."""
+    """All differences of a partition, sorted, and how many attempts match."""
 
     differences: tuple[Difference, ...]
     matching: int
 
     def counts(self) -> dict[str, int]:
-        """Return how many differences there are, by kind."""
+        """Return the number of differences by kind."""
         return dict(sorted(Counter(str(row.kind) for row in self.differences).items()))
 
     def of_kind(self, *kinds: Kind) -> list[Difference]:
-        """Return the differences of some kinds."""
+        """Return the differences of the given kinds."""
         return [row for row in self.differences if row.kind in kinds]
 
 
 def compare(desired: DesiredState, observed: ObservedState) -> Comparison:
-    """Compare the two states. The same states always give the same differences in one order."""
+    """Compare the two states. Equal states always give the same differences in the same order."""
     recorded = {(row.task, row.attempt, row.machine) for row in desired.attempts}
     reported = {(row.task, row.attempt, row.machine): row for row in observed.attempts}
     recorded_tasks = {row.task for row in desired.attempts}
-    twice = _on_two_machines(observed.attempts, recorded)
+    duplicated = _on_two_machines(observed.attempts, recorded)
     differences: list[Difference] = []
     matching = 0
     for row in desired.attempts:
@@ -133,51 +134,61 @@
             matching += 1
         else:
             differences.append(Difference(kind, row.machine, row.task, row.attempt))
-    for key, shown in reported.items():
-        if key in recorded or shown.ended:
+    for key, reported_attempt in reported.items():
+        if key in recorded or reported_attempt.ended:
             continue
-        kind = _unrecorded_kind(shown, recorded_tasks, twice, desired.live_jobs)
-        differences.append(Difference(kind, shown.machine, shown.task, shown.attempt))
+        kind = _unrecorded_kind(reported_attempt, recorded_tasks, duplicated, desired.live_jobs)
+        differences.append(
+            Difference(
+                kind, reported_attempt.machine, reported_attempt.task, reported_attempt.attempt
+            )
+        )
     differences += _unknown_machines(desired, observed)
-    return Comparison(tuple(sorted(differences, key=_order)), matching)
+    return Comparison(tuple(sorted(differences, key=_sort_key)), matching)
 
 
 def _recorded_kind(
-    row: Recorded, shown: Reported | None, desired: DesiredState, observed: ObservedState
+    row: RecordedAttempt,
+    reported_attempt: ReportedAttempt | None,
+    desired: DesiredState,
+    observed: ObservedState,
 ) -> Kind:
     presence = observed.machines.get(row.machine, Presence.SILENT)
     if presence is Presence.GONE:
         return Kind.MACHINE_GONE
-    if shown is None and presence is not Presence.HEARD:
+    if reported_attempt is None and presence is not Presence.HEARD:
         return Kind.MACHINE_SILENT
-    wanted = row.task.job in desired.live_jobs
-    if shown is None:
-        # Nobody wants it there any more, and it is not there: only its record is left.
-        return Kind.MISSING if wanted else Kind.ENDED
-    if shown.ended:
+    is_job_live = row.task.job in desired.live_jobs
+    if reported_attempt is None:
+        # If the job is not live, the attempt need not run again: only its record is left.
+        return Kind.MISSING if is_job_live else Kind.ENDED
+    if reported_attempt.ended:
         return Kind.ENDED
-    return Kind.MATCHING if wanted else Kind.CANCELLED
+    return Kind.MATCHING if is_job_live else Kind.CANCELLED
 
 
 def _unrecorded_kind(
-    shown: Reported, recorded: set[TaskId], twice: set[TaskId], live_jobs: frozenset[str]
+    reported_attempt: ReportedAttempt,
+    recorded: set[TaskId],
+    duplicated: set[TaskId],
+    live_jobs: frozenset[str],
 ) -> Kind:
-    if shown.task in recorded:
+    if reported_attempt.task in recorded:
         return Kind.SUPERSEDED
-    if shown.task in twice:
+    if reported_attempt.task in duplicated:
         return Kind.ON_TWO_MACHINES
-    # Of a job that no record names it is not known here whether it was ever recorded.
+    # If the job has no record, this comparison can't tell whether it ever had one.
     return Kind.UNRECORDED
 
 
 def _on_two_machines(
-    attempts: Iterable[Reported], recorded: set[tuple[TaskId, int, str]]
+    attempts: Iterable[ReportedAttempt], recorded: set[tuple[TaskId, int, str]]
 ) -> set[TaskId]:
-    homes: dict[TaskId, set[str]] = {}
+    machines_by_task: dict[TaskId, set[str]] = {}
     for row in attempts:
         if not row.ended and (row.task, row.attempt, row.machine) not in recorded:
-            homes.setdefault(row.task, set()).add(row.machine)
-    return {task for task, machines in homes.items() if len(machines) > 1}
+            machines_by_task.setdefault(row.task, set()).add(row.machine)
+    return {task for task, machines in machines_by_task.items() if len(machines) > 1}
 
 
 def _unknown_machines(desired: DesiredState, observed: ObservedState) -> list[Difference]:
@@ -189,6 +200,6 @@
     ]
 
 
-def _order(row: Difference) -> tuple[Kind, str, str, int, int]:
+def _sort_key(row: Difference) -> tuple[Kind, str, str, int, int]:
     task = row.task or TaskId("", -1)
     return (row.kind, row.machine, task.job, task.task_index, row.attempt or 0)
--- a/roadbend/recovery/environment.py
+++ b/roadbend/recovery/environment.py
@@ -1,4 +1,4 @@
-"""What the recovery of one partition asks of its controller."""
+"""What the recovery of one partition needs from its controller."""
 
 from __future__ import annotations
 
@@ -12,14 +12,16 @@
 
 @dataclass(frozen=True)
 class RecoveryEnvironment:
-    """A controller, as the recovery of a partition sees it. Instants are steady."""
+    """A controller, as the recovery of a partition sees it. Instants are of the steady clock."""
 
     settings: RecoverySettings
     inventory: CloudInventory
-    # When the records were last read, and since when every live peer was heard.
+    # When the records were last read.
     records_read_at: Callable[[], datetime | None]
-    peers_heard_since: Callable[[], datetime | None]
-    # Whether a job may be given machines.
-    gate_is_open: Callable[[str], bool]
-    # Told once, with the partition, when machines show that the state store lost writes.
-    note_lost_writes: Callable[[str], None]
+    # The instant up to which the state of every live peer is known: heartbeats that were requested
+    # then or later have arrived from all of them.
+    peer_states_as_of: Callable[[], datetime | None]
+    # Returns whether the tasks of a job may be placed on machines.
+    can_place: Callable[[str], bool]
+    # Called once, with the partition, when its machines show that the state store lost writes.
+    report_lost_writes: Callable[[str], None]
--- a/roadbend/recovery/index.py
+++ b/roadbend/recovery/index.py
@@ -1,30 +1,30 @@
-"""Names as dense numbers, so that sets of them can be compressed bitmaps."""
+"""Dense integer ids of keys, so that sets of keys can be stored as compressed bitmaps."""
 
 from collections.abc import Hashable, Iterable
 
 
 class DenseIndex:
-    """Gives every name the next free number, once."""
+    """Assigns each key the next unused integer the first time the key is seen."""
 
     def __init__(self) -> None:
-        self._numbers: dict[Hashable, int] = {}
-        self._names: list[Hashable] = []
+        self._ids: dict[Hashable, int] = {}
+        self._keys: list[Hashable] = []
 
     def __len__(self) -> int:
-        return len(self._names)
+        return len(self._keys)
 
-    def number(self, name: Hashable) -> int:
-        """Return the name's number, a new one if it has none."""
-        found = self._numbers.get(name)
+    def id_of(self, key: Hashable) -> int:
+        """Return the id of a key, a new one if it has none."""
+        found = self._ids.get(key)
         if found is None:
-            found = self._numbers[name] = len(self._names)
-            self._names.append(name)
+            found = self._ids[key] = len(self._keys)
+            self._keys.append(key)
         return found
 
-    def numbers(self, names: Iterable[Hashable]) -> list[int]:
-        """Return the numbers of several names."""
-        return [self.number(name) for name in names]
+    def ids_of(self, keys: Iterable[Hashable]) -> list[int]:
+        """Return the ids of several keys."""
+        return [self.id_of(key) for key in keys]
 
-    def name(self, number: int) -> Hashable:
-        """Return the name that has a number."""
-        return self._names[number]
+    def key_of(self, key_id: int) -> Hashable:
+        """Return the key that has an id."""
+        return self._keys[key_id]
--- a/roadbend/recovery/phases.py
+++ b/roadbend/recovery/phases.py
@@ -1,4 +1,4 @@
-"""The phases of one partition's recovery. Each is a value, and gives the next one."""
+"""The phases of one partition's recovery: immutable states that compute the next state."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class PhaseName(StrEnum):
-    """Names as they are logged, recorded and traced."""
+    """Names as they occur in logs, records and traces."""
 
     GATHERING = "gathering"
     COMPARING = "comparing"
@@ -24,48 +24,49 @@
 
     # Named by records or listed by the cloud.
     expected: frozenset[str]
-    heard: frozenset[str]
-    # Not heard, for a reason that is known: gone, or not up yet.
-    explained: frozenset[str]
-    list_was_read: bool
+    # Have sent this leader a heartbeat that carries its token.
+    reporting: frozenset[str]
+    # Have not, for a known reason: the machine is deleted, failed, or still booting.
+    known_absent: frozenset[str]
+    is_list_read: bool
 
     @property
-    def complete(self) -> bool:
-        """Whether every machine was heard, or its silence is explained."""
-        return self.list_was_read and self.expected <= self.heard | self.explained
+    def is_complete(self) -> bool:
+        """Whether every expected machine is reporting, or known to be absent."""
+        return self.is_list_read and self.expected <= self.reporting | self.known_absent
 
 
 @dataclass(frozen=True)
 class Gathering:
-    """Machines send heartbeats. Ends by evidence, at the latest at a bound."""
+    """The leader waits for heartbeats: until the evidence is complete, at the latest `until`."""
 
     since: datetime
     until: datetime
     name = PhaseName.GATHERING
 
     def next(self, evidence: Evidence, now: datetime) -> Gathering | Comparing:
-        """Stay until all machines are known or the bound is reached."""
-        if evidence.complete or now >= self.until:
-            return Comparing(self.since, evidence.complete)
+        """Stay until the evidence is complete or the time limit is reached."""
+        if evidence.is_complete or now >= self.until:
+            return Comparing(self.since, evidence.is_complete)
         return self
 
 
 @dataclass(frozen=True)
 class Comparing:
-    """Records and heartbeats are compared."""
+    """The records are compared with the heartbeats."""
 
     since: datetime
-    complete: bool
+    is_complete: bool
     name = PhaseName.COMPARING
 
     def next(self, counts: dict[str, int], now: datetime) -> Settling | Settled:
-        """Go on as soon as the comparison is made; `counts` are its differences by kind."""
+        """Return the phase after the comparison; `counts` are its differences by kind."""
         return Settling(self.since).next(counts, now)
 
 
-# What stays open until its own evidence comes, or a machine is up, does not keep a recovery from
-# being over.
-SETTLED_LATER = {Kind.MACHINE_SILENT, Kind.MACHINE_GONE, Kind.MACHINE_UNKNOWN}
+# These kinds don't keep a recovery from being settled: each remains until evidence on its machine
+# arrives, or until the machine has booted, which may take long.
+NON_BLOCKING_KINDS = {Kind.MACHINE_SILENT, Kind.MACHINE_GONE, Kind.MACHINE_UNKNOWN}
 
 
 @dataclass(frozen=True)
@@ -76,14 +77,14 @@
     name = PhaseName.SETTLING
 
     def next(self, counts: dict[str, int], now: datetime) -> Settling | Settled:
-        """Stay while anything differs that machines could settle at their next heartbeats."""
-        open_kinds = {kind for kind, count in counts.items() if count} - SETTLED_LATER
+        """Stay while there are differences that the machines' next heartbeats could settle."""
+        open_kinds = {kind for kind, count in counts.items() if count} - NON_BLOCKING_KINDS
         return self if open_kinds else Settled(self.since, now)
 
 
 @dataclass(frozen=True)
 class Settled:
-    """Nothing is left that differs, but for what waits for its evidence."""
+    """No differences are left except `NON_BLOCKING_KINDS`."""
 
     since: datetime
     at: datetime
--- a/roadbend/recovery/records.py
+++ b/roadbend/recovery/records.py
@@ -1,4 +1,4 @@
-"""Writes what recovery records: a partition's progress, and jobs that no record names."""
+"""Writes the records of recovery: a partition's progress, and jobs without a job record."""
 
 from __future__ import annotations
 
@@ -25,14 +25,13 @@
 
 log = Log("recovery")
 
-# Writes of recovery wait no longer than this.
 WRITE_TIMEOUT = timedelta(seconds=2)
-# How much of an error the log shows.
+# In characters.
 MAX_LOGGED_ERROR = 80
 
 
-class _ProgressMark(NamedTuple):
-    """What tells one recorded progress of a partition from the next."""
+class _ProgressState(NamedTuple):
+    """The part of a partition's progress whose change is worth another write."""
 
     term: int
     phase: str
@@ -45,21 +44,22 @@
     def __init__(self, context: ControllerContext) -> None:
         self._context = context
         # By partition, what was last written.
-        self._written: dict[str, _ProgressMark] = {}
+        self._written: dict[str, _ProgressState] = {}
 
     async def publish_unrecorded(self, partition: PartitionRecovery) -> None:
-        """Record the jobs that machines have and no record names, and remove those that are gone.
+        """Record the jobs that run on machines without a record, and delete those that have ended.
 
-        Such a job is not accepted anew meanwhile: its tasks could start on other machines.
+        Until then a new submission of such a job is refused: its tasks could start a second time,
+        on other machines.
         """
         view, name = self._context.view, partition.leader.partition
-        shown = {held.job: held for held in partition.held_attempts.all() if held.job_over is False}
-        for job, held in shown.items():
+        lost = {held.job: held for held in partition.held_attempts.all() if held.job_ended is False}
+        for job, held in lost.items():
             if job not in view.jobs and job not in view.unrecorded:
                 await self._publish(partition, held)
         if partition.phase.name is PhaseName.GATHERING:
             return
-        for job in [job for job, by in view.unrecorded.items() if by == name]:
+        for job in [job for job, owner in view.unrecorded.items() if owner == name]:
             if job not in partition.held_attempts.jobs():
                 key = keys.unrecorded_key(job)
                 await self._write(partition, [delete(key)], {key: view.mod_revision(key)})
@@ -70,42 +70,44 @@
         value = unrecorded_job_value(partition.leader.partition)
         await self._write(partition, [put(key, value)], conditions)
 
-    async def record_progress(self, partition: PartitionRecovery, *, inherited: bool) -> None:
+    async def record_progress(
+        self, partition: PartitionRecovery, *, has_inherited_jobs: bool
+    ) -> None:
         """Write each phase once, for the other controllers' gates and for operators.
 
-        Nothing is written where nothing was there to recover. `inherited`: whether there were jobs
-        when the controller acquired its first partition.
+        Nothing is written if there was nothing to recover. `has_inherited_jobs`: whether there were
+        jobs when the controller acquired its first partition.
         """
         leader, now = partition.leader, clock.now()
         if partition.phase.name is PhaseName.GATHERING and not partition.lost_writes:
             return
-        mark = _ProgressMark(
+        progress_state = _ProgressState(
             leader.leadership.term, str(partition.phase.name), partition.lost_writes
         )
         written = self._written.get(leader.partition)
-        if written == mark or not self._is_worth_recording(partition, inherited):
+        if written == progress_state or not self._is_worth_recording(partition, has_inherited_jobs):
             return
         key = keys.recovery_key(leader.partition)
-        row = put(key, partition.progress(now).to_value())
-        if await self._write(partition, [row], {key: self._context.view.mod_revision(key)}):
-            self._written[leader.partition] = mark
+        change = put(key, partition.progress(now).to_value())
+        if await self._write(partition, [change], {key: self._context.view.mod_revision(key)}):
+            self._written[leader.partition] = progress_state
 
-    def _is_worth_recording(self, partition: PartitionRecovery, inherited: bool) -> bool:
+    def _is_worth_recording(self, partition: PartitionRecovery, has_inherited_jobs: bool) -> bool:
         if partition.lost_writes or partition.leader.partition in self._written:
             return True
-        return bool(partition.found) or (partition.cold and inherited)
+        return bool(partition.difference_counts) or (partition.cold and has_inherited_jobs)
 
     async def _write(
         self,
         partition: PartitionRecovery,
-        rows: list[Change],
+        changes: list[Change],
         conditions: dict[str, int],
     ) -> bool:
-        """Carry out one small transaction under the leader's term; tell whether it was."""
+        """Commit a transaction on condition of the leader's term; return whether that succeeded."""
         leader = partition.leader
         conditions = {**conditions, keys.term_key(leader.partition): leader.leadership.mod_revision}
         try:
-            revision = await commit(self._context.state, conditions, rows, within=WRITE_TIMEOUT)
+            revision = await commit(self._context.state, conditions, changes, within=WRITE_TIMEOUT)
         except (ConflictError, LeaseEndedError, UnavailableError) as error:
             log.debug(
                 "recovery-progress-not-written",
@@ -113,5 +115,5 @@
                 error=str(error)[:MAX_LOGGED_ERROR],
             )
             return False
-        self._context.view.applied(rows, revision)
+        self._context.view.applied(changes, revision)
         return True
--- a/roadbend/recovery/service.py
+++ b/roadbend/recovery/service.py
@@ -1,4 +1,4 @@
-"""Recovery of a controller: looks after its partitions, the gate, and lost writes."""
+"""Recovery of a controller: runs that of its partitions, the gate, and lost-write detection."""
 
 from __future__ import annotations
 
@@ -25,16 +25,15 @@
 
 log = Log("recovery")
 
-# How often the phases and what is held are looked at.
-LOOK_EVERY = timedelta(milliseconds=250)
-# Final records that are read in one look.
-MAX_READS_A_LOOK = 8
-# How long a read barrier may take.
-READ_BARRIER_SECONDS = 2.0
+# How often the phases and the held attempts are updated.
+POLL_INTERVAL = timedelta(milliseconds=250)
+# How many final states of jobs are read from the state store in one poll.
+MAX_READS_PER_POLL = 8
+READ_BARRIER_TIMEOUT_S = 2.0
 
 
 def install(controller: Controller, settings: RecoverySettings) -> RecoveryService:
-    """Switch recovery on in a controller that has not started yet."""
+    """Enable recovery in a controller that has not started yet."""
     service = RecoveryService(controller, settings)
     controller.context.recovery = service
     controller.partition_leaders.recovery_of = service.for_partition
@@ -43,7 +42,7 @@
 
 
 class RecoveryService(recovery_hooks.Recovery):
-    """Looks after the recovery of all partitions that this controller leads."""
+    """Runs the recovery of all partitions that this controller leads."""
 
     def __init__(self, controller: Controller, settings: RecoverySettings) -> None:
         self._controller, self._context = controller, controller.context
@@ -54,16 +53,16 @@
             settings=settings,
             inventory=controller.fleet.inventory,
             records_read_at=lambda: controller.reader.contact,
-            peers_heard_since=self._peers_heard_since,
-            gate_is_open=self._gate.is_open_for,
-            note_lost_writes=self._note_lost_writes,
+            peer_states_as_of=self._peer_states_as_of,
+            can_place=self._gate.is_open_for,
+            report_lost_writes=self._handle_lost_writes,
         )
 
-    # What the core asks.
+    # Called by the core.
 
     def for_partition(self, leader: PartitionLeader) -> PartitionRecovery:
-        """Begin the recovery of a partition that was just acquired."""
-        self._gate.note_partition_acquired()
+        """Start the recovery of a partition that was just acquired."""
+        self._gate.record_acquisition()
         partition = PartitionRecovery(
             leader,
             self._environment,
@@ -81,100 +80,105 @@
         return partition
 
     def defers_allocation(self, job: str) -> bool:
-        """Tell whether a job that nobody holds is not offered for now: a machine may have it."""
+        """Return whether a job that no partition holds must wait: a machine may already run it."""
         return not self._gate.is_open_for(job) or any(
             partition.held_attempts.indexes(job) for partition in self._partitions.values()
         )
 
     def knows_jobs(self) -> bool:
-        """Tell whether a job that no record names is known to be none.
+        """Return whether a job that no record names is known not to exist.
 
-        It is not before the machines are known: one may run a job that the records have lost.
+        It is not while the gate is closed: a machine may run a job that the records have lost.
         """
         return self._gate.is_open
 
-    def gate_is_open(self, job: str) -> bool:
-        """Tell whether a job may be given machines."""
+    def can_place(self, job: str) -> bool:
+        """Return whether the tasks of a job may be placed on machines."""
         return self._gate.is_open_for(job)
 
     # The loop.
 
     async def run(self) -> None:
-        """Look after the partitions for as long as the controller runs."""
+        """Run the recovery of the partitions for as long as the controller runs."""
         while True:
-            await clock.pause(LOOK_EVERY)
+            await clock.pause(POLL_INTERVAL)
             try:
-                await self._look(clock.now())
+                await self._poll(clock.now())
             except (RefusedError, NoAnswerError, UnavailableError) as error:
                 log.debug("state-store-unavailable", error=str(error)[:MAX_LOGGED_ERROR])
-            except Exception:  # work from before waits for this loop: it must go on
+            except Exception:  # inherited jobs wait for this loop, so it must not end
                 log.crash("recovery-failed")
 
-    async def _look(self, now: datetime) -> None:
-        for name in [name for name, row in self._partitions.items() if not self._is_ours(row)]:
+    async def _poll(self, now: datetime) -> None:
+        for name in [name for name, row in self._partitions.items() if not self._is_led_here(row)]:
             del self._partitions[name]
         for partition in list(self._partitions.values()):
             with partition.leader.lock:
                 partition.advance(now)
-                partition.decide_held(now)
+                partition.decide_held_attempts(now)
         self._gate.update(now)
         for partition in list(self._partitions.values()):
-            await self._look_for_lost_terms(partition)
+            await self._check_for_lost_terms(partition)
             await self._read_ends(partition)
             await self._records.publish_unrecorded(partition)
-            await self._records.record_progress(partition, inherited=self._gate.has_inherited)
+            await self._records.record_progress(
+                partition, has_inherited_jobs=self._gate.has_inherited_jobs
+            )
 
-    def _is_ours(self, partition: PartitionRecovery) -> bool:
+    def _is_led_here(self, partition: PartitionRecovery) -> bool:
         leader = partition.leader
         return self._context.election.leadership(leader.partition) == leader.leadership
 
-    def _peers_heard_since(self) -> datetime | None:
-        """Return since when every live controller was heard; now where there is none."""
+    def _peer_states_as_of(self) -> datetime | None:
+        """Return the earliest request time of the latest heartbeats of live peers.
+
+        That is now if there are none.
+        """
         now = clock.now()
-        heard = [
+        requested_at = [
             link.peer_state.requested_at
             for link in self._controller.peers.links.values()
             if link.alive(now) and link.peer_state.requested_at is not None
         ]
-        return min(heard, default=now)
+        return min(requested_at, default=now)
 
     # Lost writes.
 
-    def _note_lost_writes(self, partition: str) -> None:
-        self._gate.note_lost_writes(partition)
+    def _handle_lost_writes(self, partition: str) -> None:
+        self._gate.record_lost_writes(partition)
         for recovery in self._partitions.values():
             recovery.gather_again()
 
-    async def _look_for_lost_terms(self, partition: PartitionRecovery) -> None:
-        """Find out whether the records have lost a term that machines have seen.
+    async def _check_for_lost_terms(self, partition: PartitionRecovery) -> None:
+        """Check whether the records have lost a term that machines have seen.
 
-        They have if a read that began since then shows our term as the latest. Then the partition
-        is acquired again, under a term above all that were seen.
+        They have if a read that began after the machines' reports still shows this leader's term as
+        the latest. Then the partition is acquired again, under a term above all those seen.
         """
         if partition.terms_in_use.since is None:
             return
-        with trio.move_on_after(READ_BARRIER_SECONDS) as scope:
+        with trio.move_on_after(READ_BARRIER_TIMEOUT_S) as scope:
             await self._context.reader.read_barrier()
-        if scope.cancelled_caught or not self._is_ours(partition):
+        if scope.cancelled_caught or not self._is_led_here(partition):
             return
         leader = partition.leader
         term = self._context.view.terms.get(leader.partition)
         if term is None or term.number != leader.leadership.term:
             return
-        seen = partition.terms_in_use.take_highest()
+        highest = partition.terms_in_use.pop_highest()
         log.error(
-            "lost-term-detected", partition=leader.partition, term=term.number, seen_term=seen
+            "lost-term-detected", partition=leader.partition, term=term.number, seen_term=highest
         )
-        self._note_lost_writes(leader.partition)
-        self._context.election.raise_term_above(leader.partition, seen)
+        self._handle_lost_writes(leader.partition)
+        self._context.election.raise_term_above(leader.partition, highest)
 
     async def _read_ends(self, partition: PartitionRecovery) -> None:
-        """Find out whether jobs that no record names as live have ended."""
-        asked: set[str] = set()
+        """Read whether the jobs of held attempts that are not live have a recorded final state."""
+        queried_jobs: set[str] = set()
         for held in partition.held_attempts.all():
-            if held.job_over is not None or held.job in self._context.view.jobs:
+            if held.job_ended is not None or held.job in self._context.view.jobs:
                 continue
-            if held.job not in asked and len(asked) >= MAX_READS_A_LOOK:
+            if held.job not in queried_jobs and len(queried_jobs) >= MAX_READS_PER_POLL:
                 return
-            asked.add(held.job)
-            held.job_over = await self._context.state.get(keys.job_end_key(held.job)) is not None
+            queried_jobs.add(held.job)
+            held.job_ended = await self._context.state.get(keys.job_end_key(held.job)) is not None
--- a/roadbend/recovery/settings.py
+++ b/roadbend/recovery/settings.py
@@ -12,10 +12,10 @@
 
 @dataclass(frozen=True)
 class RecoverySettings:
-    """How recovery waits and settles. Durations are written in seconds."""
+    """Time limits and batch sizes of recovery. Durations are written in seconds."""
 
     gather_most: timedelta = seconds(
-        8, 1, 120, "how long machines are waited for after a part was taken, at the most"
+        8, 1, 120, "longest wait for the machines of a partition after it was acquired"
     )
     answer_most: timedelta = seconds(
         3, 0.5, 10, "how long an unrecorded attempt is held for an answer about its job"
@@ -24,10 +24,10 @@
         12, 0, 60, "how long an attempt of a job in no record is held for a late submission"
     )
     cold_within: timedelta = seconds(
-        30, 5, 600, "controllers that are all younger than this have restarted together"
+        30, 5, 600, "controllers that have all run for less than this have restarted together"
     )
     hold_most: int = number(
-        4096, 0, 100_000, "most unrecorded attempts of a part that are held at once"
+        4096, 0, 100_000, "most unrecorded attempts of a partition that are held at once"
     )
     settle_least: int = number(8, 1, 1000, "adoptions in one transaction to begin with")
     settle_most: int = number(256, 1, 10_000, "most adoptions in one transaction")
--- a/roadbend/recovery/settlement.py
+++ b/roadbend/recovery/settlement.py
@@ -1,6 +1,6 @@
 """How each kind of difference is settled, and why that is safe.
 
-The controllers follow this table while they run; operators see it in `recovery plan`.
+Operators see this table in `recovery plan`; the code of the controllers implements it.
 """
 
 from dataclasses import dataclass
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True)
 class Settlement:
-    """One settlement: the step, how many orders a worker gets by it, and why it is safe."""
+    """A settlement: the step, how many orders the worker receives, and why the step is safe."""
 
     step: Step
     orders: int
@@ -77,11 +77,11 @@
 
 
 def plan(comparison: Comparison, services: frozenset[str] = frozenset()) -> list[PlannedStep]:
-    """Return what would be done, in order: services first, then by kind and machine."""
+    """Return the steps in the order of execution: services first, then by kind and machine."""
     steps = [PlannedStep(row, SETTLEMENTS[row.kind]) for row in comparison.differences]
-    steps.sort(key=lambda step: not _is_of(step.difference, services))
+    steps.sort(key=lambda step: not _belongs_to(step.difference, services))
     return steps
 
 
-def _is_of(row: Difference, jobs: frozenset[str]) -> bool:
+def _belongs_to(row: Difference, jobs: frozenset[str]) -> bool:
     return row.task is not None and row.task.job in jobs
--- a/roadbend/recovery/survey.py
+++ b/roadbend/recovery/survey.py
@@ -1,7 +1,7 @@
-"""Compares records and machines from outside the controllers, and changes nothing.
+"""Compares records and machines from outside the controllers, without changing anything.
 
-Records are read from the state store, machines are listed by the cloud and asked themselves
-(`GET /inspect`). So an operator sees what differs also while no controller is up.
+Records are read from the state store; machines are listed by the cloud and queried directly
+(`GET /inspect`). So an operator sees the differences even while no controller is running.
 """
 
 from __future__ import annotations
@@ -24,8 +24,8 @@
     DesiredState,
     ObservedState,
     Presence,
-    Recorded,
-    Reported,
+    RecordedAttempt,
+    ReportedAttempt,
     TaskId,
     compare,
 )
@@ -35,24 +35,23 @@
 from roadbend.store.record_view import RecordView
 from roadbend.store.request_budget import RequestBudget
 
-# Machines asked at once, and how long one may take.
-MAX_ASKED = 48
+MAX_CONCURRENT_QUERIES = 48
 ANSWER_TIMEOUT = timedelta(seconds=2)
 
 
 @dataclass(frozen=True)
 class PartitionStatus:
-    """How far the recovery of a partition is, by the records."""
+    """The progress of a partition's recovery, by the records."""
 
     partition: str
     owner: str | None
     term: int
     phase: str
     lost_writes: bool = False
-    # Machines.
+    # Numbers of machines: those that have sent a heartbeat, and all expected ones.
     heard: int = 0
     expected: int = 0
-    # Since the term began.
+    # Since the beginning of the term.
     seconds: float = 0.0
     # By kind.
     differences: dict[str, int] = field(default_factory=dict)
@@ -60,7 +59,7 @@
 
 @dataclass(frozen=True)
 class PartitionSurvey:
-    """What differs in one partition."""
+    """The differences of one partition."""
 
     partition: str
     comparison: Comparison
@@ -71,8 +70,8 @@
 
 @dataclass
 class _PartitionState:
-    recorded: set[Recorded] = field(default_factory=set)
-    reported: set[Reported] = field(default_factory=set)
+    recorded: set[RecordedAttempt] = field(default_factory=set)
+    reported: set[ReportedAttempt] = field(default_factory=set)
     machines: dict[str, Presence] = field(default_factory=dict)
 
 
@@ -81,7 +80,7 @@
 
 
 class Surveyor:
-    """Reads what an operator wants to know."""
+    """Reads the state of recovery and the differences for an operator."""
 
     def __init__(self, settings: PlatformSettings, net: Net) -> None:
         self._settings, self._net = settings, net
@@ -96,7 +95,7 @@
         )
 
     async def read_records(self) -> RecordView:
-        """Return all records of what is live; raise `SurveyError`."""
+        """Return all live records; raise `SurveyError`."""
         try:
             rows, revision = await self._state.read_all(keys.LIVE)
         except (NoAnswerError, RefusedError) as error:
@@ -106,7 +105,7 @@
         return view
 
     async def status(self) -> list[PartitionStatus]:
-        """Return how far each partition's recovery is, as its leader recorded it."""
+        """Return the progress of each partition's recovery, as its leader recorded it."""
         view = await self.read_records()
         return [self._status_of(view, partition) for partition in sorted(view.terms)]
 
@@ -130,7 +129,7 @@
         )
 
     async def survey(self) -> list[PartitionSurvey]:
-        """Return what differs now, partition by partition; raise `SurveyError`."""
+        """Return the current differences of each partition; raise `SurveyError`."""
         view = await self.read_records()
         listed = await self._list_machines()
         partitions: dict[str, _PartitionState] = {}
@@ -139,8 +138,8 @@
             for machine, rows in machines.items():
                 state.machines[machine] = Presence.GONE
                 for (job, index), (_, attempt) in rows.items():
-                    state.recorded.add(Recorded(TaskId(job, index), attempt.number, machine))
-        await self._ask_all(listed, partitions)
+                    state.recorded.add(RecordedAttempt(TaskId(job, index), attempt.number, machine))
+        await self._query_machines(listed, partitions)
         live = frozenset(view.jobs)
         services = frozenset(name for name, job in view.jobs.items() if job.spec.service)
         return [
@@ -152,7 +151,13 @@
                 ),
                 services,
                 len(state.machines),
-                tuple(sorted(n for n, p in state.machines.items() if p is Presence.SILENT)),
+                tuple(
+                    sorted(
+                        machine
+                        for machine, presence in state.machines.items()
+                        if presence is Presence.SILENT
+                    )
+                ),
             )
             for partition, state in sorted(partitions.items())
         ]
@@ -163,16 +168,16 @@
         except (NoAnswerError, CloudBusyError) as error:
             raise SurveyError(f"cloud: {error}") from None
 
-    async def _ask_all(
+    async def _query_machines(
         self, listed: list[ListedMachine], partitions: dict[str, _PartitionState]
     ) -> None:
-        limit = trio.CapacityLimiter(MAX_ASKED)
+        limit = trio.CapacityLimiter(MAX_CONCURRENT_QUERIES)
         async with trio.open_nursery() as nursery:
             for row in listed:
                 state = partitions.setdefault(row.zone, _PartitionState())
-                nursery.start_soon(self._ask, limit, row, state)
+                nursery.start_soon(self._query_machine, limit, row, state)
 
-    async def _ask(
+    async def _query_machine(
         self, limit: trio.CapacityLimiter, row: ListedMachine, state: _PartitionState
     ) -> None:
         if row.status != "running":
@@ -183,10 +188,10 @@
             heartbeat = await self._inspect(row)
         state.machines[row.id] = Presence.SILENT if heartbeat is None else Presence.HEARD
         for task in heartbeat.tasks if heartbeat is not None else ():
-            shown = Reported(
+            reported = ReportedAttempt(
                 TaskId(task.job, task.task_index), task.attempt, row.id, task.state == "ended"
             )
-            state.reported.add(shown)
+            state.reported.add(reported)
 
     async def _inspect(self, row: ListedMachine) -> messages.WorkerHeartbeat | None:
         if not row.address:
--- a/roadbend/recovery/test_commands.py
+++ b/roadbend/recovery/test_commands.py
@@ -15,8 +15,8 @@
 from roadbend.recovery.settings import RecoverySettings
 
 
-async def ask(w, capsys, command, **options):
-    """Return what a command prints, and its exit status."""
+async def run_command(w, capsys, command, **options):
+    """Return the exit status of a command, and what it prints."""
     arguments = Namespace(command=command, json=True, **options)
     capsys.readouterr()
     status = await commands.run(settings_for(0, 3), w.network.port("operator"), arguments)
@@ -29,7 +29,7 @@
         assert await w.submit(0, job(1, legs=2, shape="daemon", dueS=None), None) == 201
         assert await w.until(lambda: len(w.board.running("run-000001")) == 2, 60)
         await trio.sleep(3)
-        status, out = await ask(w, capsys, "differences")
+        status, out = await run_command(w, capsys, "differences")
         assert status == 0 and not any(json.loads(out.out).values())
         for at in range(3):
             w.crash(at)
@@ -41,24 +41,24 @@
         del worker.tasks[(first.name, first.attempt)]
         w.board.leave(first.name, worker.machine)
         first.scope.cancel()
-        status, out = await ask(w, capsys, "plan")
+        status, out = await run_command(w, capsys, "plan")
         found = [row for rows in json.loads(out.out).values() for row in rows]
         assert [(row["kind"], row["step"]) for row in found] == [("missing", "order-again")]
         del w.state.keys[key]
-        status, out = await ask(w, capsys, "differences")
+        status, out = await run_command(w, capsys, "differences")
         found = [row["kind"] for rows in json.loads(out.out).values() for row in rows]
         assert found == ["unrecorded"]
-        status, out = await ask(w, capsys, "differences", every=1.0, looks=3)
-        looks = [json.loads(line) for line in out.out.splitlines()]
-        assert [row["open"] for row in looks] == [1, 1, 1] and len(looks[-1]["staying"]) == 1
-        # Nothing was changed by looking.
+        status, out = await run_command(w, capsys, "differences", every=1.0, looks=3)
+        polls = [json.loads(line) for line in out.out.splitlines()]
+        assert [row["open"] for row in polls] == [1, 1, 1] and len(polls[-1]["staying"]) == 1
+        # The commands have changed nothing.
         assert len(w.board.received) == orders
         w.start(0)
         assert await w.until(lambda: "r/recovery/east" in w.state.keys, 30)
-        status, out = await ask(w, capsys, "status")
+        status, out = await run_command(w, capsys, "status")
         rows = {row["part"]: row for row in json.loads(out.out)}
         assert rows["east"]["phase"] in ("gathering", "settling", "settled")
-        # The slice record is gone, and the machine that runs its other task says so.
+        # The shard's record is lost, and the machine that runs its other task shows that.
         assert rows["east"]["lost_writes"] is True
 
 
--- a/roadbend/recovery/test_differences.py
+++ b/roadbend/recovery/test_differences.py
@@ -1,4 +1,4 @@
-"""The comparison, the settlements, the phases, and what becomes of unrecorded attempts."""
+"""The comparison, the settlements, the phases, and the decisions on unrecorded attempts."""
 
 import random
 from dataclasses import fields, replace
@@ -13,8 +13,8 @@
     Kind,
     ObservedState,
     Presence,
-    Recorded,
-    Reported,
+    RecordedAttempt,
+    ReportedAttempt,
     TaskId,
     compare,
 )
@@ -32,8 +32,8 @@
 
 S = timedelta(seconds=1)
 TASK, OTHER = TaskId("run-000001", 0), TaskId("run-000002", 0)
-RECORDED = Recorded(TASK, 7, "m-1")
-RUNS, ENDED = Reported(TASK, 7, "m-1", False), Reported(TASK, 7, "m-1", True)
+RECORDED = RecordedAttempt(TASK, 7, "m-1")
+RUNNING, ENDED = ReportedAttempt(TASK, 7, "m-1", False), ReportedAttempt(TASK, 7, "m-1", True)
 HEARD = {"m-1": Presence.HEARD}
 
 
@@ -48,31 +48,31 @@
 @pytest.mark.parametrize(
     "recorded, reported, machines, live, expected",
     [
-        ([RECORDED], [RUNS], HEARD, ["run-000001"], []),
+        ([RECORDED], [RUNNING], HEARD, ["run-000001"], []),
         ([RECORDED], [], HEARD, ["run-000001"], [Kind.MISSING]),
-        # Its job is over, and it is not there: only the record is left.
+        # Its job has ended, and its machine lacks it: only the record is left.
         ([RECORDED], [], HEARD, [], [Kind.ENDED]),
         ([RECORDED], [ENDED], HEARD, ["run-000001"], [Kind.ENDED]),
-        ([RECORDED], [RUNS], HEARD, [], [Kind.CANCELLED]),
-        ([], [RUNS], HEARD, ["run-000001"], [Kind.UNRECORDED]),
-        # What ended and is in no record is merely forgotten on its machine.
+        ([RECORDED], [RUNNING], HEARD, [], [Kind.CANCELLED]),
+        ([], [RUNNING], HEARD, ["run-000001"], [Kind.UNRECORDED]),
+        # An unrecorded attempt that has ended needs no settlement: its machine discards it.
         ([], [ENDED], HEARD, ["run-000001"], []),
         (
             [RECORDED],
-            [RUNS, Reported(TASK, 3, "m-2", False)],
+            [RUNNING, ReportedAttempt(TASK, 3, "m-2", False)],
             {**HEARD, "m-2": Presence.HEARD},
             ["run-000001"],
             [Kind.SUPERSEDED],
         ),
         (
             [],
-            [RUNS, Reported(TASK, 3, "m-2", False)],
+            [RUNNING, ReportedAttempt(TASK, 3, "m-2", False)],
             {**HEARD, "m-2": Presence.HEARD},
             ["run-000001"],
             [Kind.ON_TWO_MACHINES, Kind.ON_TWO_MACHINES],
         ),
         ([RECORDED], [], {"m-1": Presence.SILENT}, ["run-000001"], [Kind.MACHINE_SILENT]),
-        # A machine that nobody has listed or heard is silent, not gone.
+        # A machine that was neither listed nor sent a heartbeat is silent, not gone.
         ([RECORDED], [], {}, ["run-000001"], [Kind.MACHINE_SILENT]),
         ([RECORDED], [], {"m-1": Presence.GONE}, ["run-000001"], [Kind.MACHINE_GONE]),
         ([], [], {"m-9": Presence.SILENT}, [], [Kind.MACHINE_UNKNOWN]),
@@ -85,8 +85,8 @@
 
 def test_the_order_of_what_is_compared_does_not_matter():
     rng = random.Random(4)
-    recorded = [Recorded(TaskId("run-000001", n), n, f"m-{n % 5}") for n in range(40)]
-    reported = [Reported(*row, False) for row in recorded if row.attempt % 3]
+    recorded = [RecordedAttempt(TaskId("run-000001", n), n, f"m-{n % 5}") for n in range(40)]
+    reported = [ReportedAttempt(*row, False) for row in recorded if row.attempt % 3]
     machines = {f"m-{n}": Presence.HEARD for n in range(5)}
     desired = DesiredState(frozenset(recorded), frozenset({"run-000001"}))
     found = compare(desired, ObservedState(frozenset(reported), machines))
@@ -100,7 +100,7 @@
 
 def test_every_kind_has_one_settlement_and_services_come_first():
     assert set(SETTLEMENTS) == set(Kind) - {Kind.MATCHING}
-    recorded = [Recorded(TASK, 7, "m-1"), Recorded(OTHER, 8, "m-1")]
+    recorded = [RecordedAttempt(TASK, 7, "m-1"), RecordedAttempt(OTHER, 8, "m-1")]
     found = compare(
         DesiredState(frozenset(recorded), frozenset({"run-000001", "run-000002"})),
         ObservedState(frozenset(), HEARD),
@@ -115,10 +115,10 @@
     gathering = Gathering(at, at + 8 * S)
     missing = Evidence(frozenset({"a", "b"}), frozenset({"a"}), frozenset(), True)
     assert gathering.next(missing, at + S) is gathering
-    explained = replace(missing, explained=frozenset({"b"}))
-    assert gathering.next(explained, at + S) == Comparing(at, True)
-    # Without the cloud's list nobody knows whom to expect.
-    assert gathering.next(replace(explained, list_was_read=False), at + S) is gathering
+    known_absent = replace(missing, known_absent=frozenset({"b"}))
+    assert gathering.next(known_absent, at + S) == Comparing(at, True)
+    # Without the cloud's list the expected machines are not known.
+    assert gathering.next(replace(known_absent, is_list_read=False), at + S) is gathering
     assert gathering.next(missing, at + 8 * S) == Comparing(at, False)
 
 
@@ -130,21 +130,21 @@
 
 LIVE = Facts(
     records_read=True,
-    peers_heard=True,
+    peers_replied=True,
     superseded=False,
-    job_lives=True,
-    job_over=None,
+    is_job_live=True,
+    job_ended=None,
     gang=False,
-    shows_done=False,
-    machine_current=True,
+    reported_done=False,
+    machine_confirmed=True,
     machine_allowed=True,
-    also_elsewhere=False,
-    higher_elsewhere=False,
+    on_other_machines=False,
+    higher_attempt_elsewhere=False,
     machines_known=True,
-    within_limit=True,
-    waited=S,
+    within_quota=True,
+    held_for=S,
 )
-UNKNOWN = replace(LIVE, job_lives=False, job_over=False)
+UNKNOWN = replace(LIVE, is_job_live=False, job_ended=False)
 BOUNDS = Bounds(answer=3 * S, late_write=12 * S)
 
 
@@ -153,24 +153,24 @@
     [
         (LIVE, {}, Decision.ADOPT),
         (LIVE, {"records_read": False}, Decision.HOLD),
-        (LIVE, {"peers_heard": False}, Decision.HOLD),
-        (LIVE, {"peers_heard": False, "waited": 3 * S}, Decision.ADOPT),
+        (LIVE, {"peers_replied": False}, Decision.HOLD),
+        (LIVE, {"peers_replied": False, "held_for": 3 * S}, Decision.ADOPT),
         (LIVE, {"superseded": True}, Decision.STOP),
         (LIVE, {"gang": True}, Decision.STOP),
-        (LIVE, {"shows_done": True}, Decision.RECORD_DONE),
+        (LIVE, {"reported_done": True}, Decision.RECORD_DONE),
         (LIVE, {"machine_allowed": False}, Decision.STOP),
-        (LIVE, {"machine_current": False}, Decision.HOLD),
-        # A machine that was not heard yet may have the same task.
+        (LIVE, {"machine_confirmed": False}, Decision.HOLD),
+        # A machine without a heartbeat so far may run the same task.
         (LIVE, {"machines_known": False}, Decision.HOLD),
-        (LIVE, {"also_elsewhere": True}, Decision.HOLD),
-        (LIVE, {"also_elsewhere": True, "higher_elsewhere": True}, Decision.STOP),
-        (LIVE, {"within_limit": False}, Decision.STOP),
+        (LIVE, {"on_other_machines": True}, Decision.HOLD),
+        (LIVE, {"on_other_machines": True, "higher_attempt_elsewhere": True}, Decision.STOP),
+        (LIVE, {"within_quota": False}, Decision.STOP),
         (UNKNOWN, {}, Decision.HOLD),
-        (UNKNOWN, {"waited": 12 * S}, Decision.STOP),
-        # Its user may have been told that it is cancelled.
-        (UNKNOWN, {"job_over": True}, Decision.STOP),
-        (UNKNOWN, {"job_over": None}, Decision.HOLD),
-        (UNKNOWN, {"job_over": None, "waited": 3 * S}, Decision.STOP),
+        (UNKNOWN, {"held_for": 12 * S}, Decision.STOP),
+        # Its user may have been notified that it is cancelled.
+        (UNKNOWN, {"job_ended": True}, Decision.STOP),
+        (UNKNOWN, {"job_ended": None}, Decision.HOLD),
+        (UNKNOWN, {"job_ended": None, "held_for": 3 * S}, Decision.STOP),
     ],
 )
 def test_an_unrecorded_attempt_is_never_stopped_at_once_or_adopted_from_a_report_alone(
@@ -189,7 +189,7 @@
             attempt=7,
             machine=f"m-{n}",
             since=clock.ORIGIN,
-            shows_done=False,
+            reported_done=False,
         )
         for n in range(3)
     ]
@@ -203,14 +203,14 @@
 
 
 def test_the_pace_grows_while_it_succeeds_and_halves_when_it_fails():
-    pace = AdaptiveBound(8, 32)
-    pace.succeeded(100)
-    assert pace.value == 32
-    pace.failed()
-    assert pace.value == 16
+    bound = AdaptiveBound(8, 32)
+    bound.record_success(100)
+    assert bound.value == 32
+    bound.record_failure()
+    assert bound.value == 16
     for _ in range(5):
-        pace.failed()
-    assert pace.value == 8
+        bound.record_failure()
+    assert bound.value == 8
 
 
 def test_a_watch_tells_new_settled_and_staying_and_merges_ages():
@@ -219,10 +219,10 @@
     at = clock.ORIGIN
     first, second = Difference(Kind.MISSING, "m-1", TASK, 7), Difference(Kind.MACHINE_SILENT, "m-2")
     watch = Watch()
-    assert watch.look([first, second], at).new == (first, second)
-    assert watch.look([second], at + 5 * S).settled == 1
-    assert watch.look([second], at + 10 * S).staying == (second,)
+    assert watch.update([first, second], at).new == (first, second)
+    assert watch.update([second], at + 5 * S).settled == 1
+    assert watch.update([second], at + 10 * S).persistent == (second,)
     assert watch.age_quantile(0.5) == 5.0
     other = Watch()
-    other.merge(watch.ages())
+    other.merge_ages(watch.serialize_ages())
     assert other.age_quantile(0.99) == 5.0
--- a/roadbend/recovery/test_recovery.py
+++ b/roadbend/recovery/test_recovery.py
@@ -1,4 +1,4 @@
-"""Controllers that return after all have ended, with recovery switched on, in memory."""
+"""Cold restarts: all controllers stop and start again with recovery enabled, in memory."""
 
 from contextlib import asynccontextmanager
 from dataclasses import replace
@@ -14,7 +14,7 @@
 from roadbend.fleet.messages import HeartbeatPosition, WorkerHeartbeat
 from roadbend.fleet.terminations import TaskKey
 from roadbend.placement.leader import PartitionLeader
-from roadbend.recovery.partition import KILL_AGAIN
+from roadbend.recovery.partition import KILL_RETRY_DELAY
 from roadbend.recovery.service import install
 from roadbend.recovery.settings import RecoverySettings, load
 from roadbend.recovery.unrecorded import HeldAttempt
@@ -33,7 +33,7 @@
 
 @asynccontextmanager
 async def running(*bodies, **changes):
-    """Run a deployment with recovery in which these jobs run."""
+    """Start a deployment with recovery enabled, and wait until these jobs run on it."""
     async with world(equip=equip, teams=TEAMS, caches_images=True, **changes) as w:
         for n, body in enumerate(bodies):
             assert await w.submit(n % 3, body, None) == 201
@@ -54,24 +54,24 @@
         w.start(at)
 
 
-def cut(w, machines, length):
-    """Have machines reach no controller for a while."""
+def isolate_machines(w, machines, seconds):
+    """Make machines unreachable for all controllers for a while."""
     controllers = [f"node-{at}" for at in range(3)]
     pairs = [(machine, controller) for machine in machines for controller in controllers]
-    w.nursery.start_soon(w.cut_pairs, pairs, length)
+    w.nursery.start_soon(w.cut_pairs, pairs, seconds)
 
 
-def drop(w, *prefixes):
-    """Have the state store lose records."""
+def lose_records(w, *prefixes):
+    """Remove the records with these key prefixes from the state store."""
     for key in [key for key in w.state.keys if key.startswith(prefixes)]:
         del w.state.keys[key]
 
 
 @pytest.mark.parametrize("case", sorted(HARD_CASES))
 async def test_each_hard_case_passes_and_happens(case):
-    heartbeat = await play_here(scenario(5, 18, True, (case,)), equip)
-    assert heartbeat.verdict.passed, heartbeat.text()
-    happens = {
+    report = await play_here(scenario(5, 18, True, (case,)), equip)
+    assert report.verdict.passed, report.text()
+    expected = {
         "cancelled": "cancelled",
         "starts-on-their-way": "missing",
         "gangs-gathering": "missing",
@@ -80,17 +80,17 @@
         "machines-end": "silent",
         "machines-hang": "silent",
     }
-    if case in happens:
-        assert heartbeat.measured.differences[happens[case]], heartbeat.text()
+    if case in expected:
+        assert report.measured.differences[expected[case]], report.text()
 
 
 async def test_an_unrecorded_attempt_is_adopted_where_it_runs():
-    """Without holding it, it is stopped at the first report, and begins again elsewhere."""
+    """If it is not held, it is stopped at the first heartbeat and started again elsewhere."""
     async with running(job(1, legs=3, **SERVICE), job(2, legs=2, **SERVICE)) as w:
         before = {task: set(homes) for task, homes in w.board.where.items()}
         starts = len(w.board.starts)
         stop_all(w)
-        drop(w, "r/slice/")
+        lose_records(w, "r/slice/")
         start_all(w)
         assert await w.until(lambda: len(recorded_attempts(w.state)) == 5, 30)
         await trio.sleep(10)
@@ -103,7 +103,7 @@
         (worker,) = [x for x in w.workers() if x.tasks]
         task = next(iter(worker.tasks.values()))
         stop_all(w)
-        drop(w, "r/slice/")
+        lose_records(w, "r/slice/")
         worker.end(task, "done")
         starts = len(w.board.starts)
         start_all(w)
@@ -118,30 +118,31 @@
     async with running(gang(1, 4)) as w:
         w.board.lengths["run-000001"] = None
         stop_all(w)
-        drop(w, "r/slice/")
+        lose_records(w, "r/slice/")
         starts = len(w.board.starts)
         start_all(w)
         assert await w.until(lambda: len(w.board.starts) == starts + 4, 90)
 
 
 async def test_a_team_at_its_limit_is_not_taken_beyond_it_by_an_adoption():
-    """What others began meanwhile counts first; the rules' judge looks at the limit."""
+    """The checker of the rules verifies the limit; other starts meanwhile count first."""
     async with running(job(1, legs=4, crew="blue", **SERVICE)) as w:
         stop_all(w)
-        drop(w, "r/slice/", "r/team/")
+        lose_records(w, "r/slice/", "r/team/")
         start_all(w)
         assert await w.until(lambda: len(recorded_attempts(w.state)) == 4, 60)
 
 
 async def test_a_job_in_no_record_is_not_accepted_anew_before_it_has_stopped():
-    """Else its tasks could begin on other machines beside the old ones."""
+    """Otherwise its tasks could be started on other machines while the old attempts still run."""
     async with running(job(1, legs=2, **SERVICE)) as w:
         stop_all(w)
-        drop(w, "r/slice/", "r/job/run-000001")
+        lose_records(w, "r/slice/", "r/job/run-000001")
         start_all(w)
 
         async def published():
-            # Before the machines are known nobody says that there is no such job (the judge looks).
+            # Before the machines are known no controller may answer that the job does not exist; a
+            # checker verifies that.
             for at in range(3):
                 await w.call(at, "GET", "/v1/jobs/run-000001")
             return "r/unrecorded/run-000001" in w.state.keys
@@ -163,7 +164,7 @@
 async def test_a_machine_that_began_anew_does_not_keep_a_job_in_no_record_from_being_accepted():
     async with running(job(1, legs=1, **SERVICE)) as w:
         stop_all(w)
-        drop(w, "r/slice/", "r/job/run-000001")
+        lose_records(w, "r/slice/", "r/job/run-000001")
         start_all(w)
         assert await w.until(lambda: "r/unrecorded/run-000001" in w.state.keys, 30)
         (machine,) = w.board.where["run-000001/0"]
@@ -175,7 +176,7 @@
 async def test_a_job_cancelled_while_nobody_listened_is_stopped_though_no_record_names_its_task():
     async with running(job(1, legs=1, **SERVICE)) as w:
         stop_all(w)
-        drop(w, "r/slice/", "r/job/run-000001")
+        lose_records(w, "r/slice/", "r/job/run-000001")
         w.state.compare_and_swap(
             {"apply": [{"write": "fin/run-000001", "value": {"s": "aborted", "n": 0}}]}
         )
@@ -185,9 +186,9 @@
 
 
 async def test_a_term_that_the_records_lost_is_not_used_again():
-    """Machines refuse tokens below those that they have seen.
+    """Machines refuse fencing tokens below the highest that they have seen.
 
-    All of them would end their tasks with their leases.
+    If a lower term were used, all of them would end their tasks when their leases expire.
     """
     async with running(job(1, legs=4, **SERVICE)) as w:
         copy = w.state.copy_records()
@@ -203,8 +204,8 @@
         starts = len(w.board.starts)
         await trio.sleep(6)
         start_all(w)
-        # A zone without machines has nobody who saw its lost term. Without the guard a peer takes
-        # the partition over after some ten seconds, when leases have ended.
+        # In a zone without machines nothing has seen the lost term. Without the detection a peer
+        # takes the partition over after some ten seconds, when leases have ended.
         zones = {x.place.zone for x in w.workers()}
         assert await w.until(lambda: all(w._term(z) > highest[z] for z in zones), 4)
         await trio.sleep(25)
@@ -229,7 +230,7 @@
             await w.call(at, "POST", "/hello", body)
         await trio.sleep(5)
         assert w._term("east") == term
-        # One machine that shows a higher term is believed; it costs a term, and no task.
+        # A plausible higher term is accepted from a single machine; it costs a term, but no task.
         await w.call(0, "POST", "/hello", {**body, "baton": (term + 5) << 16})
         await trio.sleep(5)
         assert w._term("east") in (term, term + 6)
@@ -237,12 +238,12 @@
 
 
 async def test_work_from_before_waits_for_machines_and_new_work_does_not():
-    """A machine that is heard late may have a task that the records have lost."""
+    """A machine whose first heartbeat is late may run a task that the records have lost."""
     async with running(job(1, legs=2, yard="east", **SERVICE)) as w:
         w.cloud.boot_seconds = 0.5
         stop_all(w)
-        drop(w, "r/slice/")
-        cut(w, {m for homes in w.board.where.values() for m in homes}, 6.0)
+        lose_records(w, "r/slice/")
+        isolate_machines(w, {m for homes in w.board.where.values() for m in homes}, 6.0)
         start_all(w)
         starts = len(w.board.starts)
         assert await w.settled()
@@ -254,12 +255,12 @@
 
 
 async def test_once_writes_are_known_to_be_lost_a_machine_is_waited_for_until_its_lease_is_over():
-    """It is heard long after the usual bound, and has a task that no record names."""
+    """Its heartbeat arrives long after the usual limit, and reports a task that no record names."""
     async with running(job(1, legs=2, yard="east", gpus=2.0, **SERVICE)) as w:
         w.cloud.boot_seconds = 0.5
         stop_all(w)
-        drop(w, "r/slice/")
-        cut(w, [sorted(w.board.where["run-000001/1"])[0]], 12.5)
+        lose_records(w, "r/slice/")
+        isolate_machines(w, [sorted(w.board.where["run-000001/1"])[0]], 12.5)
         starts = len(w.board.starts)
         start_all(w)
         await trio.sleep(30)
@@ -268,16 +269,16 @@
 
 
 async def test_the_bound_on_gathering_does_not_make_machines_known():
-    """After it an attempt was adopted though a machine that was not heard might have it too."""
+    """Guards against adopting an attempt that a machine without a heartbeat may run as well."""
     async with running(job(1, legs=2, yard="east", **SERVICE)) as w:
         stop_all(w)
-        cut(w, {m for homes in w.board.where.values() for m in homes}, 30.0)
+        isolate_machines(w, {m for homes in w.board.where.values() for m in homes}, 30.0)
         start_all(w)
         await trio.sleep(11)
         partition = w.controllers["node-0"].leaders["east"].recovery
         assert partition.phase.name != "gathering"
-        assert not partition.machines_known(clock.now())
-        assert partition.machines_known(partition.leases_over())
+        assert not partition.are_machines_known(clock.now())
+        assert partition.are_machines_known(partition.leases_end_at())
 
 
 async def test_the_gate_is_shut_again_where_another_part_learns_of_lost_writes():
@@ -285,15 +286,15 @@
         stop_all(w)
         start_all(w)
         recovery = w.controllers["node-0"].context.recovery
-        assert not recovery.gate_is_open("run-000001")
-        assert await w.until(lambda: recovery.gate_is_open("run-000001"), 20)
+        assert not recovery.can_place("run-000001")
+        assert await w.until(lambda: recovery.can_place("run-000001"), 20)
         term = w._term("north")
         lost = RecoveryProgress(term, "gathering", True).to_value()
         w.state.compare_and_swap({"apply": [{"write": "r/recovery/north", "value": lost}]})
-        assert await w.until(lambda: not recovery.gate_is_open("run-000001"), 2)
+        assert await w.until(lambda: not recovery.can_place("run-000001"), 2)
         settled = RecoveryProgress(term, "settled", True).to_value()
         w.state.compare_and_swap({"apply": [{"write": "r/recovery/north", "value": settled}]})
-        assert await w.until(lambda: recovery.gate_is_open("run-000001"), 2)
+        assert await w.until(lambda: recovery.can_place("run-000001"), 2)
 
 
 async def test_a_task_that_a_machine_shows_is_placed_nowhere_else():
@@ -306,14 +307,14 @@
             attempt=7,
             machine="m-000000",
             since=clock.now(),
-            shows_done=False,
+            reported_done=False,
         )
-        waiting = Job("run-000002", controller.view.jobs["run-000001"].spec, clock.wall())
-        waiting = waiting.with_partition("east", ((0, 3),))
-        assert leader.queue.unplaced(waiting) == ((0, 3),)
+        pending = Job("run-000002", controller.view.jobs["run-000001"].spec, clock.wall())
+        pending = pending.with_partition("east", ((0, 3),))
+        assert leader.queue.unplaced(pending) == ((0, 3),)
         leader.recovery.held_attempts.add(held)
-        assert leader.queue.unplaced(waiting) == ((0, 1), (2, 3))
-        assert leader.queue.unplaced(waiting.as_gang()) == ()
+        assert leader.queue.unplaced(pending) == ((0, 1), (2, 3))
+        assert leader.queue.unplaced(pending.as_gang()) == ()
         assert controller.context.recovery.defers_allocation("run-000002")
 
 
@@ -329,13 +330,13 @@
                 attempt=7,
                 machine=machine.id,
                 since=now,
-                shows_done=False,
+                reported_done=False,
             )
         )
         heartbeat = WorkerHeartbeat(
             machine.id, "", "g2", "east", False, HeartbeatPosition(1, 1), 0, None, (), []
         )
-        # An older token proves presence only.
+        # A heartbeat with an older token only proves that the machine is up.
         machine.token.confirmed = False
         partition.record_heartbeat(machine, heartbeat, now)
         assert len(partition.held_attempts) == 1
@@ -345,57 +346,57 @@
 
 
 async def test_a_submission_is_conditional_on_the_mark_of_an_unrecorded_job():
-    """The mark may be written while a submission is on its way."""
+    """The record of an unrecorded job may be written while a submission is in flight."""
     async with running(job(1, legs=1, **SERVICE)) as w:
-        # Unseen by every view.
+        # Written without a change notification, so no record view has it.
         w.state.keys["r/unrecorded/run-000002"] = ({"v": 1, "part": "east"}, 1, None)
         assert await w.submit(0, job(2), 5.0) not in (200, 201)
 
 
-def stop_of_the_only_task(w: World) -> tuple[PartitionLeader, Machine, TaskKey, StopOrder]:
-    """Decide now to stop the one task that runs in the east; return its leader and machine, too."""
+def make_stop_order(w: World) -> tuple[PartitionLeader, Machine, TaskKey, StopOrder]:
+    """Return a stop order for the only task in zone east, with its leader, machine and key."""
     leader = w.controllers["node-0"].leaders["east"]
     (machine,) = [m for m in leader.machines.values() if m.tasks]
-    ((key, seen),) = machine.tasks.items()
-    stop = StopOrder(seen.attempt, clock.ZERO, "cancelled", clock.now(), machine.id)
+    ((key, observed),) = machine.tasks.items()
+    stop = StopOrder(observed.attempt, clock.ZERO, "cancelled", clock.now(), machine.id)
     return leader, machine, key, stop
 
 
 async def test_no_direct_kill_goes_to_what_was_just_told_or_has_ended():
-    """Every cancelled task got two kills after a restart."""
+    """Without this rule every cancelled task received two kills after a restart."""
     async with running(job(1, legs=1, yard="east", **SERVICE)) as w:
-        leader, machine, key, stop = stop_of_the_only_task(w)
-        seen, now = machine.tasks[key], stop.decided_at
+        leader, machine, key, stop = make_stop_order(w)
+        observed, now = machine.tasks[key], stop.decided_at
         assert not leader.recovery.should_delay_stop(key, stop, now)
-        stop.sent_at = now - KILL_AGAIN
+        stop.sent_at = now - KILL_RETRY_DELAY
         assert not leader.recovery.should_delay_stop(key, stop, now)
         stop.sent_at = now
         assert leader.recovery.should_delay_stop(key, stop, now)
         stop.sent_at = None
         assert leader.recovery.should_delay_stop(key, replace(stop, attempt=1), now)
-        seen.state = "ended"
+        observed.state = "ended"
         assert leader.recovery.should_delay_stop(key, stop, now)
-        seen.state = "running"
+        observed.state = "running"
 
 
 async def test_a_direct_kill_waits_for_a_machine_that_lacks_the_task_to_show_our_token():
-    """A start was recorded and never ordered before its job was cancelled.
+    """A direct kill would be redundant here.
 
-    All controllers ended, too. The machine's first heartbeat lacks it, and the answer to that
-    brings our token; the next one proves that it is terminated, so a direct kill is one order too
-    many.
+    A start was recorded, but its order was never sent; then its job was cancelled and all
+    controllers stopped. The machine's first heartbeat lacks the task, the response to it carries
+    the new fencing token, and the next heartbeat proves that the attempt has terminated.
     """
     async with running(job(1, legs=1, yard="east", **SERVICE)) as w:
-        leader, machine, key, stop = stop_of_the_only_task(w)
-        seen, now = machine.tasks[key], stop.decided_at
+        leader, machine, key, stop = make_stop_order(w)
+        observed, now = machine.tasks[key], stop.decided_at
         machine.tasks, machine.token.confirmed = {}, False
         assert leader.recovery.should_delay_stop(key, stop, now)
-        assert not leader.recovery.should_delay_stop(key, stop, now + KILL_AGAIN)
-        # A start of ours that may be on its way is followed by the kill.
-        machine.token.direct_starts[key] = DirectStart(seen.attempt, 1)
+        assert not leader.recovery.should_delay_stop(key, stop, now + KILL_RETRY_DELAY)
+        # If this leader's own start may still be in flight, the kill follows it.
+        machine.token.direct_starts[key] = DirectStart(observed.attempt, 1)
         assert not leader.recovery.should_delay_stop(key, stop, now)
         del machine.token.direct_starts[key]
-        machine.tasks, machine.token.confirmed = {key: seen}, True
+        machine.tasks, machine.token.confirmed = {key: observed}, True
 
 
 async def test_without_differences_nobody_is_told_anything():
--- a/roadbend/recovery/unrecorded.py
+++ b/roadbend/recovery/unrecorded.py
@@ -1,6 +1,6 @@
-"""What becomes of an attempt that a machine reports and no record names.
+"""Decides on an attempt that a machine reports and no record names.
 
-It is never stopped at once, and never adopted from a heartbeat alone.
+It is never stopped immediately, and never adopted on the evidence of a heartbeat alone.
 """
 
 from dataclasses import dataclass, field
@@ -9,109 +9,115 @@
 
 
 class Decision(StrEnum):
-    """What is done about an unrecorded attempt."""
+    """How to proceed with an unrecorded attempt."""
 
     HOLD = "hold"
-    # Written into the records where it runs.
+    # Write it into the records, on the machine where it runs.
     ADOPT = "adopt"
-    # Completed: written into the records as done.
+    # It has completed: mark its task as done in the records.
     RECORD_DONE = "record-done"
     STOP = "stop"
 
 
 @dataclass(frozen=True)
 class Facts:
-    """What is known of an unrecorded attempt when it is decided about."""
+    """What is known of an unrecorded attempt at the time of a decision."""
 
-    # Whether the records were read, and every live controller heard, since it was first seen.
+    # Since it was first reported: the records were read, and every live peer sent a heartbeat.
     records_read: bool
-    peers_heard: bool
-    # The records name another attempt of the task, or say that it is done.
+    peers_replied: bool
+    # The records name another attempt of the task, or mark the task as done.
     superseded: bool
-    job_lives: bool
-    # Of a job that does not live: whether it has a recorded end; None: not read yet.
-    job_over: bool | None
+    is_job_live: bool
+    # Whether a job that is not live has a recorded final state; None: not read yet.
+    job_ended: bool | None
     gang: bool
-    shows_done: bool
-    # The machine's latest heartbeat carries the leader's token, and the machine stays.
-    machine_current: bool
+    # Its machine has reported that it completed.
+    reported_done: bool
+    # The machine's latest heartbeat carries the leader's token, and the machine is not being
+    # drained, reclaimed or fenced.
+    machine_confirmed: bool
+    # The job may run on the machine.
     machine_allowed: bool
-    # Other machines that show the task: any, and one with a higher attempt.
-    also_elsewhere: bool
-    higher_elsewhere: bool
-    # Every machine of the partition was heard, or can't hold anything any more.
+    # Other machines report the task, too; one of them reports a higher attempt.
+    on_other_machines: bool
+    higher_attempt_elsewhere: bool
+    # No machine of the partition can run attempts that it has not reported.
     machines_known: bool
-    within_limit: bool
-    waited: timedelta
+    # The quota of the job's team permits another task.
+    within_quota: bool
+    held_for: timedelta
 
 
 @dataclass(frozen=True)
 class Bounds:
-    """How long an unrecorded attempt is held at the most for each reason."""
+    """How long an unrecorded attempt is held at most, by the reason for holding it."""
 
-    # For an answer of the state store or of a peer.
+    # Waiting for a response of the state store or of a peer.
     answer: timedelta
-    # For a submission of a former incarnation that may still be carried out.
+    # Waiting for a submission from a previous incarnation of a controller, which may still succeed.
     late_write: timedelta
 
 
 def decide(facts: Facts, bounds: Bounds) -> Decision:
-    """Decide about one attempt from what is known of it now."""
+    """Decide on an attempt from the facts."""
     if facts.superseded:
         return Decision.STOP
-    if not (facts.records_read and facts.peers_heard) and facts.waited < bounds.answer:
+    if not (facts.records_read and facts.peers_replied) and facts.held_for < bounds.answer:
         return Decision.HOLD
-    if facts.job_lives:
-        return _decide_of_live_job(facts)
-    return _decide_of_unknown_job(facts, bounds)
+    if facts.is_job_live:
+        return _decide_for_live_job(facts)
+    return _decide_for_unknown_job(facts, bounds)
 
 
-def _decide_of_live_job(facts: Facts) -> Decision:
+def _decide_for_live_job(facts: Facts) -> Decision:
     if facts.gang:
-        # A gang is started whole or not at all.
+        # The tasks of a gang start all together or not at all.
         return Decision.STOP
-    if facts.shows_done:
-        # Done stays true, however old the heartbeat is.
+    if facts.reported_done:
+        # Completion is final, so the age of the heartbeat does not matter.
         return Decision.RECORD_DONE
-    if not facts.machine_allowed or facts.higher_elsewhere:
+    if not facts.machine_allowed or facts.higher_attempt_elsewhere:
         return Decision.STOP
-    if not facts.machine_current or not facts.machines_known or facts.also_elsewhere:
-        # A machine that was not heard yet may have the task too.
+    if not facts.machine_confirmed or not facts.machines_known or facts.on_other_machines:
+        # A machine without a heartbeat so far may run the task as well.
         return Decision.HOLD
-    return Decision.ADOPT if facts.within_limit else Decision.STOP
+    return Decision.ADOPT if facts.within_quota else Decision.STOP
 
 
-def _decide_of_unknown_job(facts: Facts, bounds: Bounds) -> Decision:
-    if facts.job_over or facts.shows_done:
+def _decide_for_unknown_job(facts: Facts, bounds: Bounds) -> Decision:
+    if facts.job_ended or facts.reported_done:
         return Decision.STOP
-    if facts.job_over is None:
-        # Perhaps its user was told that it is cancelled: without an answer it is not kept.
-        return Decision.HOLD if facts.waited < bounds.answer else Decision.STOP
-    return Decision.HOLD if facts.waited < bounds.late_write else Decision.STOP
+    if facts.job_ended is None:
+        # Its user may have been notified of a cancellation, so it is kept only if the state store
+        # answers that there is none.
+        return Decision.HOLD if facts.held_for < bounds.answer else Decision.STOP
+    return Decision.HOLD if facts.held_for < bounds.late_write else Decision.STOP
 
 
 @dataclass
 class HeldAttempt:
-    """An unrecorded attempt that is left alone for now. `since` is a steady instant."""
+    """An unrecorded attempt that is left running for now. `since` is of the steady clock."""
 
     job: str
     index: int
     attempt: int
     machine: str
     since: datetime
-    shows_done: bool
+    reported_done: bool
     decision: Decision = Decision.HOLD
     # As in `Facts`.
-    job_over: bool | None = None
+    job_ended: bool | None = None
 
 
 @dataclass
 class HeldAttempts:
-    """The unrecorded attempts of one partition, up to a bound."""
+    """The held attempts of one partition, up to a maximum number."""
 
-    most: int
+    max_count: int
     _rows: dict[tuple[str, int, int, str], HeldAttempt] = field(default_factory=dict)
-    _indexes: dict[str, dict[int, int]] = field(default_factory=dict)
+    # By job and task index, how many attempts are held.
+    _counts: dict[str, dict[int, int]] = field(default_factory=dict)
 
     def __len__(self) -> int:
         return len(self._rows)
@@ -121,39 +127,39 @@
         return self._rows.get((job, index, attempt, machine))
 
     def add(self, held: HeldAttempt) -> bool:
-        """Hold an attempt; return False where there are too many."""
-        if len(self._rows) >= self.most:
+        """Hold an attempt; return False if the maximum is reached."""
+        if len(self._rows) >= self.max_count:
             return False
         self._rows[(held.job, held.index, held.attempt, held.machine)] = held
-        counts = self._indexes.setdefault(held.job, {})
+        counts = self._counts.setdefault(held.job, {})
         counts[held.index] = counts.get(held.index, 0) + 1
         return True
 
     def remove(self, held: HeldAttempt) -> None:
-        """Cease to hold an attempt, if it is held."""
+        """Stop holding an attempt, if it is held."""
         if self._rows.pop((held.job, held.index, held.attempt, held.machine), None) is None:
             return
-        counts = self._indexes[held.job]
+        counts = self._counts[held.job]
         counts[held.index] -= 1
         if not counts[held.index]:
             del counts[held.index]
         if not counts:
-            del self._indexes[held.job]
+            del self._counts[held.job]
 
     def all(self) -> list[HeldAttempt]:
-        """Return all of them, in the order in which they were first seen."""
+        """Return all held attempts, in the order in which they were first reported."""
         return list(self._rows.values())
 
     def indexes(self, job: str) -> set[int]:
-        """Return the tasks of a job that machines show and no record names."""
-        return set(self._indexes.get(job, ()))
+        """Return the indexes of a job's tasks that have held attempts."""
+        return set(self._counts.get(job, ()))
 
     def jobs(self) -> set[str]:
-        """Return the jobs of all of them."""
-        return set(self._indexes)
+        """Return the jobs that have held attempts."""
+        return set(self._counts)
 
     def others(self, held: HeldAttempt) -> list[HeldAttempt]:
-        """Return the attempts of the same task on other machines."""
+        """Return the held attempts of the same task on other machines."""
         return [
             row
             for row in self._rows.values()
--- a/roadbend/recovery/watch.py
+++ b/roadbend/recovery/watch.py
@@ -1,8 +1,8 @@
-"""Follows differences over several looks: what is new, what was settled, what stays.
+"""Tracks differences over several polls: which are new, settled, or persistent.
 
-Every difference gets a number once, so that each look is a compressed bitmap of some kilobytes,
-however many machines there are; ages are kept in a quantile sketch. The libraries are those of
-`requirements-recovery.txt`; controllers need neither of them.
+Every difference gets one integer id, so that a poll is stored as a compressed bitmap of a few
+kilobytes, even with many machines; ages are kept in a quantile sketch. The libraries for both are
+in `requirements-recovery.txt`; controllers need neither of them.
 """
 
 from __future__ import annotations
@@ -18,59 +18,65 @@
 from roadbend.recovery.differences import Difference
 from roadbend.recovery.index import DenseIndex
 
-# Looks that are kept, and the accuracy of the sketch (a rank error of about 1.3%).
-MOST_LOOKS, SKETCH_SIZE = 1000, 200
+# How many polls are kept, and the size parameter k of the KLL sketch (200: a rank error of about
+# 1.3%).
+MAX_POLLS, SKETCH_SIZE = 1000, 200
 
 
 @dataclass(frozen=True)
-class Look:
-    """What one look brought."""
+class PollResult:
+    """What one poll found."""
 
     open: int
     new: tuple[Difference, ...]
     settled: int
-    # Differences that were there at every one of the last looks.
-    staying: tuple[Difference, ...]
+    # Differences that were present in each of the last polls.
+    persistent: tuple[Difference, ...]
 
 
 class Watch:
-    """Differences over several looks."""
+    """Tracks differences over several polls."""
 
-    def __init__(self, stays_after: int = 3) -> None:
+    def __init__(self, persistent_after: int = 3) -> None:
         self._index = DenseIndex()
-        self._looks: deque[BitMap] = deque(maxlen=MOST_LOOKS)
+        self._polls: deque[BitMap] = deque(maxlen=MAX_POLLS)
         self._since: dict[int, datetime] = {}
-        self._stays_after = stays_after
+        self._persistent_after = persistent_after
         self._ages = kll_floats_sketch(SKETCH_SIZE)
 
-    def look(self, differences: list[Difference], now: datetime) -> Look:
-        """Take in what differs now, and return what that changes."""
-        present = BitMap(self._index.numbers(differences))
-        before = self._looks[-1] if self._looks else BitMap()
+    def update(self, differences: list[Difference], now: datetime) -> PollResult:
+        """Add the differences of a poll, and return what has changed since the previous one."""
+        present = BitMap(self._index.ids_of(differences))
+        before = self._polls[-1] if self._polls else BitMap()
         new, settled = present - before, before - present
-        for number in new:
-            self._since[number] = now
-        for number in settled:
-            self._ages.update((now - self._since.pop(number)).total_seconds())
-        self._looks.append(present)
-        return Look(len(present), self._named(new), len(settled), self._named(self._staying()))
-
-    def _staying(self) -> BitMap:
-        if len(self._looks) < self._stays_after:
+        for difference_id in new:
+            self._since[difference_id] = now
+        for difference_id in settled:
+            self._ages.update((now - self._since.pop(difference_id)).total_seconds())
+        self._polls.append(present)
+        return PollResult(
+            len(present),
+            self._differences_of(new),
+            len(settled),
+            self._differences_of(self._persistent()),
+        )
+
+    def _persistent(self) -> BitMap:
+        if len(self._polls) < self._persistent_after:
             return BitMap()
-        return BitMap.intersection(*list(self._looks)[-self._stays_after :])
+        return BitMap.intersection(*list(self._polls)[-self._persistent_after :])
 
-    def _named(self, numbers: BitMap) -> tuple[Difference, ...]:
-        return tuple(cast(Difference, self._index.name(number)) for number in numbers)
+    def _differences_of(self, ids: BitMap) -> tuple[Difference, ...]:
+        return tuple(cast(Difference, self._index.key_of(difference_id)) for difference_id in ids)
 
     def age_quantile(self, rank: float) -> float | None:
-        """Return how old differences were when they were settled, in seconds, up to one look."""
+        """Return a quantile of the ages at settlement, in seconds, to within one poll interval."""
         return None if self._ages.is_empty() else float(self._ages.get_quantile(rank))
 
-    def ages(self) -> bytes:
-        """Return the ages as a sketch, to be merged with those of other watches."""
+    def serialize_ages(self) -> bytes:
+        """Return the sketch of the ages, to be merged into that of another `Watch`."""
         return cast(bytes, self._ages.serialize())
 
-    def merge(self, ages: bytes) -> None:
-        """Take in the ages of another watch."""
-        self._ages.merge(kll_floats_sketch.deserialize(ages))
+    def merge_ages(self, serialize_ages: bytes) -> None:
+        """Merge the serialized ages of another `Watch` into this one."""
+        self._ages.merge(kll_floats_sketch.deserialize(serialize_ages))
