--- a/roadbend/tracing/__init__.py
+++ b/roadbend/tracing/__init__.py
@@ -1,4 +1,4 @@
-"""Tracing: spans of jobs, attempts and recoveries, by OpenTelemetry.
+"""Tracing: OpenTelemetry spans of jobs, attempts and recoveries.
 
-Imported only when it is switched on.
+Imported only if tracing is enabled.
 """
--- a/roadbend/tracing/export.py
+++ b/roadbend/tracing/export.py
@@ -1,4 +1,4 @@
-"""Where spans go: a bounded queue in front of a collector or a file."""
+"""Exports spans through a bounded queue to a collector or a file."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 class CountingExporter(SpanExporter):
     """Counts the spans that an exporter exported, and those that it failed to export.
 
-    Called in the exporting thread only.
+    Called only in the export thread.
     """
 
     def __init__(self, inner: SpanExporter) -> None:
@@ -30,13 +30,13 @@
         self.exported = self.failed = 0
 
     def export(self, spans: Sequence[ReadableSpan]) -> SpanExportResult:
-        """Pass the spans on.
+        """Pass the spans to the wrapped exporter.
 
-        An exporter that raises has failed with these spans only.
+        If it raises, only these spans count as failed.
         """
         try:
             result = self._inner.export(spans)
-        except Exception:  # whatever a transport raises, tracing must not end
+        except Exception:  # tracing must continue, whatever a transport raises
             result = SpanExportResult.FAILURE
         if result is SpanExportResult.SUCCESS:
             self.exported += len(spans)
@@ -50,46 +50,46 @@
 
 
 class BoundedProcessor(SpanProcessor):
-    """Exports in a thread of its own, from a bounded queue.
+    """Exports spans from a bounded queue, in a thread of its own.
 
-    Spans beyond the bound are dropped and counted, so that a collector that hangs, refuses or
-    vanishes delays nothing. `every_ms` is the longest wait before an export, `within_ms` how long
-    an export may take, both in milliseconds.
+    If the queue is full, spans are dropped and counted, so that a collector that hangs, refuses
+    requests or is unreachable delays nothing. `schedule_delay_ms` is the longest wait before an
+    export, `export_timeout_ms` the time limit of one export, both in milliseconds.
     """
 
     def __init__(
         self,
         exporter: SpanExporter,
-        queue_most: int,
-        batch_most: int,
-        every_ms: float,
-        within_ms: float,
+        max_queue_size: int,
+        max_batch_size: int,
+        schedule_delay_ms: float,
+        export_timeout_ms: float,
     ) -> None:
         self._exporter = CountingExporter(exporter)
-        self._queue_most = queue_most
+        self._max_queue_size = max_queue_size
         self._queued_total = 0
         self.dropped = 0
         self._inner = BatchSpanProcessor(
             self._exporter,
-            max_queue_size=queue_most,
-            schedule_delay_millis=every_ms,
-            max_export_batch_size=min(batch_most, queue_most),
-            export_timeout_millis=within_ms,
+            max_queue_size=max_queue_size,
+            schedule_delay_millis=schedule_delay_ms,
+            max_export_batch_size=min(max_batch_size, max_queue_size),
+            export_timeout_millis=export_timeout_ms,
         )
 
     @property
     def exported(self) -> int:
-        """How many spans the collector or the file has taken."""
+        """How many spans were exported."""
         return self._exporter.exported
 
     @property
     def failed(self) -> int:
-        """How many spans the collector or the file has refused or failed to take."""
+        """How many spans could not be exported."""
         return self._exporter.failed
 
     @property
-    def waiting(self) -> int:
-        """How many spans wait for export or are being exported."""
+    def pending(self) -> int:
+        """How many spans are queued or being exported."""
         return self._queued_total - self.exported - self.failed
 
     def on_start(self, span: Span, parent_context: Context | None = None) -> None:
@@ -99,41 +99,41 @@
         """Queue a span; drop and count it if the queue is full."""
         if not span.context.trace_flags.sampled:
             return
-        if self.waiting >= self._queue_most:
+        if self.pending >= self._max_queue_size:
             self.dropped += 1
             return
         self._queued_total += 1
         self._inner.on_end(span)
 
     def shutdown(self) -> None:
-        """Export what waits, within the time for an export, and shut down."""
+        """Export the queued spans, within the time limit of one export, and shut down."""
         self._inner.shutdown()  # type: ignore[no-untyped-call]  # the library has no types here
 
     def force_flush(self, timeout_millis: int = 30_000) -> bool:
-        """Export what waits; return whether that succeeded within the time-out."""
+        """Export the queued spans; return whether that succeeded within the timeout."""
         return self._inner.force_flush(timeout_millis)
 
 
 class FileExporter(SpanExporter):
-    """Writes OTLP as JSON, one export a line, until the file has taken `most_bytes`."""
+    """Writes OTLP as JSON, one line per export, up to `max_bytes` in total."""
 
-    def __init__(self, path: Path, most_bytes: int) -> None:
+    def __init__(self, path: Path, max_bytes: int) -> None:
         self._path = path
-        self._bytes_left = most_bytes
+        self._remaining_bytes = max_bytes
         self._lock = threading.Lock()
 
     def export(self, spans: Sequence[ReadableSpan]) -> SpanExportResult:
-        """Append a line; fail once the file is full or can't be written."""
+        """Append a line; fail if it exceeds the size limit or can't be written."""
         line = json.dumps(as_json(spans), separators=(",", ":")) + "\n"
         with self._lock:
-            if len(line) > self._bytes_left:
+            if len(line) > self._remaining_bytes:
                 return SpanExportResult.FAILURE
             try:
                 with self._path.open("a") as file:
                     file.write(line)
             except OSError:
                 return SpanExportResult.FAILURE
-            self._bytes_left -= len(line)
+            self._remaining_bytes -= len(line)
         return SpanExportResult.SUCCESS
 
     def shutdown(self) -> None:
--- a/roadbend/tracing/ids.py
+++ b/roadbend/tracing/ids.py
@@ -1,7 +1,7 @@
-"""Trace and span ids derived from what is in the records.
+"""Trace and span ids derived from the records.
 
-Every controller derives the same ids, so their spans join one trace without any message between
-them: frames and records stay as they are, also beside older versions.
+Every controller derives the same ids, so their spans form one trace without any message between
+them. Frames and records need no additional fields, which keeps them compatible with older versions.
 """
 
 from __future__ import annotations
@@ -17,8 +17,8 @@
 SPAN_BYTES = 8
 # W3C trace context, version 00: trace id, span id and flags, neither id all zeros.
 _TRACE_PARENT = re.compile(r"00-([0-9a-f]{32})-([0-9a-f]{16})-([0-9a-f]{2})")
-# More of a header is not looked at; a valid one has 55 characters.
-_HEADER_MOST = 64
+# Longer headers are cut off before they are parsed; a valid one has 55 characters.
+_MAX_HEADER_LENGTH = 64
 
 
 @dataclass(frozen=True)
@@ -36,18 +36,18 @@
 def _derive(size: int, *components: object) -> int:
     text = "\0".join(str(component) for component in components)
     digest = hashlib.sha256(text.encode()).digest()
-    # An id of zero says that there is none.
+    # In the W3C trace context an id of zero is invalid.
     return int.from_bytes(digest[:size], "big") or 1
 
 
 def job_ids(job: str, accepted_ms: int) -> SpanIds:
-    """Return the ids of a job's span, from `accepted_ms`, milliseconds since the epoch."""
+    """Return the ids of a job's span; `accepted_ms` is in milliseconds since the epoch."""
     trace = _derive(TRACE_BYTES, "job", job, accepted_ms)
     return SpanIds(trace, _derive(SPAN_BYTES, "job", job, accepted_ms))
 
 
 def attempt_ids(parent: SpanIds, index: int, attempt: int, machine: str) -> SpanIds:
-    """Return the ids of the span of an attempt, within its job's span `parent`."""
+    """Return the ids of an attempt's span; `parent` is its job's span."""
     return SpanIds(parent.trace, _derive(SPAN_BYTES, parent.span, index, attempt, machine))
 
 
@@ -59,7 +59,7 @@
 
 def read_trace_parent(header: str) -> SpanIds | None:
     """Return the ids in a `traceparent` header, or None if it is malformed."""
-    found = _TRACE_PARENT.fullmatch(header.strip()[:_HEADER_MOST])
+    found = _TRACE_PARENT.fullmatch(header.strip()[:_MAX_HEADER_LENGTH])
     if found is None:
         return None
     ids = SpanIds(int(found[1], 16), int(found[2], 16))
@@ -67,18 +67,18 @@
 
 
 class DerivedIds(IdGenerator):
-    """Generates the ids that were set for the next span, and random ones otherwise."""
+    """Generates the ids that were set for the next span, or else random ones."""
 
     def __init__(self) -> None:
         self._random = RandomIdGenerator()
         self._next: SpanIds | None = None
 
     def set_next(self, ids: SpanIds) -> None:
-        """Set the ids of the next span that begins."""
+        """Set the ids of the next span that is started."""
         self._next = ids
 
     def generate_trace_id(self) -> int:
-        """Return the trace id of a span; called for spans without a parent only."""
+        """Return the trace id of a span; called only for spans without a parent."""
         return self._next.trace if self._next is not None else self._random.generate_trace_id()
 
     def generate_span_id(self) -> int:
--- a/roadbend/tracing/recorder.py
+++ b/roadbend/tracing/recorder.py
@@ -28,7 +28,7 @@
 ZONE = "cloud.availability_zone"
 MACHINE = "host.id"
 ERROR = "error.type"
-# Attributes of roadbend.
+# Attributes specific to roadbend.
 JOB = "roadbend.job.id"
 JOB_CLASS = "roadbend.job.class"
 TEAM = "roadbend.team"
@@ -52,7 +52,7 @@
 
 
 class _StartedAttempt(NamedTuple):
-    # The span of the attempt's job.
+    # The ids of the span of the attempt's job.
     parent: SpanIds
     recorded_at: datetime
 
@@ -62,25 +62,27 @@
 
 
 def _wall_at(steady: datetime) -> datetime:
-    """Return the time of day at an instant of the steady clock."""
+    """Convert an instant of the steady clock to wall-clock time."""
     return clock.wall() - (clock.now() - steady)
 
 
 class Recorder(Observer):
-    """Makes spans of what it is notified of.
+    """Records spans of the events that it is notified of.
 
-    Ids are derived from records, so every controller adds to the same traces. Of at most
-    `attempts_most` attempts the start is remembered; the oldest is forgotten first.
+    Ids are derived from records, so every controller adds to the same traces. The start times of at
+    most `max_started_attempts` attempts are kept; the oldest are dropped first.
     """
 
-    def __init__(self, provider: TracerProvider, ids: DerivedIds, attempts_most: int) -> None:
+    def __init__(
+        self, provider: TracerProvider, ids: DerivedIds, max_started_attempts: int
+    ) -> None:
         self._tracer = provider.get_tracer("roadbend")
         self._ids = ids
-        self._attempts_most = attempts_most
-        # When attempts that this controller started were recorded, until they end.
+        self._max_started_attempts = max_started_attempts
+        # The attempts that this controller has started and that have not ended.
         self._started: OrderedDict[_AttemptKey, _StartedAttempt] = OrderedDict()
         # Malformed `traceparent` headers of submissions.
-        self.nonsense_headers = 0
+        self.malformed_headers = 0
 
     def _record_span(
         self,
@@ -117,14 +119,14 @@
         return {JOB: job.id, JOB_CLASS: spec.job_class, TEAM: spec.team, SHAPE: shape}
 
     def job_accepted(self, job: Job, trace_parent: str | None) -> None:
-        """Record the acceptance within the job's span, linked to the user's own trace."""
+        """Record the span of acceptance, within the job's span and linked to the user's trace."""
         links: tuple[Link, ...] = ()
         if trace_parent is not None:
-            users_ids = read_trace_parent(trace_parent)
-            if users_ids is None:
-                self.nonsense_headers += 1
+            user_ids = read_trace_parent(trace_parent)
+            if user_ids is None:
+                self.malformed_headers += 1
             else:
-                links = (Link(_context_of(users_ids)),)
+                links = (Link(_context_of(user_ids)),)
         self._record_span(
             "job.accept",
             ids=None,
@@ -148,16 +150,16 @@
         )
 
     def attempt_recorded(self, partition: str, job: Job, index: int, attempt: Attempt) -> None:
-        """Remember when an attempt began; its span is recorded at its end."""
+        """Store when an attempt began; its span is recorded at its end."""
         key = _AttemptKey(job.id, index, attempt.number)
         self._started[key] = _StartedAttempt(_ids_of(job), clock.wall())
-        while len(self._started) > self._attempts_most:
+        while len(self._started) > self._max_started_attempts:
             self._started.popitem(last=False)
 
     def attempt_ended(self, partition: str, job: str, index: int, end: Termination) -> None:
         """Record the span of an attempt that this controller started.
 
-        Of other attempts the trace is not known once the job is over.
+        The trace ids of other attempts are not known once the job has ended.
         """
         started = self._started.pop(_AttemptKey(job, index, end.attempt), None)
         if started is None:
@@ -220,7 +222,7 @@
         )
 
     def recovery_machine(self, partition: str, term: int, machine: str, since: datetime) -> None:
-        """Record the span from the beginning of the term until a machine was heard."""
+        """Record the span from the beginning of the term until a machine's first heartbeat."""
         attributes: Attributes = {ZONE: partition, TERM: term, MACHINE: machine}
         self._record_span(
             "recovery.machine",
@@ -234,7 +236,7 @@
     def recovery_settled(
         self, partition: str, term: int, task: str, machine: str, how: str, since: datetime
     ) -> None:
-        """Record the span from when an unrecorded attempt was first seen until it was settled."""
+        """Record the span of an unrecorded attempt from its first report until its settlement."""
         attributes: Attributes = {
             ZONE: partition,
             TERM: term,
--- a/roadbend/tracing/settings.py
+++ b/roadbend/tracing/settings.py
@@ -11,25 +11,29 @@
 
 
 def _string(default: str, text: str) -> str:
-    # A field of a dataclass, typed as the value that the field holds.
+    # Returns a dataclass field; its type is declared as that of the field's value.
     declared: str = field(default=default, metadata={"text": text})
     return declared
 
 
 @dataclass(frozen=True)
 class TracingSettings:
-    """Where spans go, and how many. Durations are written in seconds."""
+    """Destinations of spans, sampling and limits. Durations are written in seconds."""
 
     collector: str = _string("", "URL of a collector that takes OTLP over HTTP; empty: none")
     file: str = _string("", "file to which spans are written as OTLP JSON lines; empty: none")
     share: float = number(1.0, 0.0, 1.0, "share of jobs that are traced, by their ids")
-    queue_most: int = number(4096, 16, 100_000, "spans that wait for export; more are dropped")
-    batch_most: int = number(512, 1, 10_000, "spans in one export")
-    export_every: timedelta = seconds(5, 0.1, 300, "longest wait before what is there is exported")
-    export_within: timedelta = seconds(10, 0.5, 120, "how long one export may take")
-    file_most: int = number(64, 1, 10_000, "megabytes after which the file takes no more spans")
+    queue_most: int = number(
+        4096, 16, 100_000, "most spans that wait for export; further ones are dropped"
+    )
+    batch_most: int = number(512, 1, 10_000, "most spans in one export")
+    export_every: timedelta = seconds(5, 0.1, 300, "longest wait before queued spans are exported")
+    export_within: timedelta = seconds(10, 0.5, 120, "time limit of one export")
+    file_most: int = number(
+        64, 1, 10_000, "largest size of the file in megabytes; then no more spans are written"
+    )
     attempts_most: int = number(
-        20_000, 100, 1_000_000, "attempts of which the start is remembered for their span"
+        20_000, 100, 1_000_000, "most running attempts whose start times are kept for their spans"
     )
 
 
--- a/roadbend/tracing/switch.py
+++ b/roadbend/tracing/switch.py
@@ -1,4 +1,4 @@
-"""Switches tracing on in a controller."""
+"""Enables tracing in a controller."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 log = Log("tracing")
 MEGABYTE = 1024 * 1024
 # How often the counters are logged.
-COUNTERS_EVERY = timedelta(seconds=60)
+COUNTER_LOG_INTERVAL = timedelta(seconds=60)
 
 
 class Tracing:
@@ -36,7 +36,7 @@
     ) -> None:
         ids = DerivedIds()
         self.provider = TracerProvider(
-            # By the trace's id, so that all controllers choose the same jobs.
+            # By trace id, so that all controllers sample the same jobs.
             sampler=TraceIdRatioBased(settings.share),
             resource=Resource.create(
                 {
@@ -65,9 +65,9 @@
         self.recorder = Recorder(self.provider, ids, settings.attempts_most)
 
     async def run(self) -> None:
-        """Log the counters every minute while the controller runs."""
+        """Log the counters periodically while the controller runs."""
         while True:
-            await clock.pause(COUNTERS_EVERY)
+            await clock.pause(COUNTER_LOG_INTERVAL)
             self.log_counters()
 
     def log_counters(self) -> None:
@@ -78,17 +78,17 @@
                 exported=processor.exported,
                 failed=processor.failed,
                 dropped=processor.dropped,
-                waiting=processor.waiting,
-                nonsense_headers=self.recorder.nonsense_headers,
+                waiting=processor.pending,
+                nonsense_headers=self.recorder.malformed_headers,
             )
 
 
-def exporters_of(settings: TracingSettings) -> list[SpanExporter]:
-    """Return the exporters that the settings name: of a collector, a file, or both."""
+def create_exporters(settings: TracingSettings) -> list[SpanExporter]:
+    """Return the exporters that the settings name: to a collector, a file, or both."""
     exporters: list[SpanExporter] = []
     if settings.collector:
-        within = settings.export_within.total_seconds()
-        exporters.append(OTLPSpanExporter(endpoint=settings.collector, timeout=within))
+        timeout = settings.export_within.total_seconds()
+        exporters.append(OTLPSpanExporter(endpoint=settings.collector, timeout=timeout))
     if settings.file:
         exporters.append(FileExporter(Path(settings.file), settings.file_most * MEGABYTE))
     return exporters
@@ -97,11 +97,11 @@
 def install(
     controller: Controller, settings: TracingSettings, exporters: list[SpanExporter] | None = None
 ) -> Tracing:
-    """Switch tracing on in a controller that has not started yet.
+    """Enable tracing in a controller that has not started yet.
 
-    `exporters` stand in for those that the settings name.
+    `exporters` replace those that the settings name.
     """
-    used = exporters_of(settings) if exporters is None else exporters
+    used = create_exporters(settings) if exporters is None else exporters
     tracing = Tracing(controller.settings.zone, controller.settings.name, settings, used)
     controller.context.observer = tracing.recorder
     controller.background.append(tracing.run)
--- a/roadbend/tracing/test_tracing.py
+++ b/roadbend/tracing/test_tracing.py
@@ -1,4 +1,4 @@
-"""Spans of jobs and recoveries, where they go, and what becomes of a bad collector."""
+"""Spans of jobs and recoveries, their export, and collectors that fail."""
 
 import json
 import subprocess
@@ -21,7 +21,7 @@
 from roadbend.tracing.export import FileExporter
 from roadbend.tracing.ids import attempt_ids, job_ids, read_trace_parent, recovery_ids
 from roadbend.tracing.settings import TracingSettings, load
-from roadbend.tracing.switch import Tracing, exporters_of, install
+from roadbend.tracing.switch import Tracing, create_exporters, install
 
 S = timedelta(seconds=1)
 AT = datetime(2026, 1, 1, tzinfo=UTC)
@@ -52,9 +52,9 @@
 
 @pytest.fixture
 def collector():
-    made = FakeCollector()
-    yield made
-    made.close()
+    fake = FakeCollector()
+    yield fake
+    fake.close()
 
 
 def test_ids_follow_from_records_alone():
@@ -80,14 +80,14 @@
 def test_nonsense_trace_parents_are_ignored_and_counted(header):
     tracing = tracing_to(InMemorySpanExporter())
     tracing.recorder.job_accepted(JOB, header)
-    assert read_trace_parent(header) is None and tracing.recorder.nonsense_headers == 1
+    assert read_trace_parent(header) is None and tracing.recorder.malformed_headers == 1
 
 
 def test_a_collector_gets_spans_with_their_ids_times_and_resource(collector):
-    tracing = tracing_to(*exporters_of(TracingSettings(collector=collector.url)))
+    tracing = tracing_to(*create_exporters(TracingSettings(collector=collector.url)))
     recorder = tracing.recorder
-    theirs = "00-" + "a" * 32 + "-" + "b" * 16 + "-01"
-    recorder.job_accepted(JOB, theirs)
+    user_trace_parent = "00-" + "a" * 32 + "-" + "b" * 16 + "-01"
+    recorder.job_accepted(JOB, user_trace_parent)
     recorder.attempt_recorded("east", JOB, 0, Attempt(7, "m-1"))
     recorder.attempt_ended("east", JOB.id, 0, Termination(7, "m-1", False, "error"))
     end_job(tracing)
@@ -105,25 +105,25 @@
     assert collector.problems == []
 
 
-@pytest.mark.parametrize("trouble", ["hangs", "refuses", "vanished"])
-def test_a_bad_collector_delays_nothing_and_what_is_lost_is_counted(collector, trouble):
-    if trouble == "hangs":
+@pytest.mark.parametrize("fault", ["hangs", "refuses", "vanished"])
+def test_a_bad_collector_delays_nothing_and_what_is_lost_is_counted(collector, fault):
+    if fault == "hangs":
         collector.hang.clear()
-    elif trouble == "refuses":
+    elif fault == "refuses":
         collector.status = 400
     else:
         collector.close()
     settings = TracingSettings(collector=collector.url, export_within=0.5 * S)
-    tracing = tracing_to(*exporters_of(settings), queue_most=32, batch_most=8)
+    tracing = tracing_to(*create_exporters(settings), queue_most=32, batch_most=8)
     (processor,) = tracing.processors
     began = time.monotonic()
     for number in range(500):
         end_job(tracing, number)
     assert time.monotonic() - began < 2
-    assert processor.waiting <= 32
+    assert processor.pending <= 32
     assert until(lambda: processor.failed > 0, 15)
-    ended = processor.exported + processor.failed + processor.dropped + processor.waiting
-    assert ended == 500 and processor.exported == 0 and processor.dropped >= 400
+    accounted_for = processor.exported + processor.failed + processor.dropped + processor.pending
+    assert accounted_for == 500 and processor.exported == 0 and processor.dropped >= 400
 
 
 def test_all_controllers_choose_the_same_jobs():
@@ -184,7 +184,7 @@
 
 
 def test_off_nothing_of_it_is_imported():
-    """A controller that has it off pays nothing."""
+    """Guards controllers without tracing and recovery against the cost of their libraries."""
     code = (
         "import sys, roadbend.controller, roadbend.cli\n"
         "found = [m for m in sys.modules if m.split('.')[0] in "
