--- a/roadbend/recovery/environment.py
+++ b/roadbend/recovery/environment.py
@@ -18,8 +18,8 @@
     inventory: CloudInventory
     # When the records were last read.
     records_read_at: Callable[[], datetime | None]
-    # The instant up to which the state of every live peer is known: heartbeats that were requested
-    # then or later have arrived from all of them.
+    # The earliest request time of the latest heartbeats of live peers: their states are at least as
+    # recent as that.
     peer_states_as_of: Callable[[], datetime | None]
     # Returns whether the tasks of a job may be placed on machines.
     can_place: Callable[[str], bool]
--- a/roadbend/recovery/gate.py
+++ b/roadbend/recovery/gate.py
@@ -83,9 +83,9 @@
         self._open = self._may_open(now)
 
     def is_cold(self) -> bool:
-        """Return whether all controllers have restarted.
+        """Return whether all controllers have restarted a short time ago.
 
-        Then none of them knows which orders were in flight.
+        Then none of them knows which orders were in flight before.
         """
         now, limit = clock.now(), self._settings.cold_within
         if now - self._controller.began > limit:
--- a/roadbend/recovery/measure.py
+++ b/roadbend/recovery/measure.py
@@ -49,12 +49,12 @@
 
 def median_time_ms(work: Callable[[], Any]) -> float:
     """Return the median CPU time of several rounds, in milliseconds."""
-    rows = []
+    times = []
     for _ in range(ROUNDS):
         began = time.process_time()
         work()
-        rows.append((time.process_time() - began) * 1000)
-    return statistics.median(rows)
+        times.append((time.process_time() - began) * 1000)
+    return statistics.median(times)
 
 
 def build_traced(make: Callable[[], Any]) -> tuple[Any, float]:
--- a/roadbend/recovery/phases.py
+++ b/roadbend/recovery/phases.py
@@ -26,8 +26,9 @@
     expected: frozenset[str]
     # Have sent this leader a heartbeat that carries its token.
     reporting: frozenset[str]
-    # Have not, for a known reason: the machine is deleted, failed, or still booting.
+    # Have sent none, for a known reason: deleted, failed, or still booting.
     known_absent: frozenset[str]
+    # The cloud's list of machines has been read.
     is_list_read: bool
 
     @property
@@ -38,7 +39,7 @@
 
 @dataclass(frozen=True)
 class Gathering:
-    """The leader waits for heartbeats: until the evidence is complete, at the latest `until`."""
+    """The leader waits for heartbeats until the evidence is complete, at the latest `until`."""
 
     since: datetime
     until: datetime
@@ -56,6 +57,7 @@
     """The records are compared with the heartbeats."""
 
     since: datetime
+    # Whether the evidence of the machines was complete.
     is_complete: bool
     name = PhaseName.COMPARING
 
@@ -64,8 +66,8 @@
         return Settling(self.since).next(counts, now)
 
 
-# These kinds don't keep a recovery from being settled: each remains until evidence on its machine
-# arrives, or until the machine has booted, which may take long.
+# Differences of these kinds don't keep a recovery from being settled: each remains until evidence
+# about its machine arrives, or until the machine has booted.
 NON_BLOCKING_KINDS = {Kind.MACHINE_SILENT, Kind.MACHINE_GONE, Kind.MACHINE_UNKNOWN}
 
 
--- a/roadbend/recovery/records.py
+++ b/roadbend/recovery/records.py
@@ -26,8 +26,7 @@
 log = Log("recovery")
 
 WRITE_TIMEOUT = timedelta(seconds=2)
-# In characters.
-MAX_LOGGED_ERROR = 80
+MAX_LOGGED_ERROR_CHARS = 80
 
 
 class _ProgressState(NamedTuple):
@@ -47,10 +46,10 @@
         self._written: dict[str, _ProgressState] = {}
 
     async def publish_unrecorded(self, partition: PartitionRecovery) -> None:
-        """Record the jobs that run on machines without a record, and delete those that have ended.
+        """Record the jobs that run without a job record, and delete those that no longer run.
 
-        Until then a new submission of such a job is refused: its tasks could start a second time,
-        on other machines.
+        While such a job is recorded, a new submission of it is refused: its tasks could start a
+        second time, on other machines.
         """
         view, name = self._context.view, partition.leader.partition
         lost = {held.job: held for held in partition.held_attempts.all() if held.job_ended is False}
@@ -112,7 +111,7 @@
             log.debug(
                 "recovery-progress-not-written",
                 partition=leader.partition,
-                error=str(error)[:MAX_LOGGED_ERROR],
+                error=str(error)[:MAX_LOGGED_ERROR_CHARS],
             )
             return False
         self._context.view.applied(changes, revision)
--- a/roadbend/recovery/service.py
+++ b/roadbend/recovery/service.py
@@ -15,7 +15,7 @@
 from roadbend.recovery.environment import RecoveryEnvironment
 from roadbend.recovery.gate import Gate
 from roadbend.recovery.partition import PartitionRecovery
-from roadbend.recovery.records import MAX_LOGGED_ERROR, RecoveryRecords
+from roadbend.recovery.records import MAX_LOGGED_ERROR_CHARS, RecoveryRecords
 from roadbend.recovery.settings import RecoverySettings
 from roadbend.store import keys
 from roadbend.store.client import RefusedError, UnavailableError
@@ -105,7 +105,7 @@
             try:
                 await self._poll(clock.now())
             except (RefusedError, NoAnswerError, UnavailableError) as error:
-                log.debug("state-store-unavailable", error=str(error)[:MAX_LOGGED_ERROR])
+                log.debug("state-store-unavailable", error=str(error)[:MAX_LOGGED_ERROR_CHARS])
             except Exception:  # inherited jobs wait for this loop, so it must not end
                 log.crash("recovery-failed")
 
@@ -119,7 +119,7 @@
         self._gate.update(now)
         for partition in list(self._partitions.values()):
             await self._check_for_lost_terms(partition)
-            await self._read_ends(partition)
+            await self._read_final_states(partition)
             await self._records.publish_unrecorded(partition)
             await self._records.record_progress(
                 partition, has_inherited_jobs=self._gate.has_inherited_jobs
@@ -172,7 +172,7 @@
         self._handle_lost_writes(leader.partition)
         self._context.election.raise_term_above(leader.partition, highest)
 
-    async def _read_ends(self, partition: PartitionRecovery) -> None:
+    async def _read_final_states(self, partition: PartitionRecovery) -> None:
         """Read whether the jobs of held attempts that are not live have a recorded final state."""
         queried_jobs: set[str] = set()
         for held in partition.held_attempts.all():
--- a/roadbend/recovery/test_recovery.py
+++ b/roadbend/recovery/test_recovery.py
@@ -205,7 +205,7 @@
         await trio.sleep(6)
         start_all(w)
         # In a zone without machines nothing has seen the lost term. Without the detection a peer
-        # takes the partition over after some ten seconds, when leases have ended.
+        # takes the partition over after some ten seconds, when leases have expired.
         zones = {x.place.zone for x in w.workers()}
         assert await w.until(lambda: all(w._term(z) > highest[z] for z in zones), 4)
         await trio.sleep(25)
--- a/roadbend/recovery/unrecorded.py
+++ b/roadbend/recovery/unrecorded.py
@@ -39,8 +39,9 @@
     machine_confirmed: bool
     # The job may run on the machine.
     machine_allowed: bool
-    # Other machines report the task, too; one of them reports a higher attempt.
+    # Other machines report the task, too.
     on_other_machines: bool
+    # One of them reports a higher attempt.
     higher_attempt_elsewhere: bool
     # No machine of the partition can run attempts that it has not reported.
     machines_known: bool
@@ -115,29 +116,29 @@
     """The held attempts of one partition, up to a maximum number."""
 
     max_count: int
-    _rows: dict[tuple[str, int, int, str], HeldAttempt] = field(default_factory=dict)
+    _attempts: dict[tuple[str, int, int, str], HeldAttempt] = field(default_factory=dict)
     # By job and task index, how many attempts are held.
     _counts: dict[str, dict[int, int]] = field(default_factory=dict)
 
     def __len__(self) -> int:
-        return len(self._rows)
+        return len(self._attempts)
 
     def get(self, job: str, index: int, attempt: int, machine: str) -> HeldAttempt | None:
         """Return the attempt, if it is held."""
-        return self._rows.get((job, index, attempt, machine))
+        return self._attempts.get((job, index, attempt, machine))
 
     def add(self, held: HeldAttempt) -> bool:
         """Hold an attempt; return False if the maximum is reached."""
-        if len(self._rows) >= self.max_count:
+        if len(self._attempts) >= self.max_count:
             return False
-        self._rows[(held.job, held.index, held.attempt, held.machine)] = held
+        self._attempts[(held.job, held.index, held.attempt, held.machine)] = held
         counts = self._counts.setdefault(held.job, {})
         counts[held.index] = counts.get(held.index, 0) + 1
         return True
 
     def remove(self, held: HeldAttempt) -> None:
         """Stop holding an attempt, if it is held."""
-        if self._rows.pop((held.job, held.index, held.attempt, held.machine), None) is None:
+        if self._attempts.pop((held.job, held.index, held.attempt, held.machine), None) is None:
             return
         counts = self._counts[held.job]
         counts[held.index] -= 1
@@ -148,7 +149,7 @@
 
     def all(self) -> list[HeldAttempt]:
         """Return all held attempts, in the order in which they were first reported."""
-        return list(self._rows.values())
+        return list(self._attempts.values())
 
     def indexes(self, job: str) -> set[int]:
         """Return the indexes of a job's tasks that have held attempts."""
@@ -162,6 +163,6 @@
         """Return the held attempts of the same task on other machines."""
         return [
             row
-            for row in self._rows.values()
+            for row in self._attempts.values()
             if (row.job, row.index) == (held.job, held.index) and row.machine != held.machine
         ]
