--- a/conftest.py
+++ b/conftest.py
@@ -62,7 +62,7 @@
     monkeypatch.setattr(clock, "wall", wall)
 
 
-def count_calls(function) -> int:
+def _count_calls(function) -> int:
     """How many calls of Python functions something takes: a cost that knows no clock."""
     count = 0
 
@@ -79,6 +79,6 @@
 
 
 @pytest.fixture
-def calls():
+def count_calls():
     """Give tests a count of the calls of Python functions that something makes."""
-    return count_calls
+    return _count_calls
--- a/roadbend/placement/test_placement.py
+++ b/roadbend/placement/test_placement.py
@@ -242,7 +242,7 @@
         assert forecast.project(queue, timelines, run, 9999) == want
 
 
-def test_a_queue_behind_full_machines_looks_at_few_of_them(calls):
+def test_a_queue_behind_full_machines_looks_at_few_of_them(count_calls):
     """Guards against examining each of many machines for each of many jobs."""
 
     def cost(machines):
@@ -251,6 +251,6 @@
             for n in range(machines)
         ]
         queue = [pending(n, 2, legs=2) for n in range(1, 41)]
-        return calls(lambda: forecast.project(queue, timelines, lambda _: 500.0, 9999))
+        return count_calls(lambda: forecast.project(queue, timelines, lambda _: 500.0, 9999))
 
     assert cost(800) - cost(400) < 400 * 4
--- a/roadbend/placement/test_starts_in_doubt.py
+++ b/roadbend/placement/test_starts_in_doubt.py
@@ -246,14 +246,14 @@
 
 
 @pytest.mark.parametrize("confirmed", [True, False], ids=["own", "former"])
-def test_it_costs_by_the_starts_in_doubt_not_by_the_job_or_the_fleet(calls, confirmed):
+def test_it_costs_by_the_starts_in_doubt_not_by_the_job_or_the_fleet(count_calls, confirmed):
     """Jobs have thousands of tasks, and cancellations must be confirmed quickly."""
     costs = []
     for tasks in (10, 4000):
         fixture = PartitionFixture(acquired_at=NOW, recorded_before=not confirmed)
         record_wide_job(fixture, tasks)
         fixture.send_directly()
-        costs.append([calls(partial(fixture.in_doubt, job)) for job in (JOB, OTHER)])
+        costs.append([count_calls(partial(fixture.in_doubt, job)) for job in (JOB, OTHER)])
         assert fixture.in_doubt() and not fixture.in_doubt(OTHER)
     assert costs[0] == costs[1]
     assert max(costs[1]) < 100
--- a/roadbend/placement/test_unheld_attempts.py
+++ b/roadbend/placement/test_unheld_attempts.py
@@ -188,10 +188,10 @@
 
 
 @pytest.mark.parametrize("held", [40, 4000])
-def test_it_costs_by_what_is_unheld_not_by_the_fleet(calls, held):
+def test_it_costs_by_what_is_unheld_not_by_the_fleet(count_calls, held):
     fixture = PartitionFixture({index: Attempt(index, f"m-{index}") for index in range(held)})
     for index in range(held - 3):
         reported = ObservedTask(index, TaskState.RUNNING, NOW)
         fixture.unheld.mark_held(f"m-{index}", {TaskKey(JOB, index): reported})
-    assert calls(fixture.unheld.jobs) < 40
-    assert calls(lambda: fixture.unheld.mark_held("m-0", {})) < 5
+    assert count_calls(fixture.unheld.jobs) < 40
+    assert count_calls(lambda: fixture.unheld.mark_held("m-0", {})) < 5
--- a/tests/scenarios/test_scalability.py
+++ b/tests/scenarios/test_scalability.py
@@ -126,26 +126,26 @@
     return [MachineTimeline(capacity(f"m-{n}", gpus=gpus)) for n in range(count)]
 
 
-def test_a_wide_job_costs_a_look_at_each_machine_and_not_one_a_task(calls):
-    small = calls(
+def test_a_wide_job_costs_a_look_at_each_machine_and_not_one_a_task(count_calls):
+    small = count_calls(
         lambda: forecast.project([pending(1, 10, legs=10)], lines(100), lambda _: 30.0, 9999)
     )
-    wide = calls(
+    wide = count_calls(
         lambda: forecast.project([pending(1, 200, legs=200)], lines(100), lambda _: 30.0, 9999)
     )
-    more = calls(
+    more = count_calls(
         lambda: forecast.project([pending(1, 10, legs=10)], lines(300), lambda _: 30.0, 9999)
     )
     assert wide - small < 190 * 16 and more < small * 3.5
     full = [capacity(f"m-{n}", gpus=0.0) for n in range(200)]
     queue = [pending(n, 50, legs=50) for n in range(100)]
     # What found no room is not looked for again by others alike.
-    assert calls(lambda: bin_packing.place(queue, full)) < 200 * 10 + 100 * 20
+    assert count_calls(lambda: bin_packing.place(queue, full)) < 200 * 10 + 100 * 20
     late = [TimedTasks(item, 20.0, 0.0) for item in queue]
-    assert calls(lambda: machines_to_create(late[:2], [], choices(), "east", 1.0)) < 100 * 150
+    assert count_calls(lambda: machines_to_create(late[:2], [], choices(), "east", 1.0)) < 100 * 150
 
 
-async def test_a_calm_report_costs_the_same_beside_few_machines_and_beside_many(calls):
+async def test_a_calm_report_costs_the_same_beside_few_machines_and_beside_many(count_calls):
     async with world(teams={"red": Team("red", 0, 0, 4, 400)}, capacity=60) as w:
         costs = []
         for number, tasks in ((1, 2), (2, 60)):
@@ -159,7 +159,7 @@
             leader, worker = w.controllers["node-0"].leaders["east"], w.cloud.machines[name].worker
             data, answers = worker.heartbeat(), []
             costs.append(
-                calls(
+                count_calls(
                     lambda r=leader, d=data, a=answers: a.append(
                         r.heartbeats.answer_unchanged(d, clock.now())
                     )
