--- a/.ci/known_red.py
+++ b/.ci/known_red.py
@@ -1,11 +1,11 @@
-"""Reads the list of tests that fail for a known fault, and says which of them are not to be run.
+"""Prints pytest options that deselect the tests listed as failing for a known fault.
 
     python .ci/known_red.py KNOWN-RED.txt COLLECTED
 
-`COLLECTED` holds the ids of all tests, a line each, as `pytest --collect-only -q` prints them. Each
-entry is printed to standard error, and its option for pytest to standard output. An entry that
-names no existing test ends the program with exit status 1: a test that was renamed, or mended and
-removed, must not be passed over unnoticed.
+`COLLECTED` holds the ids of all tests, one per line, as `pytest --collect-only -q` prints them.
+Each entry goes to standard error, and its pytest option to standard output. The program exits with
+status 1 if an entry names no existing test, so that a stale entry for a test that was renamed, or
+fixed and removed, is noticed.
 """
 
 import sys
@@ -14,25 +14,25 @@
 
 
 class KnownRed(NamedTuple):
-    """An entry of the list: a test's id, and what is known of its failure."""
+    """An entry of the list: the id of a test, and what is known about its failure."""
 
     test: str
     remark: str
 
 
 def read_entries(text: str) -> list[KnownRed]:
-    """Read the entries, a line each: the id of a test, a comma, and what is known."""
+    """Parse the entries, one per line: a test id, a comma, and a remark."""
     lines = (line.strip() for line in text.splitlines())
     return [KnownRed(*line.partition(", ")[::2]) for line in lines if line]
 
 
 def find_unknown(entries: list[KnownRed], collected: set[str]) -> list[KnownRed]:
-    """Return the entries that name no test that was collected."""
+    """Return the entries whose test was not collected."""
     return [entry for entry in entries if entry.test not in collected]
 
 
 def main(list_file: str, collected_file: str) -> int:
-    """Print the entries and the options; return the exit status."""
+    """Print the entries and the pytest options; return the exit status."""
     path = Path(list_file)
     entries = read_entries(path.read_text()) if path.exists() else []
     unknown = find_unknown(entries, set(Path(collected_file).read_text().splitlines()))
--- a/conftest.py
+++ b/conftest.py
@@ -1,4 +1,4 @@
-"""Scenarios run on trio's mock clock: no wall-clock luck, and waiting costs nothing."""
+"""Runs coroutine tests on trio's mock clock: no dependence on wall-clock time, no real sleeps."""
 
 import inspect
 import os
@@ -13,15 +13,15 @@
 
 
 def pytest_configure(config):
-    """Register the marker by which a test keeps the order that it had under a former name."""
+    """Register the marker with which a renamed test keeps its former scheduling order."""
     config.addinivalue_line(
-        "markers", "task_order_of(test): draw the order of tasks as if the test had this name"
+        "markers", "task_order_of(test): seed trio's task scheduling as if the test had this name"
     )
 
 
 @pytest.hookimpl(tryfirst=True)
 def pytest_pyfunc_call(pyfuncitem):
-    """Run a coroutine test on a mock clock, with its order of tasks drawn from its name."""
+    """Run a coroutine test on a mock clock, with trio's task scheduling seeded by its name."""
     if not inspect.iscoroutinefunction(pyfuncitem.obj):
         return None
     names = inspect.signature(pyfuncitem.obj).parameters
@@ -31,18 +31,19 @@
         with trio.fail_after(3600):
             await pyfuncitem.obj(**arguments)
 
-    pinned = pyfuncitem.get_closest_marker("task_order_of")
+    marker = pyfuncitem.get_closest_marker("task_order_of")
     own_name = f"{pyfuncitem.path.name}::{pyfuncitem.name}"
-    _seed_scheduler(pinned.args[0] if pinned else own_name)
+    _seed_scheduler(marker.args[0] if marker else own_name)
     trio.run(run, clock=trio.testing.MockClock(autojump_threshold=0))
     return True
 
 
 def _seed_scheduler(test: str) -> None:
-    """Draw the order in which trio lets tasks go on from the name of a test.
+    """Seed the order in which trio schedules runnable tasks with the name of a test.
 
-    A test goes the same way every time, also in another folder: `test` names its file without the
-    folder. The environment variable `ROADBEND_DRAW` gives other orders.
+    A test takes the same course in every run, also after a move to another directory: `test` holds
+    the file name without its directory. The environment variable `ROADBEND_DRAW` selects other
+    orders.
     """
     trio._core._run._ALLOW_DETERMINISTIC_SCHEDULING = True
     trio._core._run._r.seed(f"{os.environ.get('ROADBEND_DRAW', '')} {test}")
@@ -50,7 +51,7 @@
 
 @pytest.fixture(autouse=True)
 def time_of_day(monkeypatch):
-    """Let the time of day go with the steady clock."""
+    """Derive the time of day from trio's clock."""
     base = datetime(2026, 1, 1, tzinfo=UTC)
 
     def wall():
@@ -63,14 +64,14 @@
 
 
 def _count_calls(function) -> int:
-    """How many calls of Python functions something takes: a cost that knows no clock."""
+    """Return how many Python functions a call runs: a measure of cost that needs no clock."""
     count = 0
 
-    def note(_frame, event, _arg):
+    def count_event(_frame, event, _arg):
         nonlocal count
         count += event == "call"
 
-    sys.setprofile(note)
+    sys.setprofile(count_event)
     try:
         function()
     finally:
@@ -80,5 +81,5 @@
 
 @pytest.fixture
 def count_calls():
-    """Give tests a count of the calls of Python functions that something makes."""
+    """Return a function that counts the Python function calls of a callable."""
     return _count_calls
--- a/tests/scenarios/test_production_program.py
+++ b/tests/scenarios/test_production_program.py
@@ -1,9 +1,9 @@
-"""What the real program of the version in production does in a deployment in memory.
+"""Tests the released program of the version in production in an in-memory deployment.
 
-Where a test has both, the fake that plays that version elsewhere does the same. The tests state
-what is: that version knows no gangs, and it will not change. Where it meets gangs it is the only
-controller, since another one that knows them would lead the partition instead
-(tests/scenarios/test_gangs_in_a_roll.py).
+Tests marked `BOTH` show that the fake which other tests use for that version behaves the same. The
+tests pin existing behaviour: that version doesn't support gangs, and it will not change. In tests
+with gangs it is the only controller, since a controller that supports them would acquire its
+partition (tests/scenarios/test_gangs_in_a_roll.py).
 """
 
 from concurrent.futures import ThreadPoolExecutor
@@ -25,9 +25,9 @@
 TEAMS = {"red": Team("red", 0, 0, 100, 100), "blue": Team("blue", 0, 0, 100, 100)}
 GANG, OTHER = "run-000001", "run-000002"
 TASKS = 4
-# One task to a machine.
+# Lets one task run on each machine.
 CPUS = 16.0
-# An attempt's number has the leader's term above so many bits.
+# An attempt number holds the leader's term above this many low bits.
 ATTEMPT_BITS = 32
 BOTH = pytest.mark.parametrize(
     "version", [PreviousVersionController, ProductionController], ids=["fake", "real"]
@@ -35,7 +35,7 @@
 
 
 async def restart_leader_as(w: World, version: type) -> None:
-    """Restart the controller of the east in a version, which leads the east again."""
+    """Restart the leader of the east as another version, which then leads the east again."""
     w.crash(0)
     await trio.sleep(0.5)
     w.start(0, version)
@@ -43,21 +43,21 @@
     assert w.owner("east") == "node-0"
 
 
-async def begin_gang(w: World) -> None:
-    """Start a gang in the east, under a leader of today's version."""
+async def start_gang(w: World) -> None:
+    """Run a gang in the east, under a leader of the current version."""
     assert await w.submit(0, gang(1, TASKS, yard="east", vcpus=CPUS), 300) == 201
     assert await w.until(lambda: states(w) == ["running"] * TASKS, 60)
 
 
 def states(w: World) -> list[str]:
-    """Return the states of the gang's tasks that machines hold, in order."""
+    """Return the sorted states of the gang's tasks on all machines."""
     return sorted(
         task.state for worker in w.workers() for task in worker.tasks.values() if task.job == GANG
     )
 
 
 def received(w: World, verb: str, since: float) -> list[ReceivedOrder]:
-    """Return the orders about the first job that changed something on machines since an instant."""
+    """Return the orders for the first job's tasks that took effect on machines since then."""
     return [
         order
         for order in w.board.received
@@ -66,7 +66,7 @@
 
 
 def is_of_first_job(order: ReceivedOrder) -> bool:
-    """Tell whether an order is about a task of the first job, in most tests a gang."""
+    """Return whether an order is for a task of the first job, a gang in most tests."""
     return order.task.startswith(f"{GANG}/")
 
 
@@ -88,7 +88,7 @@
     node = production_program.program_module("node")
     assert node.Server.__module__ == "roadbend_production.http.server"
     assert node.clock.__name__ == "roadbend_production.clock"
-    # No gangs, under any name.
+    # Jobs of that version have no field for gangs.
     assert not hasattr(production_program.program_module("store.records").Spec, "gang")
 
 
@@ -104,9 +104,9 @@
 
 @BOTH
 async def test_it_stops_one_task_of_a_gang_for_work_of_higher_priority(version):
-    """The gang's other tasks end by themselves when they miss the one that was stopped."""
+    """The gang's other tasks end by themselves when they lose contact with the stopped one."""
     async with world(count=1, teams=TEAMS, capacity=TASKS) as w:
-        await begin_gang(w)
+        await start_gang(w)
         await trio.sleep(8)
         restarted = trio.current_time()
         await restart_leader_as(w, version)
@@ -116,31 +116,31 @@
         urgent = job(2, yard="east", rank="production", vcpus=CPUS, crew="blue", loaners=False)
         assert await w.submit(0, urgent, 60) == 201
         assert await w.until(lambda: w.board.running(OTHER), 30)
-        told = {order.task for order in received(w, "kill", restarted)}
-        assert len(told) == 1
+        stopped = {order.task for order in received(w, "kill", restarted)}
+        assert len(stopped) == 1
         assert len(received(w, "forget", restarted)) == TASKS
 
 
 @BOTH
 async def test_it_starts_the_tasks_of_a_gang_singly_once_a_machine_is_lost(version):
-    """Each has an attempt number of its own, so none finds the others, and the gang never runs.
+    """Each gets its own attempt number, so no task finds the others and the gang never runs.
 
-    Today's version gathers them under one number when it leads again.
+    The current version starts them again under one attempt number once it leads.
     """
     async with world(count=1, teams=TEAMS, capacity=2 * TASKS) as w:
-        await begin_gang(w)
+        await start_gang(w)
         await trio.sleep(8)
         await restart_leader_as(w, version)
         await trio.sleep(5)
         lost = next(worker for worker in w.workers() if worker.tasks)
         w.nursery.start_soon(lost.hang, 600)
-        hung = trio.current_time()
-        assert await w.until(lambda: len(received(w, "run", hung)) >= TASKS, 40)
-        # While tasks wait for others, and longer.
+        hung_at = trio.current_time()
+        assert await w.until(lambda: len(received(w, "run", hung_at)) >= TASKS, 40)
+        # Longer than tasks of a gang wait for each other.
         await trio.sleep(60)
-        orders = received(w, "run", hung)
+        orders = received(w, "run", hung_at)
         assert len({order.attempt for order in orders}) == len(orders) > TASKS
-        assert received(w, "kill", hung) == [] and "running" not in states(w)
+        assert received(w, "kill", hung_at) == [] and "running" not in states(w)
         w.crash(0)
         await trio.sleep(0.5)
         w.start(0)
@@ -148,24 +148,27 @@
 
 
 async def gather_all_but_one(w: World) -> FakeWorker:
-    """Let a gang's tasks gather, but for one whose machine hangs for 12 s; return its worker."""
+    """Let all of a gang's tasks gather except one, whose machine hangs for 12 s.
+
+    Returns that machine's worker.
+    """
     assert await w.submit(0, gang(1, TASKS, yard="east", vcpus=CPUS), 300) == 201
     assert await w.until(lambda: states(w) == ["fetching"] * TASKS, 60, 0.02)
-    late = next(worker for worker in w.workers() if worker.tasks)
-    w.nursery.start_soon(late.hang, 12)
+    hung_worker = next(worker for worker in w.workers() if worker.tasks)
+    w.nursery.start_soon(hung_worker.hang, 12)
     assert await w.until(lambda: states(w) == ["fetching", *["gathering"] * (TASKS - 1)], 3)
-    return late
+    return hung_worker
 
 
 @BOTH
 async def test_it_lets_tasks_that_gather_go_on(version):
-    """It neither stops nor forgets them, and the gang begins under its first attempt's number."""
+    """It neither stops nor forgets them, and the gang starts under its first attempt number."""
     async with world(count=1, teams=TEAMS, capacity=2 * TASKS) as w:
-        late = await gather_all_but_one(w)
+        hung_worker = await gather_all_but_one(w)
         restarted = trio.current_time()
         await restart_leader_as(w, version)
         await trio.sleep(5)
-        assert late.hung and states(w) == ["fetching", *["gathering"] * (TASKS - 1)]
+        assert hung_worker.hung and states(w) == ["fetching", *["gathering"] * (TASKS - 1)]
         assert await w.until(lambda: states(w) == ["running"] * TASKS, 15)
         await trio.sleep(10)
         assert states(w) == ["running"] * TASKS
@@ -175,26 +178,26 @@
 
 @pytest.fixture
 def acquire_from_leader(monkeypatch):
-    """Let a controller of today's version acquire a partition, whoever leads it.
+    """Return a function that makes a controller of the current version acquire a led partition.
 
-    Its election does it in its next round, by the same transaction as from a leader that is gone.
+    Its election acquires it in the next round, with the transaction that replaces a failed leader.
     """
     decide = policy.decide
-    wanted: set[tuple[str, str]] = set()
+    requested: set[tuple[str, str]] = set()
 
-    def decide_as_wanted(partition, controllers, operator, now):
+    def decide_as_requested(partition, controllers, operator, now):
         leader = partition.recorded and partition.recorded.controller
-        if (controllers.name, partition.name) in wanted and leader != controllers.name:
+        if (controllers.name, partition.name) in requested and leader != controllers.name:
             return Decision(Action.REPLACE_LEADER)
         return decide(partition, controllers, operator, now)
 
     async def acquire(w: World, controller: str, partition: str) -> None:
-        wanted.add((controller, partition))
+        requested.add((controller, partition))
         election = w.controllers[controller].election
         assert await w.until(lambda: election.leadership(partition), 2, 0.01)
-        wanted.clear()
+        requested.clear()
 
-    monkeypatch.setattr(policy, "decide", decide_as_wanted)
+    monkeypatch.setattr(policy, "decide", decide_as_requested)
     return acquire
 
 
@@ -202,9 +205,10 @@
 async def test_it_stops_leading_at_once_when_a_peer_acquires_its_partition(
     version, acquire_from_leader
 ):
-    """Nothing is stopped or begun by that, and it does not take the partition back by itself.
+    """The change stops and starts no task, and it doesn't acquire the partition again by itself.
 
-    After 25 s the peer hands it back. An array runs there: with a gang the peers do so unasked.
+    After 25 s the peer hands the partition back. The job is an array: with a gang, the peers would
+    acquire the partition without being made to.
     """
     async with world(teams=TEAMS, capacity=2 * TASKS) as w:
         array = job(1, legs=TASKS, yard="east", vcpus=CPUS, dueS=30.0, loaners=False)
@@ -213,17 +217,17 @@
         await trio.sleep(8)
         await restart_leader_as(w, version)
         await trio.sleep(5)
-        before = trio.current_time()
-        older = w.controllers["node-0"].election
-        term = older.leadership("east").term
+        changed_at = trio.current_time()
+        replaced = w.controllers["node-0"].election
+        term = replaced.leadership("east").term
         await acquire_from_leader(w, "node-1", "east")
-        assert await w.until(lambda: older.leadership("east") is None, 0.5, 0.01)
+        assert await w.until(lambda: replaced.leadership("east") is None, 0.5, 0.01)
         for _ in range(200):
             await trio.sleep(0.1)
-            assert older.leadership("east") is None
+            assert replaced.leadership("east") is None
             assert w.state.value("r/own/east")["node"] == "node-1"
         assert w.state.value("r/term/east") == {"n": term + 1, "node": "node-1"}
         for verb in ("run", "kill", "forget"):
-            assert received(w, verb, before) == []
+            assert received(w, verb, changed_at) == []
         assert states(w) == ["running"] * TASKS
-        assert await w.until(lambda: older.leadership("east"), 10)
+        assert await w.until(lambda: replaced.leadership("east"), 10)
--- a/tests/test_architecture_page.py
+++ b/tests/test_architecture_page.py
@@ -1,4 +1,4 @@
-"""The modules, classes and functions that docs/architecture.md names exist."""
+"""Checks that the modules, classes and functions named in docs/architecture.md exist."""
 
 import ast
 import re
@@ -12,12 +12,12 @@
 
 
 def _path(module: str) -> Path:
-    inside = PACKAGE / module
-    return inside if inside.exists() else ROOT / module
+    in_package = PACKAGE / module
+    return in_package if in_package.exists() else ROOT / module
 
 
 def _definitions(path: Path) -> set[str]:
-    """Return what a module defines at its top, and methods as `Class.method`."""
+    """Return a module's top-level definitions, and methods as `Class.method`."""
     found = set()
     for node in ast.parse(path.read_text()).body:
         if isinstance(node, ast.ClassDef | ast.FunctionDef | ast.AsyncFunctionDef):
@@ -40,10 +40,10 @@
 def test_every_class_and_function_that_the_page_names_exists():
     missing = []
     for module, name, member in REFERENCE.findall(PAGE):
-        wanted = f"{name}.{member}" if member else name
+        definition = f"{name}.{member}" if member else name
         path = _path(module)
-        if wanted and path.exists() and wanted not in _definitions(path):
-            missing.append(f"{module}:{wanted}")
+        if definition and path.exists() and definition not in _definitions(path):
+            missing.append(f"{module}:{definition}")
     assert missing == []
 
 
@@ -56,9 +56,11 @@
     operations = (ROOT / "docs" / "operations.md").read_text()
     rows = dict(re.findall(r"^\| `([a-z]+ [a-z-]+)` \| (.+) \|$", PAGE, re.MULTILINE))
     components = {event.split()[0] for event in rows}
-    quoted = [text.split() for text in re.findall(r"`([^`\n]+)`", operations)]
-    named = {" ".join(words[:2]) for words in quoted if len(words) > 1 and words[0] in components}
-    assert sorted(named - rows.keys()) == []
+    quoted_words = [text.split() for text in re.findall(r"`([^`\n]+)`", operations)]
+    named_events = {
+        " ".join(words[:2]) for words in quoted_words if len(words) > 1 and words[0] in components
+    }
+    assert sorted(named_events - rows.keys()) == []
     for event, modules in rows.items():
         for module in re.findall(r"`([a-z_/]+\.py)`", modules):
             assert f'"{event.split()[1]}"' in (PACKAGE / module).read_text(), (event, module)
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -1,6 +1,6 @@
-"""What may import what. docs/architecture.md explains the order.
+"""Checks the layering of imports that docs/architecture.md explains.
 
-Imports for types alone count too: a reader follows them like any other.
+Imports used only for type annotations count too: a reader follows them like any other.
 """
 
 import ast
@@ -12,8 +12,8 @@
 ROOT = Path(__file__).parents[1]
 PACKAGE = "roadbend"
 
-# Each package or top module, with those that it may import. The lower ones come first; nothing may
-# import what stands below it in this table.
+# Each package or top-level module, with those that it may import. Lower layers come first: a unit
+# may import only units that are listed above it in this table.
 MAY_IMPORT: dict[str, set[str]] = {
     PACKAGE: set(),
     "errors": set(),
@@ -45,14 +45,14 @@
     "tracing": {PACKAGE, "log", "clock", "settings", "store", "fleet", "observer", "controller"},
     "cli": {PACKAGE, "log", "http", "settings", "controller", "recovery", "tracing"},
     "__main__": {"cli"},
-    # Not part of a controller. The fakes ask the checkers for the rules, and the checkers' search
-    # plays deployments of fakes: the two stand together.
+    # Not part of a controller. The fakes use the rules of the checkers, and the checkers' search
+    # runs deployments of fakes: the two import each other.
     "fakes": {"clock", "http", "settings", "store", "peers", "cloud", "intake", "placement"}
     | {"controller", "checkers"},
     "checkers": {"clock", "settings", "controller", "recovery", "fakes"},
     "rehearsal": {"errors", "settings", "controller", "recovery", "fakes", "checkers"},
 }
-TOGETHER = {("fakes", "checkers")}
+MUTUAL_IMPORTS = {("fakes", "checkers")}
 
 
 def _module_name(path: Path) -> str:
@@ -86,28 +86,28 @@
 
 
 def _unit(module: str) -> str:
-    """Return the package or top module that a module belongs to."""
+    """Return the package or top-level module that a module belongs to."""
     parts = module.split(".")
     return parts[1] if len(parts) > 1 else PACKAGE
 
 
 def _cycle_from(start: str) -> list[str]:
-    """Return a way along imports from a module back to itself; empty if there is none."""
-    ways = [[start]]
+    """Return a path of imports from a module back to itself; empty if there is none."""
+    paths = [[start]]
     seen = {start}
-    while ways:
-        way = ways.pop()
-        for target in sorted(IMPORTS.get(way[-1], ())):
+    while paths:
+        import_path = paths.pop()
+        for target in sorted(IMPORTS.get(import_path[-1], ())):
             if target == start:
-                return [*way, start]
+                return [*import_path, start]
             if target not in seen:
                 seen.add(target)
-                ways.append([*way, target])
+                paths.append([*import_path, target])
     return []
 
 
 def test_no_module_imports_itself_through_others():
-    assert [way for module in IMPORTS if (way := _cycle_from(module))] == []
+    assert [import_path for module in IMPORTS if (import_path := _cycle_from(module))] == []
 
 
 @pytest.mark.parametrize("unit", sorted({_unit(module) for module in MODULES}))
@@ -122,11 +122,11 @@
 
 
 def test_the_table_goes_from_the_bottom_up():
-    order = list(MAY_IMPORT)
+    layers = list(MAY_IMPORT)
     upward = {
         (unit, lower)
         for unit, imports in MAY_IMPORT.items()
         for lower in imports
-        if order.index(lower) >= order.index(unit)
+        if layers.index(lower) >= layers.index(unit)
     }
-    assert upward == TOGETHER
+    assert upward == MUTUAL_IMPORTS
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,10 +1,13 @@
-"""An entry of KNOWN-RED.txt that names no test fails the build; a misspelt one once passed."""
+"""Checks that an entry of KNOWN-RED.txt that names no test fails the build.
+
+A misspelt entry once went unnoticed.
+"""
 
 import subprocess
 import sys
 from pathlib import Path
 
-PROGRAM = Path(__file__).parents[1] / ".ci" / "known_red.py"
+SCRIPT = Path(__file__).parents[1] / ".ci" / "known_red.py"
 TEST = "tests/scenarios/test_a.py::test_b[7]"
 
 
@@ -12,7 +15,7 @@
     known, collected = tmp_path / "KNOWN-RED.txt", tmp_path / "collected"
     known.write_text(entries)
     collected.write_text(f"{TEST}\ntests/test_c.py::test_d\n\n2 tests collected in 0.1s\n")
-    command = [sys.executable, str(PROGRAM), str(known), str(collected)]
+    command = [sys.executable, str(SCRIPT), str(known), str(collected)]
     return subprocess.run(command, capture_output=True, text=True, check=False)
 
 
--- a/tests/test_log_events.py
+++ b/tests/test_log_events.py
@@ -1,4 +1,4 @@
-"""The events named on the operators' pages are those that the code logs."""
+"""Checks that the events named on the operators' pages are those that the code logs."""
 
 import ast
 import re
@@ -23,7 +23,7 @@
 
 
 def _components(module: ast.Module) -> set[str]:
-    """Return the components whose logger a module makes: the text in `log = Log("...")`."""
+    """Return the components whose logger a module creates: the text in `log = Log("...")`."""
     return {
         str(node.args[0].value)
         for node in ast.walk(module)
@@ -35,7 +35,7 @@
     }
 
 
-def _logged() -> set[tuple[str, str]]:
+def _logged_events() -> set[tuple[str, str]]:
     """Return every event that the code logs, with its component."""
     found = set()
     for module in _modules():
@@ -48,33 +48,40 @@
                 and node.func.value.id == "log"
             ):
                 event = node.args[0]
-                assert isinstance(event, ast.Constant), "an event is written out where it is logged"
+                assert isinstance(event, ast.Constant), (
+                    "the event name must be a literal in the log call"
+                )
                 found |= {(component, str(event.value)) for component in _components(module)}
     return found
 
 
-def _named_on(page: str, components: set[str]) -> set[tuple[str, str]]:
+def _events_on_page(page: str, components: set[str]) -> set[tuple[str, str]]:
     """Return the events that a page names in the form `component event ...`."""
     quoted = re.findall(r"`([^`\n]+)`", (ROOT / "docs" / page).read_text())
-    words = [text.split() for text in quoted]
-    events = {(row[0], row[1]) for row in words if len(row) > 1 and row[0] in components}
+    word_lists = [text.split() for text in quoted]
+    events = {
+        (words[0], words[1]) for words in word_lists if len(words) > 1 and words[0] in components
+    }
     return events - {("recovery", command) for command in RECOVERY_COMMANDS}
 
 
 @pytest.mark.parametrize("page", PAGES)
 def test_every_event_named_on_an_operators_page_is_logged_by_the_code(page):
-    logged = _logged()
-    assert _named_on(page, {component for component, _ in logged}) <= logged
+    logged = _logged_events()
+    assert _events_on_page(page, {component for component, _ in logged}) <= logged
 
 
 def test_the_operations_page_names_events():
-    assert len(_named_on("operations.md", {component for component, _ in _logged()})) >= 20
+    assert (
+        len(_events_on_page("operations.md", {component for component, _ in _logged_events()}))
+        >= 20
+    )
 
 
 def test_events_are_named_by_whole_words_joined_with_hyphens():
-    assert [event for _, event in sorted(_logged()) if not EVENT_FORM.fullmatch(event)] == []
+    assert [event for _, event in sorted(_logged_events()) if not EVENT_FORM.fullmatch(event)] == []
 
 
 def test_every_event_is_in_the_list_of_renamed_events():
     page = (ROOT / "docs" / "renamed.md").read_text()
-    assert [event for _, event in sorted(_logged()) if f"`{event}`" not in page] == []
+    assert [event for _, event in sorted(_logged_events()) if f"`{event}`" not in page] == []
--- a/tests/test_settings_page.py
+++ b/tests/test_settings_page.py
@@ -1,4 +1,4 @@
-"""The bounds that docs/settings.md names are constants of the code."""
+"""Checks that the bounds named in docs/settings.md are constants of the code."""
 
 import re
 from pathlib import Path
