--- a/tests/compatibility/adapter.py
+++ b/tests/compatibility/adapter.py
@@ -1,8 +1,8 @@
-"""The only module here that imports the package.
+"""Adapts the package to the compatibility tests; no other module here imports the package.
 
-Everything goes in and out as plain values, with names that belong to these tests: seconds are
-numbers, ranges are lists of pairs, and each refusal is a `RefusedError` with the package's text.
-When the package's names change, only imports and attribute names in this module follow.
+Arguments and results are plain values under names that belong to these tests: durations are numbers
+of seconds, ranges are lists of pairs, and bad input raises `RefusedError` with the package's
+message. When names in the package change, only imports and attribute names in this module follow.
 """
 
 import io
@@ -54,17 +54,17 @@
 from roadbend.tracing import settings as tracing_settings
 
 Fields = dict[str, Any]
-# The time of day at which every test begins.
+# The time of day at which every test starts.
 EPOCH = datetime(2026, 1, 1, tzinfo=UTC)
 
 
 class RefusedError(Exception):
-    """The package refused an input; the text is the package's own."""
+    """The package rejected an input; the message is the package's own."""
 
 
 @contextmanager
-def _refusals() -> Iterator[None]:
-    """Turns the package's errors about bad input into `RefusedError`."""
+def _translate_errors() -> Iterator[None]:
+    """Convert the package's errors about bad input to `RefusedError`."""
     try:
         yield
     except RoadbendError as error:
@@ -75,7 +75,7 @@
     return None if length is None else length.total_seconds()
 
 
-def _length(seconds: float | None) -> timedelta | None:
+def _duration(seconds: float | None) -> timedelta | None:
     return None if seconds is None else timedelta(seconds=seconds)
 
 
@@ -87,7 +87,7 @@
     return tuple((low, high) for low, high in pairs)
 
 
-# A job as its user submitted it.
+# The specification of a job, as its user submitted it.
 
 
 def _spec(fields: Fields) -> JobSpec:
@@ -108,7 +108,7 @@
         expected_duration=timedelta(seconds=fields["expected_s"]),
         checkpoint=timedelta(seconds=fields["checkpoint_s"]),
         save=timedelta(seconds=fields["save_s"]),
-        due=_length(fields["due_s"]),
+        due=_duration(fields["due_s"]),
         gang=fields["gang"],
     )
 
@@ -149,28 +149,28 @@
     "gang_offer_again": frames.FrameKind.GANG_INFORM,
 }
 REPLY_BIT = frames.REPLY_BIT
-LONGEST_PAYLOAD = frames.MAX_PAYLOAD
+MAX_PAYLOAD_SIZE = frames.MAX_PAYLOAD
 
 
 def encode_frame(kind: int, number: int, payload: bytes) -> bytes:
-    """A whole frame."""
-    with _refusals():
+    """Return a complete frame."""
+    with _translate_errors():
         return frames.pack(kind, number, payload)
 
 
 def split_frames(data: bytes) -> list[tuple[int, int, bytes]]:
-    """Kind, call number and payload of every whole frame in the data."""
-    with _refusals():
+    """Return kind, call number and payload of each complete frame in the data."""
+    with _translate_errors():
         return list(frames.FrameDecoder().feed(data))
 
 
 def encode_heartbeat(fields: Fields) -> bytes:
-    """A heartbeat's payload."""
-    with _refusals():
+    """Return the payload of a heartbeat between controllers."""
+    with _translate_errors():
         return PeerHeartbeat(
             fields["boot"],
             timedelta(seconds=fields["uptime_s"]),
-            _length(fields["contact_age_s"]),
+            _duration(fields["contact_age_s"]),
             tuple(fields["used_per_s"]),
             dict(fields["owned_terms"]),
             {part: tuple(machines) for part, machines in fields["machines_heard"].items()},
@@ -180,8 +180,8 @@
 
 
 def decode_heartbeat(payload: bytes) -> Fields:
-    """What a heartbeat's payload says."""
-    with _refusals():
+    """Decode the payload of a heartbeat between controllers."""
+    with _translate_errors():
         heartbeat = PeerHeartbeat.unpack(payload)
     return {
         "boot": heartbeat.incarnation,
@@ -198,45 +198,45 @@
 
 
 def understands_gangs(boot: str) -> bool:
-    """Whether a controller is sent frames about gangs, by the boot id in its heartbeats."""
+    """Return whether a controller is sent frames about gangs, by the boot id in its heartbeats."""
     heartbeat = PeerHeartbeat(boot, timedelta(), None, (0.0, 0.0, 0.0))
     return PeerState(heartbeat).supports(frames.GANGS_EXTENSION)
 
 
 def encode_bid_request(fields: Fields) -> bytes:
-    """The payload of a request for bids, and of an offer of a job that waits elsewhere."""
-    with _refusals():
+    """Return the payload of a bid request, also of one that reschedules a waiting job."""
+    with _translate_errors():
         return BidRequest(
             job=fields["job"],
             requests=fields["requests"],
             tasks=fields["free_tasks"],
             spec=_spec(fields["spec"]),
             from_partition=fields["waits_at_part"],
-            requester_response=_length(fields["response_time_s"]),
+            requester_response=_duration(fields["response_time_s"]),
             requester_average=timedelta(seconds=fields["average_wait_s"]),
             waited=timedelta(seconds=fields["waited_s"]),
         ).pack()
 
 
 def decode_bid_request(payload: bytes) -> Fields:
-    """What such a payload says."""
-    with _refusals():
-        ask = BidRequest.unpack(payload)
+    """Decode the payload of a bid request."""
+    with _translate_errors():
+        bid_request = BidRequest.unpack(payload)
     return {
-        "job": ask.job,
-        "requests": ask.requests,
-        "free_tasks": ask.tasks,
-        "spec": _spec_fields(ask.spec),
-        "waits_at_part": ask.from_partition,
-        "response_time_s": _seconds(ask.requester_response),
-        "average_wait_s": _seconds(ask.requester_average),
-        "waited_s": _seconds(ask.waited),
+        "job": bid_request.job,
+        "requests": bid_request.requests,
+        "free_tasks": bid_request.tasks,
+        "spec": _spec_fields(bid_request.spec),
+        "waits_at_part": bid_request.from_partition,
+        "response_time_s": _seconds(bid_request.requester_response),
+        "average_wait_s": _seconds(bid_request.requester_average),
+        "waited_s": _seconds(bid_request.waited),
     }
 
 
 def encode_bids(rows: list[Fields]) -> bytes:
-    """The payload of the answer to a request for bids."""
-    with _refusals():
+    """Return the payload of the reply to a bid request."""
+    with _translate_errors():
         return bidding_messages.pack_bids(
             [
                 Bid(
@@ -254,8 +254,8 @@
 
 
 def decode_bids(payload: bytes) -> list[Fields]:
-    """What such a payload says."""
-    with _refusals():
+    """Decode the payload of the reply to a bid request."""
+    with _translate_errors():
         bids = bidding_messages.unpack_bids(payload)
     return [
         {
@@ -272,16 +272,16 @@
 
 
 def encode_assignment(fields: Fields) -> bytes:
-    """The payload that tells a controller of a job that its part now holds."""
-    with _refusals():
+    """Return the payload that assigns a job to a controller's partition."""
+    with _translate_errors():
         return bidding_messages.Assignment(
             fields["job"], bytes.fromhex(fields["record_hex"]), fields["revision"]
         ).pack()
 
 
 def decode_assignment(payload: bytes) -> Fields:
-    """What such a payload says."""
-    with _refusals():
+    """Decode the payload of an assignment."""
+    with _translate_errors():
         assignment = bidding_messages.Assignment.unpack(payload)
     return {
         "job": assignment.job,
@@ -291,14 +291,14 @@
 
 
 def encode_revocation(fields: Fields) -> bytes:
-    """The payload that tells a controller that a job went elsewhere."""
-    with _refusals():
+    """Return the payload that tells a controller that a job was assigned elsewhere."""
+    with _translate_errors():
         return bidding_messages.Revocation(fields["job"]).pack()
 
 
 def decode_revocation(payload: bytes) -> Fields:
-    """What such a payload says."""
-    with _refusals():
+    """Decode the payload of a revocation."""
+    with _translate_errors():
         return {"job": bidding_messages.Revocation.unpack(payload).job}
 
 
@@ -332,15 +332,15 @@
     "unrecorded": keys.unrecorded_key,
     "end": keys.job_end_key,
 }
-# Words that are stored, and what users are told.
-WORDS: dict[str, Any] = {
+# Enumerated words in records, and those in responses to users.
+STORED_WORDS: dict[str, Any] = {
     "recovery_phases": sorted(str(phase) for phase in PhaseName),
     "differences": sorted(str(kind) for kind in Kind),
     "statuses": sorted(status.value for status in user_messages.JobStatus),
     "priorities": records.PRIORITY,
 }
 CATALOG_KEY = keys.CATALOG_KEY
-FOLLOWED_PREFIX = keys.LIVE
+LIVE_PREFIX = keys.LIVE
 
 
 def _job(fields: Fields) -> Job:
@@ -354,18 +354,18 @@
 
 
 def write_job(fields: Fields) -> tuple[str, Any]:
-    """Key and value of a live job's record."""
+    """Return key and value of a live job's record."""
     return keys.job_key(fields["job"]), _job(fields).to_value()
 
 
-def write_small_job(fields: Fields) -> tuple[str, Any]:
-    """The same within a limit of the value's size."""
+def write_compact_job(fields: Fields) -> tuple[str, Any]:
+    """Return key and value of a live job's record within a size limit."""
     return keys.job_key(fields["job"]), _job(fields).to_compact_value(fields["most_bytes"])
 
 
 def write_slice(fields: Fields) -> tuple[str, Any]:
-    """Key and value of a shard of what a part runs of a job."""
-    made = SliceShard(
+    """Return key and value of one shard of a job slice."""
+    shard = SliceShard(
         fields["job"],
         fields["part"],
         fields["team"],
@@ -375,19 +375,19 @@
         0,
         fields["shard"],
     )
-    return made.key, made.to_value()
+    return shard.key, shard.to_value()
 
 
 def write_team(fields: Fields) -> tuple[str, Any]:
-    """Key and value of what parts may use for a team, set part by part."""
-    use = QuotaRecord(fields["team"])
+    """Return key and value of a team's quota record, set partition by partition."""
+    quota = QuotaRecord(fields["team"])
     for part, cpus, gpus in fields["set_aside"]:
-        use = use.with_partition(part, cpus, gpus)
-    return keys.team_key(fields["team"]), use.to_value()
+        quota = quota.with_partition(part, cpus, gpus)
+    return keys.team_key(fields["team"]), quota.to_value()
 
 
 def write_recovery(fields: Fields) -> tuple[str, Any]:
-    """Key and value of how far a part's recovery is."""
+    """Return key and value of the progress of a partition's recovery."""
     progress = RecoveryProgress(
         fields["term"],
         fields["phase"],
@@ -401,21 +401,21 @@
 
 
 def write_end(fields: Fields) -> tuple[str, Any]:
-    """Key and value of a job's end."""
+    """Return key and value of the record of a job's end."""
     value = records.job_end_value(fields["status"], fields["tasks_done"])
     return keys.job_end_key(fields["job"]), value
 
 
 def write_catalog(rows: list[Fields]) -> tuple[str, Any]:
-    """Key and value of the catalog as it is kept, from the cloud's answer."""
-    with _refusals():
+    """Return key and value of the catalog's record, made from the cloud's response."""
+    with _translate_errors():
         machine_types = read_machine_types(rows)
     return CATALOG_KEY, [machine_type.to_value() for machine_type in machine_types.values()]
 
 
 WRITERS: dict[str, Callable[[Any], tuple[str, Any]]] = {
     "job": write_job,
-    "small_job": write_small_job,
+    "small_job": write_compact_job,
     "slice": write_slice,
     "team": write_team,
     "recovery": write_recovery,
@@ -425,8 +425,10 @@
 
 
 def read_records(rows: list[tuple[str, Any]]) -> Fields:
-    """What a controller knows after it has read these records, in this order. A record that can't
-    be read is left out."""
+    """Return a controller's record view after it has read these records in this order.
+
+    Records that can't be parsed are left out.
+    """
     view = RecordView()
     for revision, (key, value) in enumerate(rows, 1):
         view.put(key, value, revision)
@@ -434,20 +436,22 @@
         "jobs": {name: _job_fields(row) for name, row in view.jobs.items()},
         "gangs": sorted(view.gangs),
         "slices": {
-            part: {name: _work_fields(work) for name, work in works.items()}
-            for part, works in view.job_slices.items()
-            if works
+            part: {name: _slice_fields(job_slice) for name, job_slice in slices.items()}
+            for part, slices in view.job_slices.items()
+            if slices
         },
         "teams": {
-            name: {part: list(amounts) for part, amounts in use.partitions.items()}
-            for name, use in view.quotas.items()
+            name: {part: list(amounts) for part, amounts in quota.partitions.items()}
+            for name, quota in view.quotas.items()
         },
         "terms": {part: [term.number, term.controller] for part, term in view.terms.items()},
         "owners": {
-            part: {"controller": own.controller, "boot": own.incarnation, "term": own.term}
-            for part, own in view.partition_leaders.items()
+            part: {"controller": leader.controller, "boot": leader.incarnation, "term": leader.term}
+            for part, leader in view.partition_leaders.items()
+        },
+        "controllers": {
+            name: registration.incarnation for name, registration in view.controllers.items()
         },
-        "controllers": {name: live.incarnation for name, live in view.controllers.items()},
         "recoveries": {part: _progress_fields(row) for part, row in view.recoveries.items()},
         "unrecorded": view.unrecorded,
         "catalog": view.catalog,
@@ -465,13 +469,13 @@
     }
 
 
-def _work_fields(work) -> Fields:
+def _slice_fields(job_slice) -> Fields:
     return {
-        "team": work.team,
-        "need": [work.resources.cpus, work.resources.gpus, work.resources.memory],
-        "over": _pairs(work.done),
-        "attempts": {str(task): list(attempt) for task, attempt in work.attempts.items()},
-        "shards": sorted(work.shards),
+        "team": job_slice.team,
+        "need": [job_slice.resources.cpus, job_slice.resources.gpus, job_slice.resources.memory],
+        "over": _pairs(job_slice.done),
+        "attempts": {str(task): list(attempt) for task, attempt in job_slice.attempts.items()},
+        "shards": sorted(job_slice.shards),
     }
 
 
@@ -488,8 +492,8 @@
 
 
 def read_catalog(value: Any) -> list[Fields]:
-    """The machine types of a catalog, from the cloud or from its record."""
-    with _refusals():
+    """Return the machine types of a catalog, from the cloud or from its record."""
+    with _translate_errors():
         machine_types = read_machine_types(value)
     return [
         {
@@ -507,12 +511,12 @@
 
 
 def write_ranges(pairs: list[list[int]]) -> str:
-    """Ranges as text."""
+    """Return ranges in their text form."""
     return ranges.to_text(_ranges(pairs))
 
 
 def read_ranges(value: Any) -> list[list[int]]:
-    """Ranges in either stored form."""
+    """Read ranges in either stored form."""
     return _pairs(ranges.read(value))
 
 
@@ -520,15 +524,15 @@
 
 
 def read_submission(body: Any) -> Fields:
-    """What a submission says."""
-    with _refusals():
+    """Parse a submission."""
+    with _translate_errors():
         name, spec = user_messages.read_submission(body)
     return {"job": name, "spec": _spec_fields(spec)}
 
 
 def read_report(body: Any) -> Fields:
-    """What a worker's report says."""
-    with _refusals():
+    """Parse a worker's heartbeat."""
+    with _translate_errors():
         report = worker_messages.parse_heartbeat(body)
     return {
         "machine": report.machine,
@@ -552,27 +556,29 @@
 
 
 def write_order(verb: str, job: str, task: int, attempt: int, *grace_s: float) -> Fields:
-    """An order for a machine. An integer 0 as grace is what an attempt that no record names gets;
-    every other grace is written as a decimal number."""
+    """Return an order for a worker.
+
+    A grace of integer 0 is that of an unrecorded attempt; every other grace is written as a float.
+    """
     grace = [
-        None if seconds == 0 and type(seconds) is int else _length(seconds) for seconds in grace_s
+        None if seconds == 0 and type(seconds) is int else _duration(seconds) for seconds in grace_s
     ]
     return worker_messages.order_to_wire(_ORDERS[verb](job, task, attempt, *grace))
 
 
 def submission(number: int, **changes: Any) -> Fields:
-    """A submission of an array, as a user would send it."""
+    """Return the submission of an array, as a user would send it."""
     return job(number, **changes)
 
 
 def gang_submission(number: int, tasks: int, **changes: Any) -> Fields:
-    """The same of a gang."""
+    """Return the submission of a gang, as a user would send it."""
     return gang(number, tasks, **changes)
 
 
 # Settings.
 
-_OPERATOR_FORMS: dict[str, type] = {
+_OPERATOR_SETTINGS: dict[str, type] = {
     "roadbend": OperatorSettings,
     "recovery": recovery_settings.RecoverySettings,
     "tracing": tracing_settings.TracingSettings,
@@ -586,36 +592,40 @@
 
 
 def read_operator_settings(form: str, text: str, directory: Path) -> Fields:
-    """Every key of the operators' settings with its value, from a file's text."""
-    with _refusals():
+    """Return every key of an operators' settings file with its value, from the file's text."""
+    with _translate_errors():
         if form == "roadbend":
-            made: Any = read_operator(text)
+            settings: Any = read_operator(text)
         else:
             path = directory / f"{form}.sexp"
             path.write_text(text)
-            made = _LOADERS[form](path)
-    return {key: _plain(getattr(made, name)) for key, name in _operator_keys(form).items()}
+            settings = _LOADERS[form](path)
+    return {
+        key: _plain_value(getattr(settings, name)) for key, name in _operator_keys(form).items()
+    }
 
 
 def operator_defaults(form: str) -> Fields:
-    """Every key of the operators' settings with its default."""
-    made = _OPERATOR_FORMS[form]()
-    return {key: _plain(getattr(made, name)) for key, name in _operator_keys(form).items()}
+    """Return every key of an operators' settings file with its default."""
+    settings = _OPERATOR_SETTINGS[form]()
+    return {
+        key: _plain_value(getattr(settings, name)) for key, name in _operator_keys(form).items()
+    }
 
 
 def _operator_keys(form: str) -> dict[str, str]:
-    """Key in the file -> attribute."""
-    names = [field.name for field in dataclass_fields(_OPERATOR_FORMS[form])]
+    """Return the settings attribute of each key in the file."""
+    names = [field.name for field in dataclass_fields(_OPERATOR_SETTINGS[form])]
     return {name.replace("_", "-"): name for name in names}
 
 
-def _plain(value: Any) -> Any:
+def _plain_value(value: Any) -> Any:
     return value.total_seconds() if isinstance(value, timedelta) else value
 
 
 def read_platform_settings(text: str) -> Fields:
-    """What the platform's file says, and the figures that follow from it."""
-    with _refusals():
+    """Return the platform settings from a file's text, with the values derived from them."""
+    with _translate_errors():
         settings = read_platform(text)
     return {
         "name": settings.name,
@@ -656,7 +666,7 @@
 
 
 def is_settings_error(error: RefusedError) -> bool:
-    """Whether the command line ends with the status for bad settings."""
+    """Return whether the command line exits with the status for bad settings on this error."""
     return isinstance(error.__cause__, SettingsError)
 
 
@@ -666,21 +676,21 @@
 
 
 def run_command(arguments: list[str]) -> tuple[int, str, str]:
-    """Runs the command line in this process: exit status, output and errors."""
+    """Run the command line in this process; return exit status, standard output and error."""
     output, errors = io.StringIO(), io.StringIO()
     with redirect_stdout(output), redirect_stderr(errors):
         try:
             status = cli.main(arguments)
-        except SystemExit as ended:
-            status = ended.code if isinstance(ended.code, int) else 1
+        except SystemExit as exited:
+            status = exited.code if isinstance(exited.code, int) else 1
     return status, output.getvalue(), errors.getvalue()
 
 
 def logged_lines(level: str | None) -> list[str]:
-    """The lines written to standard error at this LOG_LEVEL, for one event of each severity."""
+    """Return the lines logged to standard error at a LOG_LEVEL, for one event per severity."""
     root, written = logging.getLogger(), io.StringIO()
-    kept = (root.handlers, root.level, sys.stderr, logging.raiseExceptions)
-    kept_level = os.environ.pop("LOG_LEVEL", None)
+    saved = (root.handlers, root.level, sys.stderr, logging.raiseExceptions)
+    saved_log_level = os.environ.pop("LOG_LEVEL", None)
     try:
         root.handlers, sys.stderr = [], written
         if level is not None:
@@ -692,64 +702,64 @@
         logger.warning("third")
         logger.error("fourth", text="two words")
     finally:
-        root.handlers, level_before, sys.stderr, logging.raiseExceptions = kept
-        root.setLevel(level_before)
+        root.handlers, saved_root_level, sys.stderr, logging.raiseExceptions = saved
+        root.setLevel(saved_root_level)
         os.environ.pop("LOG_LEVEL", None)
-        if kept_level is not None:
-            os.environ["LOG_LEVEL"] = kept_level
+        if saved_log_level is not None:
+            os.environ["LOG_LEVEL"] = saved_log_level
     return written.getvalue().splitlines()
 
 
-# A deployment in memory.
+# An in-memory deployment.
 
 
-def go_with_the_mock_clock(monkeypatch: Any) -> None:
-    """The package's time of day goes with trio's clock, from `EPOCH` on."""
+def follow_mock_clock(monkeypatch: Any) -> None:
+    """Make the package's time of day follow trio's clock, starting at `EPOCH`."""
     monkeypatch.setattr(clock, "wall", lambda: EPOCH + timedelta(seconds=trio.current_time()))
 
 
 class Deployment:
-    """Controllers, state service, cloud and machines in memory."""
+    """Controllers, state store, cloud and machines in memory."""
 
-    def __init__(self, made: Any):
-        self._world = made
+    def __init__(self, fake_world: Any):
+        self._world = fake_world
 
     async def connect(self, address: str) -> trio.abc.Stream:
-        """A user's connection."""
+        """Open a connection as a user."""
         return await self._world.network.port("user").connect(address)
 
     def outage(self, down: bool) -> None:
-        """The state service refuses everyone, or serves again."""
+        """Make the state store refuse all requests, or end its outage."""
         if down:
             self._world.state.down = True
         else:
             self._world.state.restore()
 
-    def runs_for(self, name: str, seconds: float | None) -> None:
-        """How long each task of a job runs; None: until it is stopped."""
+    def set_task_duration(self, name: str, seconds: float | None) -> None:
+        """Set how long each task of a job runs; None: until it is stopped."""
         self._world.board.lengths[name] = seconds
 
     def running(self, name: str) -> list[str]:
-        """A job's tasks that are on a machine."""
+        """Return the tasks of a job that run on machines."""
         return self._world.board.running(name)
 
     def stop_controller(self, at: int) -> None:
-        """One controller ends."""
+        """Crash one controller."""
         self._world.crash(at)
 
     def stop_controllers(self) -> None:
-        """All controllers end at once."""
+        """Crash all controllers at once."""
         for at in range(self._world.count):
             self.stop_controller(at)
 
     async def start_controllers(self) -> None:
-        """All controllers begin anew."""
+        """Start all controllers and wait until they lead their partitions."""
         for at in range(self._world.count):
             self._world.start(at)
         assert await self._world.settled()
 
     def lose_records(self, *prefixes: str) -> None:
-        """The state service loses records."""
+        """Make the state store lose the records with these prefixes."""
         stored = self._world.state.keys
         for key in [key for key in stored if key.startswith(prefixes)]:
             del stored[key]
@@ -757,26 +767,27 @@
 
 @asynccontextmanager
 async def deployment(controllers: int, recovery: bool = False):
-    """A deployment whose controllers have taken up their work. The rules that its fakes watch are
-    not looked at: troubles here go beyond what the rules permit."""
+    """Provide a deployment with controllers that are ready.
+
+    Violations that the fakes detect are ignored: the tests inject faults beyond those permitted.
+    """
 
     def equip(node: Any) -> None:
         recovery_service.install(node, recovery_settings.RecoverySettings())
 
     async with world(
         count=controllers, equip=equip if recovery else None, judge=lambda broken: None
-    ) as made:
-        yield Deployment(made)
+    ) as fake_world:
+        yield Deployment(fake_world)
 
 
-# Who sends to whom, and what; `None` where the connection was opened.
-Note = Callable[[int, str, str, bytes | None], None]
+# Arguments: connection number, sender, receiver, and the data, or None for a new connection.
+RecordData = Callable[[int, str, str, bytes | None], None]
 
 
 @contextmanager
-def watched_network(note: Note) -> Iterator[None]:
-    """Tells of everything that goes over the network in memory: the connection's number, sender,
-    receiver and data."""
+def intercept_network(record_data: RecordData) -> Iterator[None]:
+    """Pass all data sent over the in-memory network to `record_data`."""
     network_type: Any = Network
     original, count = network_type.connect, iter(range(1 << 30))
 
@@ -785,17 +796,17 @@
         number, send, receive = next(count), stream.send_all, stream.receive_some
 
         async def send_all(data: bytes) -> None:
-            note(number, host, address, bytes(data))
+            record_data(number, host, address, bytes(data))
             await send(data)
 
         async def receive_some(max_bytes: int | None = None) -> bytes:
             data = await receive(max_bytes)
-            note(number, address, host, bytes(data))
+            record_data(number, address, host, bytes(data))
             return bytes(data)
 
-        watched: Any = stream
-        watched.send_all, watched.receive_some = send_all, receive_some
-        note(number, host, address, None)
+        intercepted: Any = stream
+        intercepted.send_all, intercepted.receive_some = send_all, receive_some
+        record_data(number, host, address, None)
         return stream
 
     network_type.connect = connect
@@ -805,8 +816,8 @@
         network_type.connect = original
 
 
-class _OneConnection:
-    """A network on which every address is the same stream."""
+class _SingleStreamNetwork:
+    """A network whose every address connects to the same stream."""
 
     def __init__(self, stream: trio.abc.Stream):
         self._stream = stream
@@ -816,9 +827,11 @@
 
 
 async def send_request(stream: trio.abc.Stream, method: str, target: str, body: Any) -> Any:
-    """Sends one request as a controller does to the state service, the cloud and machines, and
-    gives status and body of the answer."""
-    client = Client(_OneConnection(stream), "10.2.0.1:2379")  # type: ignore[arg-type]
+    """Send a request as a controller does to the state store, the cloud and machines.
+
+    Returns status and body of the response.
+    """
+    client = Client(_SingleStreamNetwork(stream), "10.2.0.1:2379")  # type: ignore[arg-type]
     return await client.request(method, target, body, within=timedelta(seconds=5))
 
 
@@ -826,7 +839,7 @@
 
 
 def run_scenario(scenario: Scenario, name: str) -> None:
-    """Runs a scenario on trio's mock clock; the order in which tasks go on follows from `name`."""
+    """Run a scenario on trio's mock clock; `name` seeds the order in which tasks are scheduled."""
     random.seed(name)
     scheduler: Any = trio._core._run
     scheduler._ALLOW_DETERMINISTIC_SCHEDULING = True
--- a/tests/compatibility/conftest.py
+++ b/tests/compatibility/conftest.py
@@ -1,4 +1,4 @@
-"""What the tests of this folder share."""
+"""Fixtures shared by the compatibility tests."""
 
 import pytest
 
@@ -7,7 +7,7 @@
 
 @pytest.fixture(scope="module")
 def mock_time_of_day():
-    """The time of day goes with trio's mock clock."""
+    """Make the time of day follow trio's mock clock."""
     with pytest.MonkeyPatch.context() as patch:
-        adapter.go_with_the_mock_clock(patch)
+        adapter.follow_mock_clock(patch)
         yield
--- a/tests/compatibility/http_exchange.py
+++ b/tests/compatibility/http_exchange.py
@@ -1,4 +1,4 @@
-"""Requests and answers as bytes, without the package's own client and server."""
+"""HTTP requests and responses as bytes, without the package's own client and server."""
 
 from dataclasses import dataclass, field
 from typing import Any
@@ -11,26 +11,26 @@
 
 
 def request_bytes(method: str, path: str, body: bytes) -> bytes:
-    """A request as a user or a worker sends it."""
+    """Return a request as a user or a worker sends it."""
     head = f"{method} {path} HTTP/1.1\r\nhost: controller\r\ncontent-length: {len(body)}\r\n\r\n"
     return head.encode() + body
 
 
 async def exchange(stream: trio.abc.Stream, request: bytes) -> tuple[str, bytes]:
-    """Sends a request and gives the answer's head, as it came, and its body."""
+    """Send a request; return the head of the response, as received, and its body."""
     await stream.send_all(request)
     data = b""
     while b"\r\n\r\n" not in data:
-        data += await _more(stream)
+        data += await _receive(stream)
     head, _, body = data.partition(b"\r\n\r\n")
     while len(body) < _content_length(head):
-        body += await _more(stream)
+        body += await _receive(stream)
     return head.decode(), body
 
 
-async def _more(stream: trio.abc.Stream) -> bytes:
+async def _receive(stream: trio.abc.Stream) -> bytes:
     data = await stream.receive_some(READ_SIZE)
-    assert data, "the connection was closed amid an answer"
+    assert data, "the connection was closed within a response"
     return bytes(data)
 
 
@@ -42,8 +42,8 @@
 
 
 @dataclass
-class Sent:
-    """A request that a connection carried, and its answer."""
+class RecordedRequest:
+    """A request sent over a connection, and its response."""
 
     sender: str
     receiver: str
@@ -52,32 +52,32 @@
     head: str
     body: Any
     status: int | None = None
-    answer: Any = None
+    response: Any = None
 
 
 @dataclass
 class _Connection:
     sender: str
     receiver: str
-    requests: h11.Connection = field(default_factory=lambda: h11.Connection(h11.SERVER))
-    answers: h11.Connection = field(default_factory=lambda: h11.Connection(h11.CLIENT))
-    sent: list[Sent] = field(default_factory=list)
-    body: bytes = b""
-    answer: bytes = b""
-    raw: bytes = b""
+    request_parser: h11.Connection = field(default_factory=lambda: h11.Connection(h11.SERVER))
+    response_parser: h11.Connection = field(default_factory=lambda: h11.Connection(h11.CLIENT))
+    requests: list[RecordedRequest] = field(default_factory=list)
+    request_body: bytes = b""
+    response_body: bytes = b""
+    raw_request: bytes = b""
 
 
 class Traffic:
-    """What went over a network in memory, put together to requests and answers."""
+    """Records the data sent over an in-memory network as requests with their responses."""
 
     def __init__(self) -> None:
-        self.sent: list[Sent] = []
-        # Data between controllers, which is not HTTP.
+        self.requests: list[RecordedRequest] = []
+        # Sender, receiver and data between controllers, which don't use HTTP.
         self.frames: list[tuple[str, str, bytes]] = []
         self._connections: dict[int, _Connection] = {}
 
-    def note(self, number: int, sender: str, receiver: str, data: bytes | None) -> None:
-        """Takes in what `adapter.watched_network` tells of."""
+    def record_data(self, number: int, sender: str, receiver: str, data: bytes | None) -> None:
+        """Record data passed by `adapter.intercept_network`; None means a new connection."""
         if data is None:
             self._connections[number] = _Connection(sender, receiver)
             return
@@ -85,17 +85,17 @@
         if ":81" in sender + receiver:
             self.frames.append((sender, receiver, data))
         elif sender == connection.sender:
-            self._note_request(connection, data)
+            self._record_request(connection, data)
         elif data:
-            self._note_answer(connection, data)
+            self._record_response(connection, data)
 
-    def _note_request(self, connection: _Connection, data: bytes) -> None:
-        connection.requests.receive_data(data)
-        connection.raw += data
-        while (event := connection.requests.next_event()) not in (h11.NEED_DATA, h11.PAUSED):
+    def _record_request(self, connection: _Connection, data: bytes) -> None:
+        connection.request_parser.receive_data(data)
+        connection.raw_request += data
+        while (event := connection.request_parser.next_event()) not in (h11.NEED_DATA, h11.PAUSED):
             if isinstance(event, h11.Request):
-                head = connection.raw.partition(b"\r\n\r\n")[0].decode()
-                row = Sent(
+                head = connection.raw_request.partition(b"\r\n\r\n")[0].decode()
+                request = RecordedRequest(
                     connection.sender,
                     connection.receiver,
                     event.method.decode(),
@@ -103,35 +103,38 @@
                     head,
                     None,
                 )
-                connection.sent.append(row)
-                self.sent.append(row)
+                connection.requests.append(request)
+                self.requests.append(request)
             elif isinstance(event, h11.Data):
-                connection.body += bytes(event.data)
+                connection.request_body += bytes(event.data)
             elif isinstance(event, h11.EndOfMessage):
-                connection.sent[-1].body = _decoded(connection.body)
-                connection.body = connection.raw = b""
-                # The other side's answer is looked at elsewhere; here the next request may come.
-                connection.requests = h11.Connection(h11.SERVER)
-
-    def _note_answer(self, connection: _Connection, data: bytes) -> None:
-        if connection.answers.our_state is h11.IDLE:
-            connection.answers.send(
+                connection.requests[-1].body = _decode(connection.request_body)
+                connection.request_body = connection.raw_request = b""
+                # Responses have a parser of their own; a new parser here accepts the next request.
+                connection.request_parser = h11.Connection(h11.SERVER)
+
+    def _record_response(self, connection: _Connection, data: bytes) -> None:
+        if connection.response_parser.our_state is h11.IDLE:
+            connection.response_parser.send(
                 h11.Request(method="GET", target="/", headers=[("host", "any")])
             )
-            connection.answers.send(h11.EndOfMessage())
-        connection.answers.receive_data(data)
-        while (event := connection.answers.next_event()) is not h11.NEED_DATA:
+            connection.response_parser.send(h11.EndOfMessage())
+        connection.response_parser.receive_data(data)
+        while (event := connection.response_parser.next_event()) is not h11.NEED_DATA:
             if isinstance(event, h11.Response):
-                connection.sent[-1].status = event.status_code
+                connection.requests[-1].status = event.status_code
             elif isinstance(event, h11.Data):
-                connection.answer += bytes(event.data)
+                connection.response_body += bytes(event.data)
             elif isinstance(event, h11.EndOfMessage):
-                connection.sent[-1].answer = _decoded(connection.answer)
-                connection.answer, connection.answers = b"", h11.Connection(h11.CLIENT)
+                connection.requests[-1].response = _decode(connection.response_body)
+                connection.response_body, connection.response_parser = (
+                    b"",
+                    h11.Connection(h11.CLIENT),
+                )
                 return
             else:
                 return
 
 
-def _decoded(body: bytes) -> Any:
+def _decode(body: bytes) -> Any:
     return cbor2.loads(body) if body else None
--- a/tests/compatibility/interface_steps.py
+++ b/tests/compatibility/interface_steps.py
@@ -1,4 +1,4 @@
-"""Plays recorded steps against a controller in memory, one after the other."""
+"""Replays recorded steps one by one against controllers in memory."""
 
 from typing import Any
 
@@ -9,19 +9,18 @@
 from tests.compatibility.http_exchange import exchange, request_bytes
 
 Step = dict[str, Any]
-Answer = dict[str, Any]
+Response = dict[str, Any]
 
 
-def body_of(step: Step) -> bytes:
-    """A step's body: plain values, or the bytes themselves where it is not CBOR."""
+def step_body(step: Step) -> bytes:
+    """Return the request body of a step: encoded values, or recorded bytes that aren't CBOR."""
     if "body_hex" in step:
         return bytes.fromhex(step["body_hex"])
     return cbor2.dumps(step["body"]) if "body" in step else b""
 
 
-def answer_of(head: str, body: bytes) -> Answer:
-    """An answer as it is recorded: the exact head, the exact bytes of the body, and what they
-    say."""
+def recorded_form(head: str, body: bytes) -> Response:
+    """Return a response in recorded form: the exact head and body, and the decoded body."""
     return {
         "head": head.split("\r\n"),
         "body_hex": body.hex(),
@@ -29,8 +28,8 @@
     }
 
 
-async def play_step(deployment: adapter.Deployment, step: Step) -> Answer | None:
-    """Carries out one step; gives the answer of a request."""
+async def replay_step(deployment: adapter.Deployment, step: Step) -> Response | None:
+    """Carry out one step; return the response if it is a request."""
     await trio.sleep(step.get("after_s", 0.0))
     if "outage" in step:
         deployment.outage(step["outage"])
@@ -39,25 +38,25 @@
         deployment.stop_controller(step["stop"])
         return None
     if "runs_for" in step:
-        deployment.runs_for(*step["runs_for"])
+        deployment.set_task_duration(*step["runs_for"])
         return None
     stream = await deployment.connect(step.get("to", "node-0:80"))
     with trio.fail_after(30):
         head, body = await exchange(
-            stream, request_bytes(step["method"], step["path"], body_of(step))
+            stream, request_bytes(step["method"], step["path"], step_body(step))
         )
     await stream.aclose()
-    return answer_of(head, body)
+    return recorded_form(head, body)
 
 
-def play_steps(steps: list[Step], controllers: int, name: str) -> list[Answer | None]:
-    """The answers to all steps, in a deployment of their own."""
-    answers: list[Answer | None] = []
+def replay_steps(steps: list[Step], controllers: int, name: str) -> list[Response | None]:
+    """Replay all steps in a new deployment; return their responses."""
+    responses: list[Response | None] = []
 
     async def scenario() -> None:
         async with adapter.deployment(controllers) as deployment:
             for step in steps:
-                answers.append(await play_step(deployment, step))
+                responses.append(await replay_step(deployment, step))
 
     adapter.run_scenario(scenario, name)
-    return answers
+    return responses
--- a/tests/compatibility/recorded.py
+++ b/tests/compatibility/recorded.py
@@ -1,4 +1,4 @@
-"""Reading the recorded data."""
+"""Loads the recorded data and prepares it for comparison."""
 
 import json
 from pathlib import Path
@@ -9,15 +9,15 @@
 
 
 def load(name: str) -> Any:
-    """One file of recorded data."""
+    """Return the contents of one file of recorded data."""
     return json.loads((DATA / f"{name}.json").read_text())
 
 
 def exact(value: Any) -> str:
-    """A value as text to compare: unlike Python, it tells 1 from 1.0 and from true."""
+    """Return a value as text for comparison: unlike `==`, it tells 1, 1.0 and true apart."""
     return json.dumps(value, sort_keys=True, ensure_ascii=False)
 
 
 def case_name(case: dict[str, Any]) -> str:
-    """What a recorded case is called in the tests' output."""
+    """Return the id of a recorded case in test output."""
     return case["name"]
--- a/tests/compatibility/test_adapter.py
+++ b/tests/compatibility/test_adapter.py
@@ -1,15 +1,15 @@
-"""The rule of this folder: one module imports the package."""
+"""Checks that only the adapter imports the package."""
 
 import ast
 from pathlib import Path
 
 from tests.compatibility import adapter
 
-FOLDER = Path(__file__).resolve().parent
+DIRECTORY = Path(__file__).resolve().parent
 
 
 def imported_by(path: Path) -> set[str]:
-    """The top-level names of what a module imports."""
+    """Return the top-level packages that a module imports."""
     found: set[str] = set()
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.Import):
@@ -20,6 +20,8 @@
 
 
 def test_only_the_adapter_imports_the_package():
-    """So a name that changes in the package changes in one place here."""
-    importers = [path.name for path in FOLDER.glob("*.py") if adapter.PACKAGE in imported_by(path)]
+    """A rename in the package then affects only one module here."""
+    importers = [
+        path.name for path in DIRECTORY.glob("*.py") if adapter.PACKAGE in imported_by(path)
+    ]
     assert importers == ["adapter.py"]
--- a/tests/compatibility/test_requests.py
+++ b/tests/compatibility/test_requests.py
@@ -1,4 +1,4 @@
-"""What controllers send to the state service, the cloud, machines and each other."""
+"""Tests what controllers send to the state store, the cloud, machines and each other."""
 
 import cbor2
 import pytest
@@ -13,20 +13,20 @@
 
 @pytest.mark.parametrize("case", DATA["request_bytes"], ids=case_name)
 def test_a_request_has_these_bytes(case):
-    """Its head and its body."""
+    """Head and body are compared byte for byte."""
     sent = []
 
     async def scenario() -> None:
-        mine, theirs = trio.testing.memory_stream_pair()
+        client_stream, server_stream = trio.testing.memory_stream_pair()
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(answer, theirs)
-            status, answered = await adapter.send_request(
-                mine, case["method"], case["target"], case["body"]
+            nursery.start_soon(respond, server_stream)
+            status, response = await adapter.send_request(
+                client_stream, case["method"], case["target"], case["body"]
             )
-            assert (status, answered) == (200, {"ledger": 7})
+            assert (status, response) == (200, {"ledger": 7})
             nursery.cancel_scope.cancel()
 
-    async def answer(stream: trio.abc.Stream) -> None:
+    async def respond(stream: trio.abc.Stream) -> None:
         sent.append(await stream.receive_some(65536))
         body = cbor2.dumps({"ledger": 7})
         head = f"HTTP/1.1 200 \r\ncontent-length: {len(body)}\r\n\r\n"
@@ -37,41 +37,43 @@
 
 
 @pytest.fixture(scope="module")
-def work_of_every_kind(mock_time_of_day):
-    """The traffic of a deployment of one controller."""
-    return day_in_small.play(day_in_small.work_of_every_kind, 1)
+def traffic(mock_time_of_day):
+    """Return the traffic of a deployment with one controller."""
+    return day_in_small.record_traffic(day_in_small.work_of_every_kind, 1)
 
 
-def test_changes_go_out_in_the_same_order_with_the_same_bodies(work_of_every_kind):
-    """Transactions with their conditions, leases, hires and returns of machines, direct orders."""
-    found = day_in_small.changes(work_of_every_kind)
-    for at, (now, before) in enumerate(zip(found, DATA["changes"], strict=False)):
-        assert now == before, at
-    assert len(found) == len(DATA["changes"])
+def test_changes_go_out_in_the_same_order_with_the_same_bodies(traffic):
+    """Covers conditional transactions, leases, creation and deletion of machines, direct orders."""
+    actual = day_in_small.write_requests(traffic)
+    for index, (current, recorded) in enumerate(zip(actual, DATA["changes"], strict=False)):
+        assert current == recorded, index
+    assert len(actual) == len(DATA["changes"])
 
 
-def test_what_is_read_is_read_from_the_same_places(work_of_every_kind):
-    """The records, their log, the catalog and the list of machines."""
-    assert [list(row) for row in day_in_small.reads(work_of_every_kind)] == DATA["reads"]
+def test_what_is_read_is_read_from_the_same_places(traffic):
+    """Covers records, their change log, the catalog and the list of machines."""
+    assert [list(row) for row in day_in_small.read_requests(traffic)] == DATA["reads"]
 
 
-def test_workers_get_the_same_orders(work_of_every_kind):
-    """In the answers to their reports."""
-    assert day_in_small.orders(work_of_every_kind) == DATA["orders"]
+def test_workers_get_the_same_orders(traffic):
+    """Orders are sent in responses to heartbeats."""
+    assert day_in_small.worker_orders(traffic) == DATA["orders"]
 
 
 def test_a_recovery_writes_the_same_records(mock_time_of_day):
-    """Its progress, and the mark of a job that machines run and no record names."""
-    traffic = day_in_small.play(day_in_small.a_restart_that_lost_records, 1, recovery=True)
-    found = [
+    """Covers its progress, and the marker of a job that machines run without a record."""
+    traffic = day_in_small.record_traffic(
+        day_in_small.a_restart_that_lost_records, 1, recovery=True
+    )
+    actual = [
         row
-        for row in day_in_small.changes(traffic)
+        for row in day_in_small.write_requests(traffic)
         if "r/recovery/" in row[-1] or '"write": "r/unrecorded/' in row[-1]
     ]
-    assert found == DATA["recovery_changes"]
+    assert actual == DATA["recovery_changes"]
 
 
 def test_two_controllers_exchange_the_same_kinds_of_frames(mock_time_of_day):
-    """Calls and their replies."""
-    traffic = day_in_small.play(day_in_small.work_of_every_kind, 2)
-    assert day_in_small.kinds_of_frames(traffic) == DATA["kinds_of_frames"]
+    """Covers calls and their replies."""
+    traffic = day_in_small.record_traffic(day_in_small.work_of_every_kind, 2)
+    assert day_in_small.frame_kinds(traffic) == DATA["kinds_of_frames"]
