--- a/tests/compatibility/test_requests.py
+++ b/tests/compatibility/test_requests.py
@@ -5,7 +5,7 @@
 import trio
 import trio.testing
 
-from tests.compatibility import adapter, day_in_small
+from tests.compatibility import adapter, recorded_workloads
 from tests.compatibility.recorded import case_name, load
 
 DATA = load("requests")
@@ -39,12 +39,12 @@
 @pytest.fixture(scope="module")
 def traffic(mock_time_of_day):
     """Return the traffic of a deployment with one controller."""
-    return day_in_small.record_traffic(day_in_small.work_of_every_kind, 1)
+    return recorded_workloads.record_traffic(recorded_workloads.work_of_every_kind, 1)
 
 
 def test_changes_go_out_in_the_same_order_with_the_same_bodies(traffic):
     """Covers conditional transactions, leases, creation and deletion of machines, direct orders."""
-    actual = day_in_small.write_requests(traffic)
+    actual = recorded_workloads.write_requests(traffic)
     for index, (current, recorded) in enumerate(zip(actual, DATA["changes"], strict=False)):
         assert current == recorded, index
     assert len(actual) == len(DATA["changes"])
@@ -52,22 +52,22 @@
 
 def test_what_is_read_is_read_from_the_same_places(traffic):
     """Covers records, their change log, the catalog and the list of machines."""
-    assert [list(row) for row in day_in_small.read_requests(traffic)] == DATA["reads"]
+    assert [list(row) for row in recorded_workloads.read_requests(traffic)] == DATA["reads"]
 
 
 def test_workers_get_the_same_orders(traffic):
     """Orders are sent in responses to heartbeats."""
-    assert day_in_small.worker_orders(traffic) == DATA["orders"]
+    assert recorded_workloads.worker_orders(traffic) == DATA["orders"]
 
 
 def test_a_recovery_writes_the_same_records(mock_time_of_day):
     """Covers its progress, and the marker of a job that machines run without a record."""
-    traffic = day_in_small.record_traffic(
-        day_in_small.a_restart_that_lost_records, 1, recovery=True
+    traffic = recorded_workloads.record_traffic(
+        recorded_workloads.a_restart_that_lost_records, 1, recovery=True
     )
     actual = [
         row
-        for row in day_in_small.write_requests(traffic)
+        for row in recorded_workloads.write_requests(traffic)
         if "r/recovery/" in row[-1] or '"write": "r/unrecorded/' in row[-1]
     ]
     assert actual == DATA["recovery_changes"]
@@ -75,5 +75,5 @@
 
 def test_two_controllers_exchange_the_same_kinds_of_frames(mock_time_of_day):
     """Covers calls and their replies."""
-    traffic = day_in_small.record_traffic(day_in_small.work_of_every_kind, 2)
-    assert day_in_small.frame_kinds(traffic) == DATA["kinds_of_frames"]
+    traffic = recorded_workloads.record_traffic(recorded_workloads.work_of_every_kind, 2)
+    assert recorded_workloads.frame_kinds(traffic) == DATA["kinds_of_frames"]
