--- a/tests/scenarios/test_deployment.py
+++ b/tests/scenarios/test_deployment.py
@@ -1,4 +1,4 @@
-"""Whole days in small: three controllers against the fakes. The board watches the rules."""
+"""Tests basic operation with three controllers against fakes, which check the rules throughout."""
 
 from datetime import timedelta
 
@@ -19,17 +19,17 @@
         assert await w.submit(0, job(1, legs=5)) == 201
         assert await w.submit(1, job(1, legs=5)) == 200
         assert await w.until(lambda: w.status(2, "run-000001"), 3)
-        assert await w.until(lambda: is_(w, 2, 1, "done"), 120)
+        assert await w.until(lambda: has_status(w, 2, 1, "done"), 120)
         for at in range(3):
             assert await w.status(at, "run-000001") == "done"
         assert await w.submit(0, job(1, legs=5)) == 200
         assert len({task for _, task, _ in w.board.starts}) == 5
-        # Its usage is given back, and nothing of it is left among the live records.
+        # Its quota is released, and none of its records is left among the live ones.
         assert await w.until(lambda: w.state.value(keys.team_key("red")) == {}, 20)
         assert w.state.starting("r/job/") == {} and w.state.starting("r/slice/") == {}
 
 
-async def is_(w, at, number, status):
+async def has_status(w, at, number, status):
     return await w.status(at, f"run-{number:06d}") == status
 
 
@@ -49,7 +49,7 @@
         assert max(zones.count(z) for z in zones) <= 2
         status, answer = await w.call(1, "POST", "/v1/jobs/run-000002/withdraw", {})
         assert (status, answer["status"]) == (200, "aborted")
-        # Any node, at once: never an older answer.
+        # Every controller reports it at once, never an older status.
         for at in range(3):
             assert await w.status(at, "run-000002") == "aborted"
         assert await w.until(lambda: not w.board.running("run-000002"), 5)
@@ -60,7 +60,7 @@
     async with world() as w:
         assert await w.submit(0, job(3, legs=2)) == 201
         w.crash(0)
-        assert await w.until(lambda: is_(w, 1, 3, "done"), 120)
+        assert await w.until(lambda: has_status(w, 1, 3, "done"), 120)
 
 
 async def test_all_controllers_restart_at_once_and_nothing_runs_twice():
@@ -77,9 +77,9 @@
         for at in range(3):
             w.start(at)
         assert await w.settled()
-        assert await w.until(lambda: is_(w, 2, 4, "done"), 90)
+        assert await w.until(lambda: has_status(w, 2, 4, "done"), 90)
         assert w.board.running("run-000005") == ["run-000005/0"]
-        # Nothing was started anew, and every partition is under a new term.
+        # No task was started again, and every partition has a new term.
         assert len(w.board.starts) == 5
         assert all(
             row["n"] > terms[partition] for partition, row in w.state.starting("r/term/").items()
@@ -118,15 +118,15 @@
         assert await w.until(lambda: w.board.running("run-000008"), 60)
         machine = next(iter(w.board.where["run-000008/0"]))
         w.cloud.refuse_deletion = True
-        # The machine is cut off but runs on until its lease ends; the board would see a second
-        # start.
+        # The machine is unreachable but runs the task until its lease expires; the fakes detect a
+        # second start before that.
         for host in ("node-0", "node-1", "node-2"):
             w.network.cut(host, machine)
-        cut = trio.current_time()
+        cut_at = trio.current_time()
         assert await w.until(
-            lambda: w.board.running("run-000008") and w.board.starts[-1][0] > cut, 90
+            lambda: w.board.running("run-000008") and w.board.starts[-1][0] > cut_at, 90
         )
-        assert w.board.starts[-1][0] - cut > 18
+        assert w.board.starts[-1][0] - cut_at > 18
 
 
 async def test_an_outage_of_the_state_service_kills_nothing():
@@ -135,8 +135,8 @@
         assert await w.until(lambda: w.board.running("run-000009"), 60)
         w.state.down = True
         await trio.sleep(60)
-        # Longer than cancel_s: every controller hears all the others, so no cancellation is
-        # unknown.
+        # Longer than cancel_s: every controller receives heartbeats of all others, so none can miss
+        # a cancellation.
         assert w.board.running("run-000009") and len(w.board.starts) == 1
         for at in range(3):
             assert (await w.call(at, "GET", "/up"))[0] == 200
@@ -144,7 +144,7 @@
             assert (await w.call(at, "GET", "/v1/jobs/run-000009"))[0] == 503
             assert trio.current_time() - began < 0.5
         w.state.restore()
-        assert await w.until(lambda: is_(w, 0, 9, "running"), 20)
+        assert await w.until(lambda: has_status(w, 0, 9, "running"), 20)
         assert len(w.board.starts) == 1
 
 
@@ -153,7 +153,7 @@
         assert await w.submit(1, job(10, shape="daemon", yard="east", dueS=None), None) == 201
         assert await w.until(lambda: w.board.running("run-000010"), 60)
         w.state.refused.add("node-0")
-        assert await w.until(lambda: down(w, 0), 10)
+        assert await w.until(lambda: is_down(w, 0), 10)
         assert await w.until(lambda: w.owner("east") in ("node-1", "node-2"), 30)
         await trio.sleep(30)
         assert w.board.running("run-000010") and len(w.board.starts) == 1
@@ -176,13 +176,12 @@
         assert await w.submit(1, job(13)) == 201
 
 
-async def down(w, at):
+async def is_down(w, at):
     return (await w.call(at, "GET", "/up"))[0] == 503
 
 
 async def test_a_node_cut_off_from_everyone_stops_renewing_in_time():
-    """Its workers reach it, but a cancellation accepted elsewhere can't: cancel_s is kept all the
-    same."""
+    """Its workers reach it, but cancellations accepted elsewhere don't; cancel_s still holds."""
     async with world() as w:
         assert await w.submit(1, job(11, shape="daemon", yard="east", dueS=None), None) == 201
         assert await w.until(lambda: w.board.running("run-000011"), 60)
@@ -215,13 +214,15 @@
     async with world() as w:
         for n in range(20, 24):
             assert await w.submit(n % 3, job(n, legs=4, dueS=None), 15) == 201
-        most = 0
+        max_running = 0
         end = trio.current_time() + 150
         while trio.current_time() < end:
-            most = max(most, sum(len(w.board.running(f"run-{n:06d}")) for n in range(20, 24)))
+            max_running = max(
+                max_running, sum(len(w.board.running(f"run-{n:06d}")) for n in range(20, 24))
+            )
             await trio.sleep(0.2)
-        assert most == 6
-        assert await w.until(lambda: is_(w, 0, 23, "done"), 60)
+        assert max_running == 6
+        assert await w.until(lambda: has_status(w, 0, 23, "done"), 60)
 
 
 async def test_urgent_work_displaces_lesser_work():
@@ -250,23 +251,23 @@
         for n in range(50, 54):
             assert await w.submit(0, job(n, yard="east"), 10) == 201
         for n in range(50, 54):
-            assert await w.until(lambda n=n: is_(w, 1, n, "done"), 150), n
+            assert await w.until(lambda n=n: has_status(w, 1, n, "done"), 150), n
         assert await w.until(lambda: "m-000000" not in w.cloud.machines, 60)
 
 
 async def test_empty_machines_are_given_back():
     async with world() as w:
         assert await w.submit(0, job(60, legs=4), 10) == 201
-        assert await w.until(lambda: is_(w, 0, 60, "done"), 90)
+        assert await w.until(lambda: has_status(w, 0, 60, "done"), 90)
         assert await w.until(lambda: not w.cloud.machines, 60)
 
 
 async def test_a_hire_whose_answer_is_lost_rents_no_second_machine():
     async with world(count=1) as w:
-        real, lost = w.cloud.handle, []
+        original_handle, lost = w.cloud.handle, []
 
         async def handle(request, host=""):
-            response = await real(request, host)
+            response = await original_handle(request, host)
             if request.path == "/machines" and request.method == "POST" and not lost:
                 lost.append(1)
                 await trio.sleep(3600)
@@ -274,7 +275,7 @@
 
         w.cloud.handle = handle
         assert await w.submit(0, job(61), 10) == 201
-        assert await w.until(lambda: is_(w, 0, 61, "done"), 90)
+        assert await w.until(lambda: has_status(w, 0, 61, "done"), 90)
         assert lost and len(w.cloud.names) == 1
 
 
@@ -289,11 +290,11 @@
         assert await w.settled()
         assert await w.submit(0, job(62)) == 201
         w.cloud.down = False
-        assert await w.until(lambda: is_(w, 0, 62, "done"), 120)
+        assert await w.until(lambda: has_status(w, 0, 62, "done"), 120)
 
 
 async def test_a_job_that_waits_too_long_moves_to_a_part_with_room():
-    """Capacity for one machine a zone: what queues behind long work is offered again and leaves."""
+    """Each zone has capacity for one machine; a job queued behind long ones is rescheduled."""
     operator = OperatorSettings(reoffer_every=timedelta(seconds=2), dear=100.0)
     async with world(capacity=1, operator=operator) as w:
         for n in (70, 71):
@@ -306,45 +307,50 @@
         assert await w.until(
             lambda: all(len(w.board.running(f"run-{n:06d}")) == 2 for n in (70, 71)), 60
         )
-        # Recorded as held by the full partition, as if drawn before the others were up.
+        # Recorded as assigned to the full partition, as if the others had not been up.
         assert await w.submit(0, job(72, legs=2, dueS=60, crew="red"), 10) == 201
         for controller in w.controllers.values():
             controller.bidding.requester.submit = lambda name: None
         key = keys.job_key("run-000072")
         value = {**w.state.value(key), "a": {"east": [[0, 2]]}}
         w.state.compare_and_swap({"apply": [{"write": key, "value": value}]})
-        assert await w.until(lambda: is_(w, 1, 72, "done"), 100)
-        assert {w_zone(w, m) for _, task, m in w.board.starts if task.startswith("run-000072")} <= {
+        assert await w.until(lambda: has_status(w, 1, 72, "done"), 100)
+        assert {
+            machine_zone(w, m) for _, task, m in w.board.starts if task.startswith("run-000072")
+        } <= {
             "north",
             "west",
         }
 
 
-def w_zone(w, machine):
+def machine_zone(w, machine):
     return w.cloud.machines[machine].zone if machine in w.cloud.machines else "north"
 
 
 async def test_machines_that_fall_silent_together_are_not_deleted():
-    """An incident of the visa desk: a cut between machines and controllers, 12 s long, cost eight
-    of them."""
+    """Guards against deletion of healthy machines.
+
+    In an incident, a network partition of 12 s between machines and controllers cost eight
+    machines.
+    """
     async with world(teams={"red": Team("red", 0, 0, 4, 40)}) as w:
         assert await w.submit(0, job(80, legs=8, yard="east", dueS=20), 200) == 201
         assert await w.until(lambda: len(w.board.running("run-000080")) == 8, 60)
-        homes = sorted({next(iter(w.board.where[t])) for t in w.board.running("run-000080")})
-        assert len(homes) == 4
-        # Beside them others go on reporting, so that it isn't most of the partition that is silent.
+        machines = sorted({next(iter(w.board.where[t])) for t in w.board.running("run-000080")})
+        assert len(machines) == 4
+        # Other machines keep reporting, so that less than half of the partition is silent.
         assert await w.submit(0, job(81, legs=8, yard="east", dueS=20, loaners=False), 200) == 201
         assert await w.until(lambda: len(w.board.running("run-000081")) == 8, 60)
         others = sorted({next(iter(w.board.where[t])) for t in w.board.running("run-000081")})
-        for machine in [*homes[:1], *others[:2]]:
+        for machine in [*machines[:1], *others[:2]]:
             for n in range(3):
                 w.network.cut(f"node-{n}", machine)
         await trio.sleep(9)
-        for machine in [*homes[:1], *others[:2]]:
+        for machine in [*machines[:1], *others[:2]]:
             for n in range(3):
                 w.network.heal(f"node-{n}", machine)
         await trio.sleep(15)
-        assert set(homes + others) <= set(w.cloud.machines)
+        assert set(machines + others) <= set(w.cloud.machines)
         assert len(w.board.starts) == 16
 
 
@@ -374,17 +380,17 @@
         assert await w.until(lambda: w.board.running("run-000090"), 60)
         machine = next(iter(w.board.where["run-000090/0"]))
         w.crash(0)
-        # What the crashed owner had written, and had not yet told the machine.
+        # Records that the crashed leader wrote before it sent the order to the machine.
         w.rules.submitted(job(91))
         name, spec = read_submission(job(91))
-        made = Job(name, spec, clock.wall(), {"east": ((0, 1),)})
-        piece = SliceShard(
+        new_job = Job(name, spec, clock.wall(), {"east": ((0, 1),)})
+        shard = SliceShard(
             name, "east", "red", spec.resources, attempts={0: Attempt((1 << 32) | 77, machine)}
         )
         cpus, gpus = w.state.value(keys.team_key("red"))["east"]
         rows = [
-            put(keys.job_key(name), made.to_value()),
-            put(keys.slice_key("east", name, 0), piece.to_value()),
+            put(keys.job_key(name), new_job.to_value()),
+            put(keys.slice_key("east", name, 0), shard.to_value()),
             put(keys.team_key("red"), {"east": [cpus, max(gpus, 2)]}),
         ]
         assert w.state.compare_and_swap({"apply": [row.to_map() for row in rows]}).status == 200
@@ -392,10 +398,10 @@
         await trio.sleep(4)
         w.start(0)
         assert await w.settled()
-        assert await w.until(lambda: is_(w, 0, 91, "done"), 60)
+        assert await w.until(lambda: has_status(w, 0, 91, "done"), 60)
         assert [(task, home) for _, task, home in w.board.starts if task == "run-000091/0"] == [
             ("run-000091/0", machine)
         ]
-        # Nothing of it is left, and what is set aside still covers what runs.
+        # None of its records is left, and the reserved quota still covers the running task.
         assert w.state.starting("r/slice/").keys() == {keys.slice_key("east", "run-000090", 0)}
         assert w.state.value(keys.team_key("red"))["east"][1] >= 1
--- a/tests/scenarios/test_gangs_in_a_roll.py
+++ b/tests/scenarios/test_gangs_in_a_roll.py
@@ -1,7 +1,7 @@
-"""What becomes of a running gang when a controller of an older version leads its partition.
+"""Tests running gangs in partitions whose home controller runs an older version.
 
-The version in production knows no gangs and stops single tasks of them for other work. So a
-controller that knows gangs leads the partition instead
+The version in production doesn't support gangs and preempts single tasks of them. Therefore a
+controller that supports gangs acquires the partition
 (docs/incidents/2026-12-gang-under-an-older-leader.md).
 """
 
@@ -20,37 +20,37 @@
 
 TEAMS = {"red": Team("red", 0, 0, 100, 100), "blue": Team("blue", 0, 0, 100, 100)}
 GANG, TASKS = "run-000001", 4
-# One task to a machine, and no machine beside those of the gang.
+# Lets one task run on each machine, so that the gang takes all of its zone's machines.
 CPUS = 16.0
-# How soon after its return a controller of the version in production leads no gangs any more.
+# How soon a restarted controller of the version in production has lost partitions with gangs.
 REPLACED_WITHIN_S = 2.0
-# Longer than any pause before a partition fails back, by default.
+# Longer than any default delay before a partition fails back.
 LONG_S = 60
-# The version in production, played by a fake and by its own program.
+# The version in production, as a fake and as its own program.
 PRODUCTION = pytest.mark.parametrize(
     "production", [PreviousVersionController, ProductionController], ids=["fake", "real"]
 )
 
 
 async def restart_leader_as(w: World, version: type[Controller]) -> None:
-    """Restart the controller of the east in a version."""
+    """Restart the controller of the east as another version."""
     w.crash(0)
     await trio.sleep(0.5)
     w.start(0, version)
     assert await w.settled()
-    # All machines follow the new term.
+    # Until all machines have confirmed the new term.
     await trio.sleep(5)
 
 
 def stopped_tasks(w: World) -> set[str]:
-    """Return the tasks that machines were told to stop."""
+    """Return the tasks for which machines received stop orders."""
     return {
         order["leg"] for worker in w.workers() for order in worker.orders if order["verb"] == "kill"
     }
 
 
 @pytest.mark.parametrize(
-    "version, told_to_stop",
+    "version, stopped_count",
     [
         (Controller, TASKS),
         (Version0100Controller, TASKS),
@@ -59,8 +59,10 @@
     ],
     ids=["today", "0.10.0", "production", "production itself"],
 )
-async def test_a_gang_is_preempted_whole_by_versions_that_know_gangs(version, told_to_stop, caplog):
-    """Guards against a gang that is stopped in pieces."""
+async def test_a_gang_is_preempted_whole_by_versions_that_know_gangs(
+    version, stopped_count, caplog
+):
+    """Guards against a gang of which only some tasks are preempted."""
     caplog.set_level(logging.INFO)
     async with world(teams=TEAMS, capacity=TASKS) as w:
         body = gang(1, TASKS, yard="east", vcpus=CPUS)
@@ -68,18 +70,18 @@
         assert await w.until(lambda: len(w.board.running(GANG)) == TASKS, 60)
         await trio.sleep(8)
         await restart_leader_as(w, version)
-        # A change of leader alone stops nothing.
+        # A change of leader alone stops no task.
         assert len(w.board.running(GANG)) == TASKS and not stopped_tasks(w)
         urgent = job(2, yard="east", rank="production", vcpus=CPUS, crew="blue", loaners=False)
         assert await w.submit(1, urgent, 60) == 201
         assert await w.until(lambda: w.board.running("run-000002"), 30)
-        assert len(stopped_tasks(w)) == told_to_stop
-        # What operators look for.
+        assert len(stopped_tasks(w)) == stopped_count
+        # Operators search the log for this event.
         assert f"task-preempted partition=east task={GANG}/" in caplog.text
 
 
 async def run_gang(w: World, length: float) -> None:
-    """Let a gang run in the east, on all of its machines."""
+    """Run a gang on all machines of the east."""
     assert await w.submit(0, gang(1, TASKS, yard="east", vcpus=CPUS), length) == 201
     assert await w.until(lambda: len(w.board.running(GANG)) == TASKS, 60)
     await trio.sleep(8)
@@ -87,7 +89,7 @@
 
 @PRODUCTION
 async def test_a_leader_without_gangs_that_is_alone_stops_single_tasks(production):
-    """What nothing prevents: no controller that knows gangs is up (docs/operations.md)."""
+    """Known limitation: no controller that supports gangs is up (docs/operations.md)."""
     async with world(count=1, teams=TEAMS, capacity=TASKS) as w:
         await run_gang(w, 300)
         await restart_leader_as(w, production)
@@ -101,7 +103,7 @@
 async def test_a_partition_goes_to_a_controller_that_knows_gangs_and_back_once_they_are_done(
     production, caplog
 ):
-    """Guards against a partition that changes to and fro while a gang runs in it."""
+    """Guards against repeated changes of leader while a gang runs in the partition."""
     caplog.set_level(logging.INFO)
     async with world(teams=TEAMS, capacity=TASKS) as w:
         await run_gang(w, 100)
@@ -112,7 +114,7 @@
         caplog.clear()
         await trio.sleep(LONG_S)
         assert "leadership-acquired" not in caplog.text
-        # The change of leader has stopped nothing.
+        # The change of leader has stopped no task.
         assert len(w.board.running(GANG)) == TASKS and not stopped_tasks(w)
         assert await w.until(lambda: not w.board.running(GANG), LONG_S)
         assert len(w.board.starts) == TASKS
@@ -121,7 +123,7 @@
 
 @PRODUCTION
 async def test_controllers_that_return_together_leave_no_gang_to_one_without_gangs(production):
-    """Guards against a cold restart in which the older controller is as soon as the others."""
+    """Guards against a cold restart in which the older controller starts as early as the others."""
     async with world(teams=TEAMS, capacity=TASKS) as w:
         await run_gang(w, 300)
         for at in range(w.count):
@@ -139,7 +141,10 @@
 
 @PRODUCTION
 async def test_of_two_partitions_with_gangs_a_controller_takes_one(production):
-    """Guards against one that decides on both by what it led before, and serves all machines."""
+    """Guards against a controller that acquires both at once and then serves all machines.
+
+    It happens if both decisions use the partitions that it led before.
+    """
     async with world(teams=TEAMS, capacity=TASKS) as w:
         for number, zone in ((1, "east"), (2, "west")):
             assert await w.submit(1, gang(number, TASKS, yard=zone, vcpus=6.0), 300) == 201
@@ -152,17 +157,17 @@
         w.start(2, production)
         assert await w.until(lambda: w.owner("east") == "node-0" and w.owner("west"), 15)
         election = w.start(1).election
-        most = 0
+        max_led_count = 0
         for _ in range(LONG_S * 10):
             await trio.sleep(0.1)
             led = [zone for zone in ("east", "west") if election.leadership(zone)]
-            most = max(most, len(led))
-        assert most == len(led) == 1
+            max_led_count = max(max_led_count, len(led))
+        assert max_led_count == len(led) == 1
 
 
 @PRODUCTION
 async def test_a_leader_without_gangs_that_its_peers_do_not_hear_keeps_its_machines(production):
-    """Guards against machines that are taken from the only controller that they may reach."""
+    """Guards against acquiring machines from the only controller that they may reach."""
     async with world(teams=TEAMS, capacity=TASKS) as w:
         await run_gang(w, 300)
         w.crash(0)
@@ -184,7 +189,7 @@
 async def test_a_gang_that_loses_a_machine_runs_again_although_an_older_controller_is_at_home(
     production,
 ):
-    """Guards against tasks of a gang that are started singly, and wait for each other in vain."""
+    """Guards against tasks of a gang that are started singly and never find each other."""
     async with world(teams=TEAMS, capacity=2 * TASKS) as w:
         await run_gang(w, 300)
         await restart_leader_as(w, production)
@@ -196,20 +201,20 @@
 
 
 def cut_east_from_peers(w: World) -> None:
-    """Let the east's machines reach no controller but their own zone's."""
+    """Partition the east's machines from all controllers but that of their own zone."""
     for worker in w.workers():
         for peer in ("node-1", "node-2"):
             w.network.cut(worker.machine, peer)
 
 
 def count_acquisitions(text: str) -> int:
-    """Count how often the east was acquired, by the log."""
+    """Count the acquisitions of the east in log text of current and older versions."""
     return text.count("leadership-acquired partition=east") + text.count("took part=east")
 
 
 @PRODUCTION
 async def test_machines_that_reach_an_older_controller_alone_stay_with_it(production, caplog):
-    """Guards against leaders that take turns, and serve nobody, until the gang's leases end."""
+    """Guards against alternating leaders that serve no worker until the gang's leases expire."""
     caplog.set_level(logging.INFO)
     async with world(teams=TEAMS, capacity=TASKS) as w:
         await run_gang(w, 400)
@@ -227,21 +232,21 @@
 async def test_a_controller_that_no_worker_reached_does_not_take_the_partition_again(
     production, caplog
 ):
-    """Guards against leaders that take turns where machines answer those whom they don't reach."""
+    """Guards against alternating leaders if machines answer controllers that they can't reach."""
     caplog.set_level(logging.INFO)
     async with world(teams=TEAMS, capacity=TASKS) as w:
         await run_gang(w, 400)
 
-        async def reaches(_partition: str) -> bool:
+        async def reaches_machines(_partition: str) -> bool:
             return True
 
         for peer in ("node-1", "node-2"):
-            w.controllers[peer].election.reaches_machines = reaches
+            w.controllers[peer].election.reaches_machines = reaches_machines
         w.crash(0)
         cut_east_from_peers(w)
         w.start(0, production)
         await trio.sleep(LONG_S)
-        # Both have tried.
+        # Both peers have tried by now.
         caplog.clear()
         await trio.sleep(2 * LONG_S)
         assert count_acquisitions(caplog.text) == 0 and w.owner("east") == "node-0"
--- a/tests/scenarios/test_rolling_upgrade.py
+++ b/tests/scenarios/test_rolling_upgrade.py
@@ -1,5 +1,8 @@
-"""Old and new controllers side by side: the bytes of the version in production (`production` in
-deploy/service.toml), taken from it, and rolls with troubles in them."""
+"""Tests compatibility with the version in production (`production` in deploy/service.toml).
+
+Frames and records are compared with bytes written by that version, and rolling upgrades run with
+injected faults.
+"""
 
 import random
 from dataclasses import replace
@@ -27,7 +30,7 @@
 from roadbend.store.records import Attempt, Job, JobSpec, QuotaRecord, Resources, SliceShard
 from roadbend.store.request_budget import RequestBudget
 
-S = timedelta(seconds=1)
+SECOND = timedelta(seconds=1)
 FRAMES = {
     "hello": ("0000000c0201000000006e6f64652d30"),
     "ping": (
@@ -96,10 +99,10 @@
     True,
     "img-1",
     6.25,
-    20 * S,
-    30 * S,
-    4 * S,
-    900 * S,
+    20 * SECOND,
+    30 * SECOND,
+    4 * SECOND,
+    900 * SECOND,
 )
 SERVICE = JobSpec(
     "blue",
@@ -115,47 +118,47 @@
     False,
     "img-2",
     1.0,
-    0 * S,
-    0 * S,
-    0 * S,
+    0 * SECOND,
+    0 * SECOND,
+    0 * SECOND,
     None,
 )
-AT = datetime(2026, 1, 1, tzinfo=UTC)
-RUN = {
+ACCEPTED_AT = datetime(2026, 1, 1, tzinfo=UTC)
+ATTEMPTS = {
     2: Attempt(7 << 32 | 5, "m-000012"),
     5: Attempt(7 << 32 | 6, "m-000013"),
     6: Attempt(8 << 32 | 1, "m-000014"),
 }
-JOB = Job("run-1", SPEC, AT, {"east": ((0, 3), (5, 9)), "west": ((3, 5),)}, ((0, 2),))
-SLICE = SliceShard("run-1", "east", "red", SPEC.resources, ((0, 2),), RUN)
-PULSE = PeerHeartbeat(
+JOB = Job("run-1", SPEC, ACCEPTED_AT, {"east": ((0, 3), (5, 9)), "west": ((3, 5),)}, ((0, 2),))
+SLICE = SliceShard("run-1", "east", "red", SPEC.resources, ((0, 2),), ATTEMPTS)
+PEER_HEARTBEAT = PeerHeartbeat(
     "b1",
-    9 * S,
+    9 * SECOND,
     None,
     (1.5, 0.25, 0.5),
     {"east": 7},
     {"west": ("m-1", "m-2")},
-    60 * S,
+    60 * SECOND,
     ("run-1", "run-2"),
 )
-ASK = BidRequest(job="run-1", requests=3, tasks=9, spec=SPEC, waited=2 * S)
-AGAIN = BidRequest(
+BID_REQUEST = BidRequest(job="run-1", requests=3, tasks=9, spec=SPEC, waited=2 * SECOND)
+RESCHEDULE_REQUEST = BidRequest(
     job="run-1",
     requests=3,
     tasks=9,
     spec=SPEC,
     from_partition="east",
-    requester_response=7 * S,
-    requester_average=3 * S,
-    waited=40 * S,
+    requester_response=7 * SECOND,
+    requester_average=3 * SECOND,
+    waited=40 * SECOND,
 )
 BIDS = [
     Bid(
         partition="east",
         controller="node-0",
-        job_time=20 * S,
-        queue_time=3 * S,
-        shadow_time=1 * S,
+        job_time=20 * SECOND,
+        queue_time=3 * SECOND,
+        shadow_time=1 * SECOND,
         startable_now=4,
         capacity=12,
     )
@@ -163,21 +166,21 @@
 
 
 def test_frames_are_written_as_production_writes_them_and_its_frames_are_read():
-    made = {
+    encoded = {
         "hello": frames.pack(frames.FrameKind.HELLO, 0, b"node-0"),
-        "ping": frames.pack(frames.FrameKind.HEARTBEAT, 3, PULSE.pack()),
+        "ping": frames.pack(frames.FrameKind.HEARTBEAT, 3, PEER_HEARTBEAT.pack()),
         "pong": frames.pack(
             frames.FrameKind.HEARTBEAT | frames.REPLY_BIT,
             3,
-            PeerHeartbeat("b2", 9 * S, 2 * S, (1.5, 0.25, 0.5)).pack(),
+            PeerHeartbeat("b2", 9 * SECOND, 2 * SECOND, (1.5, 0.25, 0.5)).pack(),
         ),
-        "request": frames.pack(frames.FrameKind.REQUEST, 4, ASK.pack()),
+        "request": frames.pack(frames.FrameKind.REQUEST, 4, BID_REQUEST.pack()),
         "request-service": frames.pack(
             frames.FrameKind.REQUEST,
             4,
             BidRequest(job="run-2", requests=3, tasks=4, spec=SERVICE).pack(),
         ),
-        "inform": frames.pack(frames.FrameKind.INFORM, 5, AGAIN.pack()),
+        "inform": frames.pack(frames.FrameKind.INFORM, 5, RESCHEDULE_REQUEST.pack()),
         "bids": frames.pack(
             frames.FrameKind.REQUEST | frames.REPLY_BIT, 4, messages.pack_bids(BIDS)
         ),
@@ -186,25 +189,30 @@
         ),
         "revoke": frames.pack(frames.FrameKind.REVOKE, 0, messages.Revocation("run-1").pack()),
     }
-    assert {name: data.hex() for name, data in made.items()} == FRAMES
-    read = {
+    assert {name: data.hex() for name, data in encoded.items()} == FRAMES
+    payloads = {
         name: next(iter(frames.FrameDecoder().feed(bytes.fromhex(data))))[2]
         for name, data in FRAMES.items()
     }
-    assert PeerHeartbeat.unpack(read["ping"]) == PULSE and BidRequest.unpack(read["request"]) == ASK
     assert (
-        BidRequest.unpack(read["inform"]) == AGAIN
-        and BidRequest.unpack(read["request-service"]).spec == SERVICE
+        PeerHeartbeat.unpack(payloads["ping"]) == PEER_HEARTBEAT
+        and BidRequest.unpack(payloads["request"]) == BID_REQUEST
+    )
+    assert (
+        BidRequest.unpack(payloads["inform"]) == RESCHEDULE_REQUEST
+        and BidRequest.unpack(payloads["request-service"]).spec == SERVICE
+    )
+    assert messages.unpack_bids(payloads["bids"]) == BIDS
+    assert messages.Assignment.unpack(payloads["assign"]) == messages.Assignment(
+        "run-1", b"\xa0", 77
     )
-    assert messages.unpack_bids(read["bids"]) == BIDS
-    assert messages.Assignment.unpack(read["assign"]) == messages.Assignment("run-1", b"\xa0", 77)
-    assert not read["ping"].endswith(b"+gangs")
+    assert not payloads["ping"].endswith(b"+gangs")
 
 
 def test_records_are_written_as_production_writes_them_and_its_records_are_read():
-    made = {
+    values = {
         keys.job_key("run-1"): JOB.to_value(),
-        keys.job_key("run-2"): Job("run-2", SERVICE, AT).to_value(),
+        keys.job_key("run-2"): Job("run-2", SERVICE, ACCEPTED_AT).to_value(),
         SLICE.key: SLICE.to_value(),
         keys.team_key("red"): QuotaRecord("red")
         .with_partition("east", 16.0, 2.0)
@@ -212,27 +220,29 @@
         .to_value(),
         keys.job_end_key("run-3"): records.job_end_value("done", 9),
     }
-    assert {key: cbor2.dumps(value).hex() for key, value in made.items()} == RECORDS
+    assert {key: cbor2.dumps(value).hex() for key, value in values.items()} == RECORDS
     view = RecordView()
     for mod_revision, (key, data) in enumerate(RECORDS.items(), 1):
         if key.startswith("r/"):
             view.put(key, cbor2.loads(bytes.fromhex(data)), mod_revision)
     assert view.jobs["run-1"].allocation == JOB.allocation and view.jobs["run-1"].spec == SPEC
-    assert view.jobs["run-2"].spec == SERVICE and view.job_slices["east"]["run-1"].attempts == RUN
+    assert (
+        view.jobs["run-2"].spec == SERVICE and view.job_slices["east"]["run-1"].attempts == ATTEMPTS
+    )
     assert view.quotas["red"].partitions == {"east": (16.0, 2.0), "west": (8.5, 1.0)}
 
 
 def test_a_gang_stays_one_when_a_version_before_gangs_has_written_its_record():
-    view, made = RecordView(), Job("run-1", SPEC, AT).as_gang()
+    view, gang_job = RecordView(), Job("run-1", SPEC, ACCEPTED_AT).as_gang()
     view.put(keys.gang_key("run-1"), 1, 1)
-    view.put(keys.job_key("run-1"), made.to_value(), 1)
+    view.put(keys.job_key("run-1"), gang_job.to_value(), 1)
     assert view.jobs["run-1"].spec.gang
-    view.put(keys.job_key("run-1"), {k: v for k, v in made.to_value().items() if k != "g"}, 2)
+    view.put(keys.job_key("run-1"), {k: v for k, v in gang_job.to_value().items() if k != "g"}, 2)
     assert view.jobs["run-1"].spec.gang
-    # The job's record alone says so, too: it may come by an assignment before the other is read.
-    other = RecordView()
-    other.put(keys.job_key("run-1"), made.to_value(), 2)
-    assert other.jobs["run-1"].spec.gang
+    # The job's record alone is enough: it may arrive by an assignment before the other is read.
+    other_view = RecordView()
+    other_view.put(keys.job_key("run-1"), gang_job.to_value(), 2)
+    assert other_view.jobs["run-1"].spec.gang
 
 
 def test_a_job_whose_ranges_outgrow_the_values_to_come_is_written_smaller_and_read_the_same():
@@ -251,55 +261,62 @@
         True,
         "img-1",
         6.25,
-        20 * S,
-        30 * S,
-        4 * S,
-        900 * S,
+        20 * SECOND,
+        30 * SECOND,
+        4 * SECOND,
+        900 * SECOND,
+    )
+    bounds = sorted(rng.sample(range(100_000), 240))
+    pairs = ranges.normalize(zip(bounds[::2], bounds[1::2], strict=True))
+    large_job = Job(
+        "run-1", spec, ACCEPTED_AT, {"east": pairs[::3], "west": pairs[1::3]}, pairs[2::3]
+    )
+    assert 2048 < records.value_size_bound(large_job.to_value()) < 4096
+    compact_value = large_job.to_compact_value(2048)
+    assert (
+        records.value_size_bound(compact_value) <= 2048
+        and Job.from_value("run-1", compact_value, 0) == large_job
     )
-    numbers = sorted(rng.sample(range(100_000), 240))
-    pairs = ranges.normalize(zip(numbers[::2], numbers[1::2], strict=True))
-    large = Job("run-1", spec, AT, {"east": pairs[::3], "west": pairs[1::3]}, pairs[2::3])
-    assert 2048 < records.value_size_bound(large.to_value()) < 4096
-    small = large.to_compact_value(2048)
-    assert records.value_size_bound(small) <= 2048 and Job.from_value("run-1", small, 0) == large
     assert JOB.to_compact_value(2048) == JOB.to_value()
 
 
 async def test_the_rate_of_changes_falls_when_the_service_says_so_and_not_before():
     budget = RequestBudget(1000.0, 100.0, 1, 20.0)
 
-    async def count(seconds: float) -> int:
-        n, end = 0, trio.current_time() + seconds
+    async def count_writes(seconds: float) -> int:
+        write_count, end = 0, trio.current_time() + seconds
         while trio.current_time() < end:
             await budget.take(1, urgent=False)
-            n += 1
-        return n
+            write_count += 1
+        return write_count
 
-    await count(5)
-    assert await count(10) > 800
+    await count_writes(5)
+    assert await count_writes(10) > 800
     budget.throttle(True)
-    await count(3)
-    assert 150 < await count(10) < 210
-    # It is tried out again after a long while only.
+    await count_writes(3)
+    assert 150 < await count_writes(10) < 210
+    # The higher rate is tried again only after more than 10 minutes.
     await trio.sleep(11 * 60)
     budget.borrow([])
-    await count(3)
-    assert await count(10) > 800
+    await count_writes(3)
+    assert await count_writes(10) > 800
 
 
-# Names in memory are short, so these are smaller than the users' for records of production to
-# outgrow them.
-SMALL = dict(
+# Machine names in the fakes are short, so these limits are smaller than real ones: records of the
+# version in production must exceed them.
+SMALL_LIMITS = dict(
     value_bytes=1200, txn_ops=4, state_write_rps=25.0, state_rps=80.0, state_write_rps_next=18.0
 )
 TEAMS = {"red": Team("red", 0, 0, 4, 200), "blue": Team("blue", 0, 0, 4, 60)}
 
 
-async def rolled(w: World, rng: random.Random, trouble) -> None:
-    """Each controller ends and comes back with the new version; one may die before its turn and
-    come back old."""
+async def upgrade_controllers(w: World, rng: random.Random, fault) -> None:
+    """Restart the controllers one by one with the new version, while a fault is injected.
+
+    One may crash before its turn and restart with the old version.
+    """
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(trouble, w, rng)
+        nursery.start_soon(fault, w, rng)
         for at in rng.sample(range(3), 3):
             w.crash(at)
             await trio.sleep(rng.uniform(0.3, 5))
@@ -312,12 +329,12 @@
 
 
 async def crash_of_an_old_one(w: World, rng: random.Random) -> None:
-    old = [
+    not_upgraded = [
         at
         for at in range(3)
         if isinstance(w.controllers.get(f"node-{at}"), previous_version.PreviousVersionController)
     ]
-    at = rng.choice(old)
+    at = rng.choice(not_upgraded)
     w.crash(at)
     await trio.sleep(rng.uniform(0.2, 0.9))
     if f"node-{at}" not in w.controllers:
@@ -341,19 +358,19 @@
 
 
 @pytest.mark.parametrize(
-    "trouble", [nothing, crash_of_an_old_one, outage, cut, late], ids=lambda t: t.__name__
+    "fault", [nothing, crash_of_an_old_one, outage, cut, late], ids=lambda t: t.__name__
 )
 async def test_a_roll_with_troubles_in_it_loses_nothing_and_the_limits_to_come_break_nothing(
-    trouble,
+    fault,
 ):
-    rng = random.Random(trouble.__name__)
+    rng = random.Random(fault.__name__)
     async with world(
         capacity=40,
         previous_version=True,
         teams=TEAMS,
-        operator=OperatorSettings(reoffer_every=2 * S),
-        cancel_within=48 * S,
-        **SMALL,
+        operator=OperatorSettings(reoffer_every=2 * SECOND),
+        cancel_within=48 * SECOND,
+        **SMALL_LIMITS,
     ) as w:
         w.state.limits(previous_version.VALUE_BYTES, previous_version.TXN_OPS)
         assert (
@@ -362,7 +379,7 @@
             )
             == 201
         )
-        # Wide enough for records that the limits to come don't permit.
+        # Wide enough for records that the announced limits don't permit.
         assert await w.submit(1, job(2, legs=120, yard="east", dueS=20.0, crew="red"), 110.0) == 201
         assert await w.submit(2, job(3, legs=5, crew="blue", dueS=30.0), 60.0) == 201
         assert (
@@ -375,7 +392,7 @@
             for value in w.state.starting("r/slice/").values()
         )
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(rolled, w, rng, trouble)
+            nursery.start_soon(upgrade_controllers, w, rng, fault)
             await trio.sleep(rng.uniform(1, 20))
             await w.withdrawn("run-000004", 120)
             for n in range(10, 14):
@@ -395,30 +412,37 @@
 def test_a_slice_that_outgrew_the_values_is_split_so_that_each_task_is_in_one_record():
     settings = settings_for(0, 1, value_bytes=1200, txn_ops=4)
     view = RecordView()
-    run = {n: Attempt(7 << 32 | n, f"m-{n:06d}") for n in range(102)}
-    large = SliceShard("run-1", "east", "red", SPEC.resources, ((200, 210),), run)
-    view.put(large.key, large.to_value(), 5)
-    work = view.job_slices["east"]["run-1"]
-    leadership = Leadership("east", 7, 1, AT)
-    less = replace(
-        large,
-        attempts={task_index: attempt for task_index, attempt in run.items() if task_index != 3},
+    attempts = {n: Attempt(7 << 32 | n, f"m-{n:06d}") for n in range(102)}
+    large_shard = SliceShard("run-1", "east", "red", SPEC.resources, ((200, 210),), attempts)
+    view.put(large_shard.key, large_shard.to_value(), 5)
+    job_slice = view.job_slices["east"]["run-1"]
+    leadership = Leadership("east", 7, 1, ACCEPTED_AT)
+    remaining_shard = replace(
+        large_shard,
+        attempts={
+            task_index: attempt for task_index, attempt in attempts.items() if task_index != 3
+        },
         mod_revision=5,
     )
     transaction = TransactionBuilder(view, "east", leadership, settings)
-    pieces = shard_split.split(transaction, work, less, settings.shard_width)
-    assert 1 < len(pieces) <= 4 and all(transaction.fits(piece) for piece in pieces)
-    found = [
-        (task_index, attempt) for piece in pieces for task_index, attempt in piece.attempts.items()
+    shards = shard_split.split(transaction, job_slice, remaining_shard, settings.shard_width)
+    assert 1 < len(shards) <= 4 and all(transaction.fits(shard) for shard in shards)
+    tasks = [
+        (task_index, attempt) for shard in shards for task_index, attempt in shard.attempts.items()
     ]
-    assert sorted(found) == sorted(less.attempts.items()) and len(found) == len(dict(found)) == 101
-    # What no transaction of that size can split waits until fewer of its tasks are left.
-    wide = replace(large, attempts={n: Attempt(7 << 32 | n, f"m-{n:06d}") for n in range(400)})
+    assert (
+        sorted(tasks) == sorted(remaining_shard.attempts.items())
+        and len(tasks) == len(dict(tasks)) == 101
+    )
+    # A shard that one transaction can't split stays whole until fewer of its tasks remain.
+    wide_shard = replace(
+        large_shard, attempts={n: Attempt(7 << 32 | n, f"m-{n:06d}") for n in range(400)}
+    )
     assert (
         shard_split.split(
             TransactionBuilder(view, "east", leadership, settings),
-            work,
-            wide,
+            job_slice,
+            wide_shard,
             settings.shard_width,
         )
         == []
