--- a/tests/compatibility/adapter.py
+++ b/tests/compatibility/adapter.py
@@ -173,7 +173,10 @@
             _duration(fields["contact_age_s"]),
             tuple(fields["used_per_s"]),
             dict(fields["owned_terms"]),
-            {part: tuple(machines) for part, machines in fields["machines_heard"].items()},
+            {
+                partition: tuple(machines)
+                for partition, machines in fields["machines_heard"].items()
+            },
             timedelta(seconds=fields["cancellations_span_s"]),
             tuple(fields["cancelled_jobs"]),
         ).pack()
@@ -190,7 +193,7 @@
         "used_per_s": list(heartbeat.request_rates),
         "owned_terms": heartbeat.led_partitions,
         "machines_heard": {
-            part: list(names) for part, names in heartbeat.reporting_machines.items()
+            partition: list(names) for partition, names in heartbeat.reporting_machines.items()
         },
         "cancellations_span_s": _seconds(heartbeat.cancellations_span),
         "cancelled_jobs": list(heartbeat.cancellations),
@@ -348,7 +351,7 @@
         fields["job"],
         _spec(fields["spec"]),
         EPOCH + timedelta(seconds=fields["accepted_s"]),
-        {part: _ranges(pairs) for part, pairs in fields["held_by_parts"].items()},
+        {partition: _ranges(pairs) for partition, pairs in fields["held_by_parts"].items()},
         _ranges(fields["over"]),
     )
 
@@ -381,8 +384,8 @@
 def write_team(fields: Fields) -> tuple[str, Any]:
     """Return key and value of a team's quota record, set partition by partition."""
     quota = QuotaRecord(fields["team"])
-    for part, cpus, gpus in fields["set_aside"]:
-        quota = quota.with_partition(part, cpus, gpus)
+    for partition, cpus, gpus in fields["set_aside"]:
+        quota = quota.with_partition(partition, cpus, gpus)
     return keys.team_key(fields["team"]), quota.to_value()
 
 
@@ -436,23 +439,31 @@
         "jobs": {name: _job_fields(row) for name, row in view.jobs.items()},
         "gangs": sorted(view.gangs),
         "slices": {
-            part: {name: _slice_fields(job_slice) for name, job_slice in slices.items()}
-            for part, slices in view.job_slices.items()
+            partition: {name: _slice_fields(job_slice) for name, job_slice in slices.items()}
+            for partition, slices in view.job_slices.items()
             if slices
         },
         "teams": {
-            name: {part: list(amounts) for part, amounts in quota.partitions.items()}
+            name: {partition: list(amounts) for partition, amounts in quota.partitions.items()}
             for name, quota in view.quotas.items()
         },
-        "terms": {part: [term.number, term.controller] for part, term in view.terms.items()},
+        "terms": {
+            partition: [term.number, term.controller] for partition, term in view.terms.items()
+        },
         "owners": {
-            part: {"controller": leader.controller, "boot": leader.incarnation, "term": leader.term}
-            for part, leader in view.partition_leaders.items()
+            partition: {
+                "controller": leader.controller,
+                "boot": leader.incarnation,
+                "term": leader.term,
+            }
+            for partition, leader in view.partition_leaders.items()
         },
         "controllers": {
             name: registration.incarnation for name, registration in view.controllers.items()
         },
-        "recoveries": {part: _progress_fields(row) for part, row in view.recoveries.items()},
+        "recoveries": {
+            partition: _progress_fields(row) for partition, row in view.recoveries.items()
+        },
         "unrecorded": view.unrecorded,
         "catalog": view.catalog,
     }
@@ -463,7 +474,7 @@
     return {
         "spec": _spec_fields(row.spec),
         "accepted_s": (row.submitted_at - EPOCH).total_seconds(),
-        "held_by_parts": {part: _pairs(held) for part, held in row.allocation.items()},
+        "held_by_parts": {partition: _pairs(held) for partition, held in row.allocation.items()},
         "over": _pairs(row.done),
         "free": _pairs(row.unassigned),
     }
--- a/tests/scenarios/test_production_program.py
+++ b/tests/scenarios/test_production_program.py
@@ -57,7 +57,7 @@
 
 
 def received(w: World, verb: str, since: float) -> list[ReceivedOrder]:
-    """Return the orders for the first job's tasks that took effect on machines since then."""
+    """Return the orders for the first job's tasks that took effect on machines from `since` on."""
     return [
         order
         for order in w.board.received
@@ -79,8 +79,8 @@
 def test_the_sources_can_be_unpacked_by_several_at_a_time(tmp_path):
     commit = production_program.production_commit()
     with ThreadPoolExecutor(4) as pool:
-        made = pool.map(production_program.unpack_sources, [commit] * 4, [tmp_path] * 4)
-    assert set(made) == {tmp_path / commit / production_program.RENAMED_PACKAGE}
+        directories = pool.map(production_program.unpack_sources, [commit] * 4, [tmp_path] * 4)
+    assert set(directories) == {tmp_path / commit / production_program.RENAMED_PACKAGE}
     assert [path.name for path in tmp_path.iterdir()] == [commit]
 
 
