--- a/tests/scenarios/test_gang_phases.py
+++ b/tests/scenarios/test_gang_phases.py
@@ -230,7 +230,7 @@
         assert await w.submit(0, gang(1, 60, yard="east"), 5.0) == 201
         await trio.sleep(3)
         leader = w.controllers["node-0"].leaders["east"]
-        until = clock.now() + gang_reservations.KEEP
+        until = clock.now() + gang_reservations.RESERVATION_LIFETIME
         leader.reservations.reserve(leader.machines, NAME, until, ReservationReason.GANG)
         small = dict(yard="east", vcpus=2.0, gpus=0.0, memoryGb=1.0, loaners=False, dueS=None)
         assert await w.submit(0, job(2, **small), 5.0) == 201
