--- a/tests/scenarios/held_starts.py
+++ b/tests/scenarios/held_starts.py
@@ -1,4 +1,4 @@
-"""A deployment with a machine that is ready for a start, and ways to hold that start up."""
+"""A deployment with a machine that is ready for a start, and ways to delay that start."""
 
 from contextlib import AbstractAsyncContextManager
 from http import HTTPStatus
@@ -10,30 +10,30 @@
 from roadbend.fakes.submission import job
 from roadbend.fakes.world import World, world
 
-# A service whose start goes out directly, and an array whose start goes with a heartbeat's answer.
+# The start of the service is sent directly, that of the array with the response to a heartbeat.
 SERVICE = dict(shape="daemon", dueS=None, loaners=False, yard="east", vcpus=2.0, gpus=0.0)
 ARRAY = dict(loaners=False, yard="east", vcpus=2.0, gpus=0.0)
-KEPT, CANCELLED = name(50), name(1)
-# Shorter than a lease, and shorter than it takes to find a machine dead; in seconds.
+RUNNING_JOB, CANCELLED_JOB = name(50), name(1)
+# Shorter than a lease, and than the time after which a machine is considered failed; in seconds.
 HANG_S = 4.5
-# How late a start arrives, and how late the direct commands that follow it; in seconds.
+# How late a start arrives, and how late the direct commands after it; in seconds.
 START_DELAY_S, COMMAND_DELAY_S = 4.0, 12.0
 
 
 def deployment(site: str = "visa", **changes: Any) -> AbstractAsyncContextManager[World]:
-    """Three controllers; a task whose image is on its machine begins at once."""
+    """Return three controllers; a task whose image is cached on its machine starts immediately."""
     return world(teams=TEAMS, objectives=AIMS, caches_images=True, **{**SITES[site], **changes})
 
 
-async def machine_of_kept_service(w: World) -> str:
-    """Have a machine in the east with room and with the image; return its id."""
+async def run_service(w: World) -> str:
+    """Run a service in the east; return its machine, which has free capacity and the image."""
     assert await w.submit(0, job(50, **SERVICE), None) == HTTPStatus.CREATED
-    assert await w.until(lambda: w.board.running(KEPT), 60)
+    assert await w.until(lambda: w.board.running(RUNNING_JOB), 60)
     await trio.sleep(8)
-    return next(iter(w.board.where[w.board.running(KEPT)[0]]))
+    return next(iter(w.board.where[w.board.running(RUNNING_JOB)[0]]))
 
 
-async def next_heartbeat(w: World, machine: str) -> None:
+async def wait_for_heartbeat(w: World, machine: str) -> None:
     """Wait until a machine has sent a heartbeat."""
     sent = trio.Event()
     worker = w.cloud.machines[machine].worker
@@ -43,47 +43,47 @@
     await trio.sleep(0.05)
 
 
-async def start_recorded(w: World, body: dict, length: float | None) -> None:
-    """Submit a job, and wait until the start of a task in the east is recorded and has gone out."""
+async def submit_until_start_recorded(w: World, body: dict, length: float | None) -> None:
+    """Submit a job, and wait until the start of a task in the east is recorded and sent."""
     assert await w.submit(1, body, length) == HTTPStatus.CREATED
     prefix = f"r/slice/east/{body['id']}/"
     assert await w.until(lambda: w.state.starting(prefix), 5, 0.005)
     await trio.sleep(0.02)
 
 
-async def cancellation_recorded(w: World, at: int) -> None:
-    """Have a controller record the cancellation; its answer is not waited for."""
-    w.nursery.start_soon(w.call, at, "POST", f"/v1/jobs/{CANCELLED}/withdraw", {})
-    recorded = await w.until(lambda: w.state.starting(f"fin/{CANCELLED}"), 5, 0.0005)
+async def record_cancellation(w: World, at: int) -> None:
+    """Have a controller record the cancellation, without waiting for its response."""
+    w.nursery.start_soon(w.call, at, "POST", f"/v1/jobs/{CANCELLED_JOB}/withdraw", {})
+    recorded = await w.until(lambda: w.state.starting(f"fin/{CANCELLED_JOB}"), 5, 0.0005)
     assert recorded
 
 
-async def over(w: World) -> None:
-    """The cancellation is confirmed in the end, and nothing of the job is left."""
-    await w.withdrawn(CANCELLED, 60)
-    # Whatever is still held up arrives meanwhile.
+async def assert_cancellation_completed(w: World) -> None:
+    """Check that the cancellation is confirmed eventually, and that no task of the job runs."""
+    await w.withdrawn(CANCELLED_JOB, 60)
+    # All delayed messages arrive meanwhile.
     await trio.sleep(COMMAND_DELAY_S)
     assert await w.settled()
     await w.over()
-    assert not w.board.running(CANCELLED)
+    assert not w.board.running(CANCELLED_JOB)
 
 
-async def hold_up_start(w: World, machine: str) -> None:
-    """Have the next direct command arrive late, and all that could stop it later still.
+async def delay_start(w: World, machine: str) -> None:
+    """Delay the next direct command, and all commands that could revoke it for longer.
 
-    The machine says nothing meanwhile, so that no token comes with the answer to a heartbeat: that
-    is how a machine looks that hangs and takes up its connections in the order in which they came.
+    The machine sends no heartbeats meanwhile, so no raised token arrives with the response to one.
+    A machine behaves this way if it hangs and then accepts its connections in order of arrival.
     """
     worker = w.cloud.machines[machine].worker
-    usual = worker.settings.heartbeat_s
+    usual_interval_s = worker.settings.heartbeat_s
     worker.settings.heartbeat_s = HANG_S + 1.0
-    await next_heartbeat(w, machine)
+    await wait_for_heartbeat(w, machine)
     delays = iter([START_DELAY_S])
     worker.command_delay = lambda: next(delays, COMMAND_DELAY_S)
 
-    async def end() -> None:
+    async def end_delays() -> None:
         await trio.sleep(HANG_S)
-        worker.settings.heartbeat_s = usual
+        worker.settings.heartbeat_s = usual_interval_s
         worker.command_delay = lambda: None
 
-    w.nursery.start_soon(end)
+    w.nursery.start_soon(end_delays)
--- a/tests/scenarios/test_cold_restart_seeds.py
+++ b/tests/scenarios/test_cold_restart_seeds.py
@@ -1,4 +1,4 @@
-"""Seeds on which the search of cold restarts failed."""
+"""Seeds with which the random search over cold restarts failed."""
 
 import pytest
 
@@ -7,6 +7,6 @@
 
 @pytest.mark.parametrize("seed", [248])
 def test_a_task_gets_one_stop(seed, capsys):
-    """Guards against a stop by a direct command and by a heartbeat's answer, 0.06 s apart; open."""
+    """A task was stopped twice: directly, and by a heartbeat response 0.06 s later; still open."""
     argv = ["cold-restart", "--seed", str(seed), "--workers", "60"]
     assert main(argv) == 0, capsys.readouterr().out
--- a/tests/scenarios/test_failover_time.py
+++ b/tests/scenarios/test_failover_time.py
@@ -1,7 +1,7 @@
 """How long a partition is without a leader.
 
-Tasks began again because the controller that was left waited for a dead one after its lease had
-expired (docs/incidents/2026-12-waited-for-twice.md).
+Tasks were restarted because the only remaining controller waited for a terminated one although that
+one's lease had expired (docs/incidents/2026-12-waited-for-twice.md).
 """
 
 import pytest
@@ -10,26 +10,27 @@
 from roadbend.fakes.world import world
 from roadbend.settings import OperatorSettings
 
-# The lease may end so late; beside that, reading that it ended, deciding, writing and reading.
-LEASE_LATE_S, ACQUIRING_S = 0.1, 1.0
+# The delay of a lease's expiry, and the time to acquire a partition: to read that the lease has
+# expired, decide, write the new term and read the records.
+LEASE_EXPIRY_DELAY_S, ACQUISITION_S = 0.1, 1.0
 OWN_LEASE_S = OperatorSettings().own_lease.total_seconds()
 
 
-@pytest.mark.parametrize("moment", range(5))
-async def test_a_controller_that_ended_is_followed_within_its_lease(moment):
-    """Guards against a grace period on top of a lease that has been silent for as long."""
+@pytest.mark.parametrize("step", range(5))
+async def test_a_controller_that_ended_is_followed_within_its_lease(step):
+    """Guards against a grace period in addition to a lease of the same length that has expired."""
     async with world() as w:
-        await trio.sleep(5 + moment * 0.6)
+        await trio.sleep(5 + step * 0.6)
         w.crash(0)
-        within = OWN_LEASE_S + LEASE_LATE_S + ACQUIRING_S
+        within = OWN_LEASE_S + LEASE_EXPIRY_DELAY_S + ACQUISITION_S
         assert await w.until(lambda: w.owner("east") not in (None, "node-0"), within, 0.05)
         w.start(0)
         assert await w.settled()
 
 
 async def test_the_only_controller_that_is_left_leads_everything_soon_after_an_outage():
-    """Guards against the second wait: the outage gave the dead controllers' leases all their time
-    again, and workers' leases end soon after."""
+    """Guards against a second wait: the outage renewed the leases of terminated controllers, and
+    the workers' leases expire soon after those."""
     async with world() as w:
         await trio.sleep(5)
         for at in range(3):
@@ -37,12 +38,12 @@
         w.state.down = True
         await trio.sleep(2)
         w.state.restore()
-        over_at = trio.current_time()
+        outage_ended_at = trio.current_time()
         w.start(0)
-        within = OWN_LEASE_S + LEASE_LATE_S + ACQUIRING_S
+        within = OWN_LEASE_S + LEASE_EXPIRY_DELAY_S + ACQUISITION_S
         for zone in w.zones:
-            left = over_at + within - trio.current_time()
-            assert await w.until(lambda zone=zone: w.owner(zone) == "node-0", left, 0.05)
+            remaining = outage_ended_at + within - trio.current_time()
+            assert await w.until(lambda zone=zone: w.owner(zone) == "node-0", remaining, 0.05)
         for at in (1, 2):
             w.start(at)
         assert await w.settled()
--- a/tests/scenarios/test_leaders_told.py
+++ b/tests/scenarios/test_leaders_told.py
@@ -1,4 +1,4 @@
-"""What leaders are told of a cancellation before its user is."""
+"""How leaders are notified of a cancellation before it is confirmed to its user."""
 
 import threading
 from types import SimpleNamespace
@@ -12,9 +12,9 @@
 
 
 async def test_the_tasks_of_a_cancelled_job_are_marked_before_the_next_heartbeat_is_answered():
-    """Guards against a lease that is renewed without a stop, after a user was told.
+    """Guards against a heartbeat response without the stop, sent after a user got the confirmation.
 
-    A heartbeat that brings nothing new is answered without a step of the leader.
+    An unchanged heartbeat is answered without a scheduling step of the leader.
     """
     marked = []
     leaders = {
@@ -28,27 +28,27 @@
     partition_leaders = PartitionLeaders(context, None, None, leaders)
     partition_leaders.mark_cancelled((JOB,))
     assert marked == ["east", "west"]
-    # Nothing is marked anew where nothing is news.
+    # A cancellation that is known already is not marked again.
     partition_leaders.mark_cancelled((JOB,))
     assert marked == ["east", "west"]
 
 
-class OldLink:
-    """A link to a controller of 0.9.0, which does not know the question for starts."""
+class PreviousVersionLink:
+    """A link to a controller of version 0.9.0, which does not support the query for starts."""
 
     def __init__(self):
         self.peer_state = SimpleNamespace(supports=lambda _extension: False)
-        self.told = 0
+        self.heartbeat_count = 0
 
     async def exchange_heartbeats(self, _exchange) -> bool:
-        self.told += 1
+        self.heartbeat_count += 1
         return True
 
 
 async def test_a_leader_of_an_older_version_is_told_as_the_others_are_asked():
-    """Guards against a leader that goes on starting until the next regular heartbeat."""
-    link, other = OldLink(), OldLink()
-    peers = SimpleNamespace(links={"node-1": link, "node-2": other})
+    """Guards against a leader that starts tasks of the job until the next regular heartbeat."""
+    leader, other = PreviousVersionLink(), PreviousVersionLink()
+    peers = SimpleNamespace(links={"node-1": leader, "node-2": other})
     queries = LeaderQueries("node-0", peers, None, None)
     assert await queries.query(JOB, {"node-1"}) == []
-    assert (link.told, other.told) == (1, 0)
+    assert (leader.heartbeat_count, other.heartbeat_count) == (1, 0)
--- a/tests/scenarios/test_workers_of_silent_leaders.py
+++ b/tests/scenarios/test_workers_of_silent_leaders.py
@@ -1,7 +1,7 @@
-"""Workers of a leader that is silent to everybody stay among the live controllers.
+"""Workers of a leader that is silent to all hosts only try the live controllers.
 
-Running tasks began again because a controller redirected workers to a leader that had been silent
-for most of their leases: they waited there in vain while the controller acquired their partition
+Running tasks were restarted because a controller redirected workers to a leader that had been
+silent for most of their leases: they waited there while the controller acquired their partition
 (docs/incidents/2026-12-redirected-to-a-silent-leader.md).
 """
 
@@ -20,7 +20,7 @@
 from roadbend.partitions.unserved import UnservedMachinesQuery
 from roadbend.settings import Team
 from tests.scenarios.test_silent_leaders import (
-    ACQUIRING_S,
+    ACQUISITION_S,
     LONG_S,
     TEAMS,
     run_tasks,
@@ -28,20 +28,22 @@
     workers_of,
 )
 
-# The store goes out this long after the leader was cut off, before it counts as gone.
-OUTAGE_AFTER_S = 4.5
-# A worker that is not served asks two live controllers in turn: one pauses it, one redirects it.
-LIVE_ROUND_S = RETRY_PAUSE_S + 0.5
+# The delay between the isolation of the leader and the outage of the state store, which begins
+# before the leader counts as failed.
+OUTAGE_DELAY_S = 4.5
+# A worker that is not served tries two live controllers in turn: one makes it wait, the other one
+# redirects it.
+LIVE_RETRY_ROUND_S = RETRY_PAUSE_S + 0.5
 PEERS = [("node-0", "node-1"), ("node-0", "node-2")]
 
 
 def east_workers(w: World) -> list:
-    """Return the workers of the partition that node-0 leads, those that run tasks."""
+    """Return the workers with tasks in the partition that node-0 leads."""
     return [worker for worker in w.workers() if worker.zone == "east" and worker.tasks]
 
 
-async def cut_off_after_heartbeat(w: World, length: float) -> None:
-    """Cut node-0 off from everybody, just after a worker of it has renewed its lease."""
+async def isolate_leader_after_heartbeat(w: World, length: float) -> None:
+    """Isolate node-0 from all other hosts, just after one of its workers has renewed its lease."""
     worker = east_workers(w)[0]
     renewed_at = worker.lease.renewed_at
     assert await w.until(lambda: worker.lease.renewed_at > renewed_at, 5, 0.01)
@@ -49,88 +51,88 @@
     w.nursery.start_soon(w.cut_pairs, [("node-0", other) for other in others], length)
 
 
-def first_expiry(w: World) -> float:
-    """Return when the first lease of a worker of node-0 ends, in seconds."""
+def first_lease_expiry(w: World) -> float:
+    """Return when the first lease of a worker of node-0 expires, in seconds."""
     return min(worker.lease.renewed_at + worker.settings.lease_s for worker in east_workers(w))
 
 
-@pytest.mark.parametrize("back_before_expiry", [3.0, 4.0, 5.0])
+@pytest.mark.parametrize("restored_before_expiry", [3.0, 4.0, 5.0])
 @pytest.mark.parametrize("offset", [0.0, 0.7])
-async def test_workers_reach_the_new_leader_within_their_leases(back_before_expiry, offset):
+async def test_workers_reach_the_new_leader_within_their_leases(restored_before_expiry, offset):
     """Guards against a redirect to the silent leader just before its partition is acquired."""
-    assert ACQUIRING_S + LIVE_ROUND_S < back_before_expiry
+    assert ACQUISITION_S + LIVE_RETRY_ROUND_S < restored_before_expiry
     async with world(teams=TEAMS) as w:
-        started = await run_tasks(w)
+        start_count = await run_tasks(w)
         before = term(w)
-        await cut_off_after_heartbeat(w, 60)
-        await trio.sleep(OUTAGE_AFTER_S + offset)
-        await w.outage(first_expiry(w) - back_before_expiry - trio.current_time())
-        within = ACQUIRING_S + LIVE_ROUND_S
+        await isolate_leader_after_heartbeat(w, 60)
+        await trio.sleep(OUTAGE_DELAY_S + offset)
+        await w.outage(first_lease_expiry(w) - restored_before_expiry - trio.current_time())
+        within = ACQUISITION_S + LIVE_RETRY_ROUND_S
         new_token = (before + 1) << 16
         assert await w.until(
             lambda: all(worker.token >= new_token for worker in east_workers(w)), within, 0.05
         )
         await trio.sleep(40)
-        assert (len(w.board.starts), term(w)) == (started, before + 1)
+        assert (len(w.board.starts), term(w)) == (start_count, before + 1)
 
 
 @pytest.mark.parametrize("store_out", [False, True], ids=["store-in", "store-out"])
-@pytest.mark.parametrize("lost_for", [2, 5])
+@pytest.mark.parametrize("lost_s", [2, 5])
 @pytest.mark.parametrize("lost_by", ["one", "all"])
-@pytest.mark.parametrize("peers_before", [0, 20])
+@pytest.mark.parametrize("peers_lost_before", [0, 20])
 async def test_workers_find_a_leader_that_only_its_peers_have_lost(
-    store_out, lost_for, lost_by, peers_before
+    store_out, lost_s, lost_by, peers_lost_before
 ):
-    """Guards against workers kept from the leader that alone may answer them."""
+    """Guards against workers that are kept from the only leader that may answer them."""
     async with world(teams=TEAMS) as w:
-        started = await run_tasks(w)
-        w.nursery.start_soon(w.cut_pairs, PEERS, peers_before + 40)
-        await trio.sleep(peers_before)
+        start_count = await run_tasks(w)
+        w.nursery.start_soon(w.cut_pairs, PEERS, peers_lost_before + 40)
+        await trio.sleep(peers_lost_before)
         workers = workers_of(w)[: 1 if lost_by == "one" else None]
-        w.nursery.start_soon(w.cut_pairs, [("node-0", name) for name in workers], lost_for)
+        w.nursery.start_soon(w.cut_pairs, [("node-0", name) for name in workers], lost_s)
         await trio.sleep(2)
         if store_out:
             await w.outage(12)
         await trio.sleep(40)
         assert await w.settled()
-        assert len(w.board.starts) == started
+        assert len(w.board.starts) == start_count
 
 
 @pytest.mark.parametrize("reaches_cloud", [False, True], ids=["without-cloud", "with-cloud"])
 @pytest.mark.parametrize("cut_s", [3, 5, 7, 10])
 async def test_workers_find_a_leader_that_is_heard_silent_and_heard_again(cut_s, reaches_cloud):
-    """Guards against workers that stay away from a leader which answers again.
+    """Guards against workers that avoid a leader which responds again.
 
-    It is heard for as long as a worker may wait for an answer in vain.
+    The leader is reachable for as long as a worker may wait for a response after a redirect.
     """
-    heard_s = MAX_FAILED_REDIRECT.total_seconds()
+    reachable_s = MAX_FAILED_REDIRECT.total_seconds()
     async with world(teams=TEAMS) as w:
-        started = await run_tasks(w)
+        start_count = await run_tasks(w)
         others = ["state", "node-1", "node-2", *w.cloud.machines]
         if not reaches_cloud:
             others.append("cloud")
         pairs = [("node-0", other) for other in others]
-        w.nursery.start_soon(w.outage, 2 * (cut_s + heard_s))
+        w.nursery.start_soon(w.outage, 2 * (cut_s + reachable_s))
         for _ in range(2):
             await w.cut_pairs(pairs, cut_s)
-            await trio.sleep(heard_s)
+            await trio.sleep(reachable_s)
         await trio.sleep(40)
         assert await w.settled()
-        assert len(w.board.starts) == started
+        assert len(w.board.starts) == start_count
 
 
 @pytest.mark.parametrize("cut_s, outage", [(20, 0), (20, 4), (20, 8), (60, 0)])
 async def test_no_task_begins_again_when_a_leader_loses_its_workers_alone(cut_s, outage):
-    """Guards against a partition that waits for a leader which its workers do not reach."""
+    """Guards against a partition that waits for a leader which its workers can't reach."""
     async with world(teams=TEAMS) as w:
-        started = await run_tasks(w)
+        start_count = await run_tasks(w)
         pairs = [("node-0", machine) for machine in w.cloud.machines]
         w.nursery.start_soon(w.cut_pairs, pairs, cut_s)
-        await trio.sleep(OUTAGE_AFTER_S)
+        await trio.sleep(OUTAGE_DELAY_S)
         await w.outage(outage)
         await trio.sleep(cut_s + 30)
         assert await w.settled()
-        assert len(w.board.starts) == started
+        assert len(w.board.starts) == start_count
 
 
 @pytest.mark.parametrize("older_at", [1, 2])
@@ -140,43 +142,43 @@
 async def test_workers_reach_the_new_leader_beside_a_controller_of_an_older_version(
     older, older_at
 ):
-    """Guards against a roll in which the older one's redirects undo ours."""
+    """Rolling upgrade: guards against redirects of the older controller that undo newer ones."""
     async with world(teams=TEAMS) as w:
         w.crash(older_at)
         w.start(older_at, older)
         assert await w.settled()
-        started = await run_tasks(w)
+        start_count = await run_tasks(w)
         others = ("state", "node-1", "node-2", *w.cloud.machines)
         w.nursery.start_soon(w.cut_pairs, [("node-0", other) for other in others], 60)
         await trio.sleep(2.5)
         await w.outage(6)
         await trio.sleep(60)
         assert await w.settled()
-        assert len(w.board.starts) == started
+        assert len(w.board.starts) == start_count
 
 
 async def test_both_live_controllers_count_workers_that_go_round_between_them():
-    """Guards against a controller that may go first and does not know the workers."""
+    """Guards against a controller that may acquire first and does not know the workers."""
     async with world(teams=TEAMS) as w:
         await run_tasks(w)
         before = term(w)
-        await cut_off_after_heartbeat(w, 60)
-        await trio.sleep(OUTAGE_AFTER_S)
+        await isolate_leader_after_heartbeat(w, 60)
+        await trio.sleep(OUTAGE_DELAY_S)
         w.nursery.start_soon(w.outage, 30)
         machines = [worker.machine for worker in east_workers(w)]
 
         def all_counted(name: str) -> bool:
             controller = w.controllers[name]
             received_at = controller.peers.links["node-0"].peer_state.received_at
-            question = UnservedMachinesQuery("east", before, received_at, machines)
-            return controller.fleet.count_unserved(question, clock.now()) == len(machines)
+            unserved_query = UnservedMachinesQuery("east", before, received_at, machines)
+            return controller.fleet.count_unserved(unserved_query, clock.now()) == len(machines)
 
-        within = first_expiry(w) - trio.current_time()
+        within = first_lease_expiry(w) - trio.current_time()
         assert await w.until(lambda: all_counted("node-1") and all_counted("node-2"), within, 0.05)
 
 
 async def test_many_workers_that_go_round_ask_each_controller_once_a_second_at_most():
-    """Guards against heartbeats that keep the live controllers from their work."""
+    """Guards against heartbeats that overload the live controllers."""
     tasks = 200
     teams = {"red": Team("red", 0, 0, tasks, tasks)}
     async with world(teams=teams, capacity=tasks) as w:
@@ -186,23 +188,23 @@
         await trio.sleep(5)
         workers = east_workers(w)
         assert len(workers) >= tasks / 2
-        asked = defaultdict(list)
+        query_times = defaultdict(list)
         for worker in workers:
             worker.sent.append(
-                lambda worker, _body: asked[worker.machine, worker._controller].append(
+                lambda worker, _body: query_times[worker.machine, worker._controller].append(
                     trio.current_time()
                 )
             )
-        await cut_off_after_heartbeat(w, 60)
-        await trio.sleep(OUTAGE_AFTER_S)
+        await isolate_leader_after_heartbeat(w, 60)
+        await trio.sleep(OUTAGE_DELAY_S)
         w.nursery.start_soon(w.outage, 10)
-        while trio.current_time() < first_expiry(w) - 3:
-            # Users are answered meanwhile: at once, that they are to ask again.
+        while trio.current_time() < first_lease_expiry(w) - 3:
+            # Meanwhile users get an immediate response, even if it only says to retry.
             assert (await w.call(1, "GET", "/v1/jobs/run-000001", within=2))[0] in (200, 503)
             await trio.sleep(1)
         pauses = [
             later - earlier
-            for (_machine, controller), times in asked.items()
+            for (_machine, controller), times in query_times.items()
             if controller != "node-0"
             for earlier, later in pairwise(times)
         ]
