--- a/tests/scenarios/test_confirmed_cancellations.py
+++ b/tests/scenarios/test_confirmed_cancellations.py
@@ -440,8 +440,8 @@
     For controllers of version 0.9.0 the check is the same as there.
     """
     async with world(teams=TEAMS, previous_version=version) as w:
-        keep = job(50, shape="daemon", yard="east", dueS=None, loaners=False)
-        assert await w.submit(1, keep, None) == 201
+        service = job(50, shape="daemon", yard="east", dueS=None, loaners=False)
+        assert await w.submit(1, service, None) == 201
         assert await w.until(lambda: w.board.running(RUNNING_JOB), 60)
         await trio.sleep(5)
         for n in range(30, 42):
--- a/tests/scenarios/test_leaders_told.py
+++ b/tests/scenarios/test_leaders_told.py
@@ -12,7 +12,7 @@
 
 
 async def test_the_tasks_of_a_cancelled_job_are_marked_before_the_next_heartbeat_is_answered():
-    """Guards against a heartbeat response without the stop, sent after a user got the confirmation.
+    """Guards against a lease that is renewed without a stop after the cancellation was confirmed.
 
     An unchanged heartbeat is answered without a scheduling step of the leader.
     """
