--- a/roadbend/checkers/differences.py
+++ b/roadbend/checkers/differences.py
@@ -73,7 +73,7 @@
 def recorded_attempts(state: FakeStateService) -> set[Placed]:
     """Return the attempts that the stored slices name."""
     found = set()
-    for key, value in state.starting(SLICE).items():
+    for key, value in state.values_with_prefix(SLICE).items():
         job = key.removeprefix(SLICE).split("/")[1]
         for term, start, flat in value["r"]:
             for at in range(0, len(flat), 3):
@@ -128,4 +128,4 @@
 
 
 def _live_jobs(state: FakeStateService) -> list[str]:
-    return [key.removeprefix(JOB) for key in state.starting(JOB)]
+    return [key.removeprefix(JOB) for key in state.values_with_prefix(JOB)]
--- a/roadbend/checkers/observed_jobs.py
+++ b/roadbend/checkers/observed_jobs.py
@@ -45,21 +45,21 @@
 
 
 @dataclass
-class Case:
+class ObservedJob:
     """A job as its users and the machines show it. All times are in seconds."""
 
     body: dict[str, Any]
-    accepted: float | None = None
+    accepted_at: float | None = None
     # When a withdrawal was first asked for, and when one was first confirmed.
-    asked: float | None = None
-    aborted: float | None = None
-    done: float | None = None
+    cancel_requested_at: float | None = None
+    cancelled_at: float | None = None
+    done_at: float | None = None
     completed: set[str] = field(default_factory=set)
     # When a question was last answered, and since when it waits beside free capacity.
-    answered: float = 0.0
+    answered_at: float = 0.0
     waits_since: float | None = None
     # Accepted and over, as the watchers were last told.
-    news: tuple[bool, bool] = (False, False)
+    reported_state: tuple[bool, bool] = (False, False)
 
     @property
     def name(self) -> str:
@@ -67,12 +67,12 @@
         return str(self.body["id"])
 
     @property
-    def over(self) -> bool:
+    def has_ended(self) -> bool:
         """Whether its user was told that it is cancelled or done."""
-        return self.aborted is not None or self.done is not None
+        return self.cancelled_at is not None or self.done_at is not None
 
     @property
-    def complete(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether all tasks have completed.
 
         Those of a gang complete together: one that is done says that all are, though a machine
--- a/roadbend/checkers/placements.py
+++ b/roadbend/checkers/placements.py
@@ -7,20 +7,20 @@
 from typing import Any
 
 from roadbend.checkers import requirements
-from roadbend.checkers.observed_jobs import Case, MachineWithCapacity, Place
+from roadbend.checkers.observed_jobs import MachineWithCapacity, ObservedJob, Place
 from roadbend.checkers.requirements import EPS
 
 Placements = Mapping[str, Mapping[str, Place]]
 
 
-def zones_of(case: Case, on: Placements, but: str) -> set[str]:
+def zones_of(case: ObservedJob, on: Placements, but: str) -> set[str]:
     """Return the zones in which tasks of a job are, one of them left out."""
     return {
         place.zone for task in case.tasks() if task != but for place in on.get(task, {}).values()
     }
 
 
-def running_in(case: Case, on: Placements, zone: str) -> int:
+def running_in(case: ObservedJob, on: Placements, zone: str) -> int:
     """Return how many tasks of a job are on machines of a zone."""
     return sum(
         1 for task in case.tasks() if any(place.zone == zone for place in on.get(task, {}).values())
@@ -28,7 +28,7 @@
 
 
 def has_capacity(
-    case: Case,
+    case: ObservedJob,
     on: Placements,
     zones: set[str],
     machine: MachineWithCapacity,
--- a/roadbend/checkers/protocol_rules.py
+++ b/roadbend/checkers/protocol_rules.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from roadbend.checkers import placements, requirements
-from roadbend.checkers.observed_jobs import REQUIRED_FIELDS, Case, MachineWithCapacity, Place
+from roadbend.checkers.observed_jobs import REQUIRED_FIELDS, MachineWithCapacity, ObservedJob, Place
 from roadbend.checkers.requirements import EPS
 from roadbend.settings import Team
 
@@ -44,7 +44,7 @@
             team.name: (team.cpus_max or UNLIMITED, team.gpus_max or UNLIMITED) for team in teams
         }
         self._cancel_s, self._now = cancel_s, now
-        self.cases: dict[str, Case] = {}
+        self.jobs: dict[str, ObservedJob] = {}
         self.on: dict[str, dict[str, Place]] = {}
         self.broken: list[str] = []
         # What was reported already; what goes on breaking a rule is reported once.
@@ -52,7 +52,7 @@
         self.quiet_since: float | None = None
         self.starts = 0
         # Called with every job whose user has just learned that it is accepted or over.
-        self.watchers: list[Callable[[Case], None]] = []
+        self.watchers: list[Callable[[ObservedJob], None]] = []
 
     def _break(self, rule: str, *what: object) -> None:
         detail = " ".join(str(x) for x in what)
@@ -67,16 +67,16 @@
         most = self._teams.get(body["crew"])
         return most is not None and requirements.can_run(body, most, self._machine_types.values())
 
-    def submitted(self, body: Any) -> None:
+    def record_submission(self, body: Any) -> None:
         """Note a submission before it goes out."""
         if (
             isinstance(body, dict)
             and isinstance(body.get("id"), str)
-            and body["id"] not in self.cases
+            and body["id"] not in self.jobs
         ):
-            self.cases[body["id"]] = Case(body)
+            self.jobs[body["id"]] = ObservedJob(body)
 
-    def answered(
+    def check_answer(
         self, method: str, path: str, body: Any, status: int, answer: Any, began: float
     ) -> None:
         """Judge the answer to a request of a user that began at `began`, in seconds."""
@@ -88,119 +88,126 @@
             return
         if status in (200, 201) and isinstance(answer, dict) and case is not None:
             now = self._now()
-            case.answered = now
+            case.answered_at = now
             self._told(case, answer.get("status"), began, now)
             self._tell_watchers(case)
 
-    def _submission_answered(self, body: Any, status: int, began: float) -> Case | None:
+    def _submission_answered(self, body: Any, status: int, began: float) -> ObservedJob | None:
         name = body.get("id") if isinstance(body, dict) else None
-        case = self.cases.get(name) if isinstance(name, str) else None
+        case = self.jobs.get(name) if isinstance(name, str) else None
         if case is None:
             return None
-        if status in (200, 201) and case.accepted is None:
+        if status in (200, 201) and case.accepted_at is None:
             if any(body.get(field) is None for field in REQUIRED_FIELDS):
                 self._break("accepted_lacking", name)
             elif not self.can_run(body):
                 self._break("accepted_unfit", name)
-            case.accepted, case.body = self._now(), body
-        elif status in (400, 422) and case.accepted is not None and case.accepted <= began:
+            case.accepted_at, case.body = self._now(), body
+        elif status in (400, 422) and case.accepted_at is not None and case.accepted_at <= began:
             self._break("forgotten", name, "a repeat got", status)
         return case
 
-    def _job_answered(self, path: str, status: int, began: float) -> Case | None:
+    def _job_answered(self, path: str, status: int, began: float) -> ObservedJob | None:
         name = path.removeprefix(f"{JOBS_PATH}/").removesuffix(WITHDRAW)
-        case = self.cases.get(name)
+        case = self.jobs.get(name)
         if status == HTTPStatus.OK and case is None:
             self._break("invented", name)
         if case is None:
             return None
-        if status == HTTPStatus.NOT_FOUND and case.accepted is not None and case.accepted <= began:
+        if (
+            status == HTTPStatus.NOT_FOUND
+            and case.accepted_at is not None
+            and case.accepted_at <= began
+        ):
             self._break("forgotten", name, "got 404")
-        if path.endswith(WITHDRAW) and case.asked is None:
-            case.asked = began
+        if path.endswith(WITHDRAW) and case.cancel_requested_at is None:
+            case.cancel_requested_at = began
         return case
 
-    def _tell_watchers(self, case: Case) -> None:
-        if case.news != (case.accepted is not None, case.over):
-            case.news = (case.accepted is not None, case.over)
+    def _tell_watchers(self, case: ObservedJob) -> None:
+        if case.reported_state != (case.accepted_at is not None, case.has_ended):
+            case.reported_state = (case.accepted_at is not None, case.has_ended)
             for watcher in self.watchers:
                 watcher(case)
 
-    def withdrawing(self, path: str) -> None:
+    def record_cancellation_request(self, path: str) -> None:
         """Note a withdrawal before it goes out.
 
         It may be carried out though nobody hears an answer.
         """
-        case = self.cases.get(path.removeprefix(f"{JOBS_PATH}/").removesuffix(WITHDRAW))
-        if case is not None and case.asked is None:
-            case.asked = self._now()
+        case = self.jobs.get(path.removeprefix(f"{JOBS_PATH}/").removesuffix(WITHDRAW))
+        if case is not None and case.cancel_requested_at is None:
+            case.cancel_requested_at = self._now()
 
-    def _told(self, case: Case, word: Any, began: float, now: float) -> None:
-        if case.accepted is None:
+    def _told(self, case: ObservedJob, word: Any, began: float, now: float) -> None:
+        if case.accepted_at is None:
             # The answer to its submission got lost; now its user knows.
-            case.accepted = now
+            case.accepted_at = now
         if word == "done":
-            if case.aborted is not None and case.aborted <= began:
+            if case.cancelled_at is not None and case.cancelled_at <= began:
                 self._break("went_back", case.name, "aborted, then done")
-            if not case.complete:
+            if not case.is_complete:
                 self._break("not_done", case.name, len(case.completed), "of", case.body["legs"])
-            case.done = now if case.done is None else case.done
+            case.done_at = now if case.done_at is None else case.done_at
         elif word == "aborted":
-            if case.asked is None:
+            if case.cancel_requested_at is None:
                 self._break("went_back", case.name, "cancelled by nobody")
-            if case.done is not None and case.done <= began:
+            if case.done_at is not None and case.done_at <= began:
                 self._break("went_back", case.name, "done, then aborted")
-            case.aborted = now if case.aborted is None else case.aborted
-        elif case.over and min(x for x in (case.done, case.aborted) if x is not None) <= began:
+            case.cancelled_at = now if case.cancelled_at is None else case.cancelled_at
+        elif (
+            case.has_ended
+            and min(x for x in (case.done_at, case.cancelled_at) if x is not None) <= began
+        ):
             self._break("went_back", case.name, word, "after its end")
 
     # What machines do.
 
-    def ordered(self, task: str, machine: str) -> None:
+    def check_start_order(self, task: str, machine: str) -> None:
         """Judge that a machine carries out an order to start."""
-        case = self.cases.get(task.rpartition("/")[0])
+        case = self.jobs.get(task.rpartition("/")[0])
         if (
             case is not None
-            and case.aborted is not None
-            and self._now() - case.aborted > IN_FLIGHT_S
+            and case.cancelled_at is not None
+            and self._now() - case.cancelled_at > IN_FLIGHT_S
         ):
             self._break(
                 "ran_cancelled",
                 task,
                 "ordered on",
                 machine,
-                f"{self._now() - case.aborted:.1f} s after",
+                f"{self._now() - case.cancelled_at:.1f} s after",
             )
 
-    def entered(self, task: str, place: Place) -> None:
+    def check_start(self, task: str, place: Place) -> None:
         """Judge that a task begins on a machine."""
         self.starts += 1
         homes = self.on.setdefault(task, {})
         if homes.keys() - {place.machine}:
             self._break("ran_twice", task, "on", place.machine, "and", sorted(homes))
         homes[place.machine] = place
-        case = self.cases.get(task.rpartition("/")[0])
+        case = self.jobs.get(task.rpartition("/")[0])
         if case is None:
             return
         self._check_place(case, task, place)
         self._check_limit(case.body["crew"])
-        if case.aborted is not None and self._now() - case.aborted > self._cancel_s:
+        if case.cancelled_at is not None and self._now() - case.cancelled_at > self._cancel_s:
             self._break("ran_cancelled", task, "started")
 
-    def left(self, task: str, machine: str) -> None:
+    def record_removal(self, task: str, machine: str) -> None:
         """Note that a task is on a machine no more."""
         homes = self.on.get(task, {})
         homes.pop(machine, None)
         if not homes:
             self.on.pop(task, None)
 
-    def completed(self, task: str) -> None:
+    def record_completion(self, task: str) -> None:
         """Note that a task has completed."""
-        case = self.cases.get(task.rpartition("/")[0])
+        case = self.jobs.get(task.rpartition("/")[0])
         if case is not None:
             case.completed.add(task)
 
-    def _check_place(self, case: Case, task: str, place: Place) -> None:
+    def _check_place(self, case: ObservedJob, task: str, place: Place) -> None:
         body, machine_type = case.body, self._machine_types[place.machine_type]
         allowed = requirements.allows(body, machine_type, place.zone)
         if not allowed or (place.spot and not body["loaners"]):
@@ -216,7 +223,7 @@
     def _used(self, team: str) -> tuple[float, float]:
         cpus = gpus = 0.0
         for task, homes in self.on.items():
-            case = self.cases.get(task.rpartition("/")[0])
+            case = self.jobs.get(task.rpartition("/")[0])
             if case is not None and case.body["crew"] == team:
                 cpus += len(homes) * case.body["vcpus"]
                 gpus += len(homes) * case.body["gpus"]
@@ -229,17 +236,17 @@
 
     # What time shows.
 
-    def troubles_over(self) -> None:
+    def mark_faults_ended(self) -> None:
         """Note that all failures are over."""
         self.quiet_since = self._now()
-        for case in self.cases.values():
-            case.answered, case.waits_since = max(case.answered, self.quiet_since), None
+        for case in self.jobs.values():
+            case.answered_at, case.waits_since = max(case.answered_at, self.quiet_since), None
 
-    def trouble(self) -> None:
+    def mark_fault_began(self) -> None:
         """Note that a failure begins."""
         self.quiet_since = None
 
-    def look(self, hung: set[str], machines: list[MachineWithCapacity]) -> None:
+    def check(self, hung: set[str], machines: list[MachineWithCapacity]) -> None:
         """Judge what is on machines now, and which jobs wait beside free capacity.
 
         `hung`: machines that stand still, whose tasks do nothing. `machines`: those that work, and
@@ -251,8 +258,8 @@
 
     def _look_for_cancelled(self, hung: set[str]) -> None:
         now = self._now()
-        for case in self.cases.values():
-            if case.aborted is None or now - case.aborted <= self._cancel_s:
+        for case in self.jobs.values():
+            if case.cancelled_at is None or now - case.cancelled_at <= self._cancel_s:
                 continue
             for task in case.tasks():
                 for machine in self.on.get(task, {}):
@@ -262,10 +269,10 @@
     def _look_for_neglected(self, machines: list[MachineWithCapacity]) -> None:
         """Find jobs of which no question is answered, and those that wait beside free capacity."""
         now = self._now()
-        for case in self.cases.values():
-            if case.accepted is None or case.over:
+        for case in self.jobs.values():
+            if case.accepted_at is None or case.has_ended:
                 continue
-            if now - case.answered > FORGOTTEN_S:
+            if now - case.answered_at > FORGOTTEN_S:
                 self._break("forgotten", case.name, "no answer")
             if not self._waits(case, machines):
                 case.waits_since = None
@@ -274,9 +281,9 @@
             elif now - case.waits_since > LEFT_WAITING_S:
                 self._break("left_waiting", case.name)
 
-    def _waits(self, case: Case, machines: list[MachineWithCapacity]) -> bool:
+    def _waits(self, case: ObservedJob, machines: list[MachineWithCapacity]) -> bool:
         """Whether a task of the job waits that could run now."""
-        if case.asked is not None:
+        if case.cancel_requested_at is not None:
             return False
         waiting = [
             task for task in case.tasks() if task not in self.on and task not in case.completed
--- a/roadbend/checkers/search_faults.py
+++ b/roadbend/checkers/search_faults.py
@@ -95,13 +95,13 @@
             except Exception:  # Whatever keeps it from handing over, the run goes on.
                 logging.getLogger("search").info("no hand-over", exc_info=True)
 
-    async def cut_controller(self, length: float, rng: random.Random) -> None:
+    async def isolate_controller(self, length: float, rng: random.Random) -> None:
         """Cut a controller off from all but its machines."""
-        await self.world.cut_controller(self.node(rng), length)
+        await self.world.isolate_controller(self.node(rng), length)
 
-    async def cut_zone(self, length: float, rng: random.Random) -> None:
+    async def isolate_zone(self, length: float, rng: random.Random) -> None:
         """Cut a zone off, its controller included."""
-        await self.world.cut_zone(self.node(rng), length)
+        await self.world.isolate_zone(self.node(rng), length)
 
     # Faults of the state service and the cloud.
 
@@ -143,7 +143,7 @@
         """Cut some machines off from all controllers."""
         machines = self.some_machines(rng)
         controllers = [f"node-{n}" for n in range(self.world.count)]
-        await self.world.cut_pairs([(m, node) for m in machines for node in controllers], length)
+        await self.world.block_pairs([(m, node) for m in machines for node in controllers], length)
 
     async def flap(self, length: float, rng: random.Random) -> None:
         """Cut machines off for about as long as a lease; they are back for moments only."""
@@ -151,7 +151,7 @@
         controllers = [f"node-{n}" for n in range(self.world.count)]
         pairs = [(machine, node) for machine in machines for node in controllers]
         while trio.current_time() < end:
-            await self.world.cut_pairs(pairs, rng.uniform(14.0, 24.0))
+            await self.world.block_pairs(pairs, rng.uniform(14.0, 24.0))
             await trio.sleep(rng.uniform(0.2, 4.0))
 
     async def lease_edge(self, length: float, rng: random.Random) -> None:
@@ -164,11 +164,11 @@
         pairs = [(m, f"node-{n}") for m in machines for n in range(self.world.count)]
         self.world.cloud.refuse_deletion = True
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self.world.cut_pairs, pairs, rng.uniform(19.0, 26.0))
+            nursery.start_soon(self.world.block_pairs, pairs, rng.uniform(19.0, 26.0))
             await trio.sleep(rng.uniform(14.0, 20.0))
             nursery.start_soon(self.world.outage, rng.uniform(1.0, length))
         await trio.sleep(rng.uniform(0.1, 2.0))
-        await self.world.cut_pairs(pairs, rng.uniform(2.0, 17.0))
+        await self.world.block_pairs(pairs, rng.uniform(2.0, 17.0))
         self.world.cloud.refuse_deletion = False
 
     async def held_burst(self, length: float, rng: random.Random) -> None:
@@ -184,7 +184,7 @@
             await trio.sleep(length * 0.9)
             nursery.start_soon(self.lost_answers, 4.0, rng)
         pairs = [(m, f"node-{n}") for m in machines for n in range(self.world.count)]
-        await self.world.cut_pairs(pairs, rng.uniform(2.0, 17.0))
+        await self.world.block_pairs(pairs, rng.uniform(2.0, 17.0))
         self.world.cloud.refuse_deletion = False
 
     async def hold_packets(self, length: float, rng: random.Random) -> None:
@@ -213,13 +213,13 @@
         """Let some machines stand still."""
         await self.world.hang(self.some_machines(rng), length)
 
-    async def deafen(self, length: float, rng: random.Random) -> None:
+    async def block_inbound(self, length: float, rng: random.Random) -> None:
         """Let nobody open connections to some machines."""
-        await self.world.deafen(self.some_machines(rng), length)
+        await self.world.block_inbound(self.some_machines(rng), length)
 
-    async def mute(self, length: float, rng: random.Random) -> None:
+    async def block_outbound(self, length: float, rng: random.Random) -> None:
         """Let some machines open no connections."""
-        await self.world.mute(self.some_machines(rng), length)
+        await self.world.block_outbound(self.some_machines(rng), length)
 
     async def reboot(self, _length: float, rng: random.Random) -> None:
         """Restart some machines."""
@@ -236,23 +236,23 @@
         machines = self.some_machines(rng)
         for worker in self.world.workers():
             if worker.machine in machines:
-                worker.recall = length
+                worker.reclaim_in_s = length
         await trio.sleep(length)
         for machine in machines:
             if machine in self.world.cloud.machines:
                 self.world.cloud.kill(machine)
 
-    async def late_reports(self, length: float, rng: random.Random) -> None:
+    async def replay_heartbeats(self, length: float, rng: random.Random) -> None:
         """Let copies of heartbeats arrive late."""
-        await self.world.late_reports(rng.uniform(0.1, 0.6), length, rng)
+        await self.world.replay_heartbeats(rng.uniform(0.1, 0.6), length, rng)
 
-    async def late_reports_for_next_owner(self, length: float, rng: random.Random) -> None:
+    async def replay_heartbeats_to_next_leader(self, length: float, rng: random.Random) -> None:
         """Let copies of heartbeats arrive late, at the next leader."""
-        await self.world.late_reports_for_next_owner(rng.uniform(0.1, 0.6), length, rng)
+        await self.world.replay_heartbeats_to_next_leader(rng.uniform(0.1, 0.6), length, rng)
 
-    async def late_commands(self, length: float, rng: random.Random) -> None:
+    async def delay_commands(self, length: float, rng: random.Random) -> None:
         """Let direct commands arrive late."""
-        await self.world.late_commands(rng.uniform(0.1, 0.6), length, rng)
+        await self.world.delay_commands(rng.uniform(0.1, 0.6), length, rng)
 
     # What users do.
 
@@ -274,7 +274,7 @@
 
     def _jobs_with_starts(self) -> set[str]:
         """Return the jobs of which a start is recorded."""
-        return {key.split("/")[3] for key in self.world.state.starting("r/slice/")}
+        return {key.split("/")[3] for key in self.world.state.values_with_prefix("r/slice/")}
 
     async def _hang_for_moments(self, end: float, rng: random.Random) -> None:
         while trio.current_time() < end:
@@ -283,7 +283,7 @@
 
     async def _ask_until_cancelled(self, called: str, rng: random.Random) -> None:
         """Withdraw a job, ask after it and submit it again, at any controller."""
-        case = self.world.rules.cases[called]
+        case = self.world.rules.jobs[called]
         path = f"{JOBS_PATH}/{called}"
         end = trio.current_time() + PATIENCE_S
         requests: list[tuple[str, str, Any]] = [
@@ -291,14 +291,16 @@
             ("GET", path, None),
             ("POST", JOBS_PATH, case.body),
         ]
-        while not case.over and trio.current_time() < end:
+        while not case.has_ended and trio.current_time() < end:
             for method, target, body in requests:
                 await self.world.call(self.node(rng), method, target, body)
             await trio.sleep(rng.uniform(0.01, 0.3))
 
     async def cancel(self, _length: float, rng: random.Random) -> None:
         """Cancel some jobs at once, each at any controller."""
-        cases = [c.name for c in self.world.rules.cases.values() if c.accepted and not c.over]
+        cases = [
+            c.name for c in self.world.rules.jobs.values() if c.accepted_at and not c.has_ended
+        ]
         async with trio.open_nursery() as nursery:
             for called in rng.sample(cases, min(len(cases), 4)):
                 path, at = f"/v1/jobs/{called}/withdraw", self.node(rng)
@@ -320,8 +322,8 @@
     "stall": Kind(Deployment.stall, (0.2, 25.0)),
     "slow": Kind(Deployment.slow, (2.0, 40.0)),
     "hand-over": Kind(Deployment.hand_over, (0.1, 0.2)),
-    "cut-controller": Kind(Deployment.cut_controller, (1.0, 45.0)),
-    "cut-zone": Kind(Deployment.cut_zone, (1.0, 60.0)),
+    "cut-controller": Kind(Deployment.isolate_controller, (1.0, 45.0)),
+    "cut-zone": Kind(Deployment.isolate_zone, (1.0, 60.0)),
     "outage": Kind(Deployment.outage, (1.0, 70.0)),
     "refuse": Kind(Deployment.refuse, (1.0, 50.0)),
     "slow-state": Kind(Deployment.slow_state, (1.0, 30.0)),
@@ -336,14 +338,14 @@
     "hold-state": Kind(Deployment.hold_state, (0.1, 20.0)),
     "reset": Kind(Deployment.reset, (0.5, 20.0)),
     "hang": Kind(Deployment.hang, (0.5, 40.0)),
-    "deaf": Kind(Deployment.deafen, (1.0, 45.0)),
-    "mute": Kind(Deployment.mute, (1.0, 45.0)),
+    "deaf": Kind(Deployment.block_inbound, (1.0, 45.0)),
+    "mute": Kind(Deployment.block_outbound, (1.0, 45.0)),
     "reboot": Kind(Deployment.reboot, (0.1, 0.2)),
     "die": Kind(Deployment.die, (0.1, 0.2)),
     "notice": Kind(Deployment.notice, (3.0, 30.0)),
-    "late-reports": Kind(Deployment.late_reports, (5.0, 60.0)),
-    "late-reports-next": Kind(Deployment.late_reports_for_next_owner, (5.0, 60.0)),
-    "late-commands": Kind(Deployment.late_commands, (5.0, 60.0)),
+    "late-reports": Kind(Deployment.replay_heartbeats, (5.0, 60.0)),
+    "late-reports-next": Kind(Deployment.replay_heartbeats_to_next_leader, (5.0, 60.0)),
+    "late-commands": Kind(Deployment.delay_commands, (5.0, 60.0)),
     "cancel": Kind(Deployment.cancel, (0.1, 0.2)),
     "cancel-starts": Kind(Deployment.cancel_starts, (5.0, 20.0)),
 }
--- a/roadbend/checkers/search_runs.py
+++ b/roadbend/checkers/search_runs.py
@@ -11,7 +11,7 @@
 from roadbend import clock
 from roadbend.checkers.search_faults import FAULTS, ONLY_ON_REQUEST, Deployment
 from roadbend.controller import Controller
-from roadbend.fakes.scenario import AIMS, OP, SERVICE, SITES, TEAMS
+from roadbend.fakes.scenario import OBJECTIVES, OPERATOR, SERVICE, SITES, TEAMS
 from roadbend.fakes.submission import gang, job
 from roadbend.fakes.world import World, world
 from roadbend.recovery.service import install
@@ -124,12 +124,14 @@
 
 async def play_run(run: Run) -> list[str]:
     """Play a run and return the rules that it breaks."""
-    changes: dict[str, Any] = {"teams": TEAMS, "objectives": AIMS, **SITES[run.site]}
+    changes: dict[str, Any] = {"teams": TEAMS, "objectives": OBJECTIVES, **SITES[run.site]}
     rng = random.Random(f"work {run.seed}")
     broken: list[str] = []
     changes["caches_images"] = True
     changes["equip"] = _switch_recovery_on if run.recovery else None
-    async with world(capacity=CAPACITY, operator=OP, judge=broken.extend, **changes) as w:
+    async with world(
+        capacity=CAPACITY, operator=OPERATOR, on_broken_rules=broken.extend, **changes
+    ) as w:
         deployment = Deployment(w)
         w.nursery.start_soon(work, w, rng)
         began = trio.current_time()
--- a/roadbend/checkers/test_search.py
+++ b/roadbend/checkers/test_search.py
@@ -18,7 +18,7 @@
 ) -> None:
     """Plant a double start: another machine is told to start a task that runs."""
     board = deployment.world.board
-    task, homes = next((task, homes) for task, homes in board.where.items() if homes)
+    task, homes = next((task, homes) for task, homes in board.machines_by_task.items() if homes)
     other = next(worker for worker in deployment.world.workers() if worker.machine not in homes)
     # At once, for the controllers would stop it with its machine's next report.
     other.settings.fetch_s = 0.0
--- a/roadbend/fakes/board.py
+++ b/roadbend/fakes/board.py
@@ -78,12 +78,12 @@
     rules: Rules | None = None
     # How long a job's tasks run, or one task.
     lengths: dict[str, float | None] = field(default_factory=dict)
-    where: dict[str, set[str]] = field(default_factory=dict)
+    machines_by_task: dict[str, set[str]] = field(default_factory=dict)
     starts: list[tuple[float, str, str]] = field(default_factory=list)
     # Tasks that have completed: their results lie outside the machines, too.
     completed: set[str] = field(default_factory=set)
     # Called with every task that has completed.
-    ends: list[Callable[[str], None]] = field(default_factory=list)
+    completion_listeners: list[Callable[[str], None]] = field(default_factory=list)
     # Gangs by job and attempt, and how much of a job is saved: checkpoints lie outside the
     # machines.
     gangs: dict[tuple[str, int], Gang] = field(default_factory=dict)
@@ -93,7 +93,7 @@
 
     def body(self, job: str) -> dict[str, Any]:
         """Return a job's submission; empty if the judge knows none."""
-        case = self.rules.cases.get(job) if self.rules is not None else None
+        case = self.rules.jobs.get(job) if self.rules is not None else None
         return case.body if case is not None else {}
 
     def length(self, task: WorkerTask) -> float | None:
@@ -107,29 +107,29 @@
             return None
         return self.gangs.setdefault((task.job, task.attempt), Gang(body["legs"]))
 
-    def save(self, job: str, made: float) -> None:
+    def record_checkpoint(self, job: str, made: float) -> None:
         """Note a checkpoint: how far a job has come, in seconds of work."""
         self.progress[job] = max(self.progress.get(job, 0.0), made)
 
-    def enter(self, task: str, place: Place) -> None:
+    def record_start(self, task: str, place: Place) -> None:
         """Note that a task begins on a machine."""
-        self.where.setdefault(task, set()).add(place.machine)
+        self.machines_by_task.setdefault(task, set()).add(place.machine)
         self.starts.append((trio.current_time(), task, place.machine))
         if self.rules is not None:
-            self.rules.entered(task, place)
+            self.rules.check_start(task, place)
 
-    def leave(self, task: str, machine: str) -> None:
+    def record_removal(self, task: str, machine: str) -> None:
         """Note that a task is on a machine no more."""
-        self.where.get(task, set()).discard(machine)
+        self.machines_by_task.get(task, set()).discard(machine)
         if self.rules is not None:
-            self.rules.left(task, machine)
+            self.rules.record_removal(task, machine)
 
-    def order(self, task: str, machine: str) -> None:
+    def record_start_order(self, task: str, machine: str) -> None:
         """Note that a machine carries out an order to start."""
         if self.rules is not None:
-            self.rules.ordered(task, machine)
+            self.rules.check_start_order(task, machine)
 
-    def complete(self, task: str) -> None:
+    def record_completion(self, task: str) -> None:
         """Note that a task has completed."""
         job = task.rpartition("/")[0]
         body = self.body(job)
@@ -138,10 +138,12 @@
             self.completed.update(f"{job}/{n}" for n in range(body["legs"]))
         self.completed.add(task)
         if self.rules is not None:
-            self.rules.completed(task)
-        for see in self.ends:
+            self.rules.record_completion(task)
+        for see in self.completion_listeners:
             see(task)
 
     def running(self, job: str) -> list[str]:
         """Return the tasks of a job that are on machines."""
-        return [t for t, homes in self.where.items() if homes and t.startswith(job + "/")]
+        return [
+            t for t, homes in self.machines_by_task.items() if homes and t.startswith(job + "/")
+        ]
--- a/roadbend/fakes/cloud.py
+++ b/roadbend/fakes/cloud.py
@@ -55,8 +55,8 @@
         self.down = False
         self.refuse_deletion = False
         # Zones in which there is no machine to be had.
-        self.closed_zones: set[str] = set()
-        self.names: list[str] = []
+        self.unavailable_zones: set[str] = set()
+        self.creation_ids: list[str] = []
         self.requests = 0
         # How long a boot takes, whatever the type says; None: as the type says.
         self.boot_seconds: float | None = None
@@ -141,7 +141,7 @@
             if (m.machine_type, m.zone, m.spot) == (body["rig"], body["yard"], body["loaners"])
             and m.status != "failed"
         )
-        free = 0 if body["yard"] in self.closed_zones else self._capacity - alike
+        free = 0 if body["yard"] in self.unavailable_zones else self._capacity - alike
         if free <= 0:
             return Response(503, {"error": "no capacity"})
         got = []
@@ -158,5 +158,5 @@
             self._nursery.start_soon(self._boot, machine)
             got.append(machine.id)
         self._hires[name] = got
-        self.names.append(name)
+        self.creation_ids.append(name)
         return Response(200, {"hitches": got})
--- a/roadbend/fakes/troubles.py
+++ b/roadbend/fakes/fault_injection.py
@@ -1,5 +1,5 @@
-"""Troubles of a deployment in memory: outages, cuts, machines that hang or can't be heard, and
-messages that come late. Each method lasts as long as its trouble and ends what it began.
+"""Fault injection for a deployment in memory: outages, network partitions, hung machines, and late
+messages. Each method runs for as long as its fault lasts and ends the fault before it returns.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 OWNER_POLL = 0.05
 
 
-class Troubles:
+class FaultInjection:
     """A mixin of `World`."""
 
     network: Network
@@ -45,7 +45,7 @@
     async def outage(self, length: float) -> None:
         self.state.down = True
         await trio.sleep(length)
-        self.state.restore()
+        self.state.end_outage()
 
     async def refuse(self, at: int, length: float) -> None:
         """The state service refuses one controller alone; its leases run out."""
@@ -53,36 +53,36 @@
         await trio.sleep(length)
         self.state.refused.discard(f"node-{at}")
 
-    async def cut_pairs(self, pairs: list[tuple[str, str]], length: float) -> None:
+    async def block_pairs(self, pairs: list[tuple[str, str]], length: float) -> None:
         for pair in pairs:
-            self.network.cut(*pair)
+            self.network.block(*pair)
         await trio.sleep(length)
         for pair in pairs:
-            self.network.heal(*pair)
+            self.network.unblock(*pair)
 
-    async def cut_controller(self, at: int, length: float) -> None:
+    async def isolate_controller(self, at: int, length: float) -> None:
         """It loses the state service and the other controllers, not its workers or users."""
         others = [f"node-{n}" for n in range(self.count) if n != at]
-        await self.cut_pairs([(f"node-{at}", other) for other in ("state", *others)], length)
+        await self.block_pairs([(f"node-{at}", other) for other in ("state", *others)], length)
 
-    async def cut_zone(self, at: int, length: float) -> None:
+    async def isolate_zone(self, at: int, length: float) -> None:
         inside = [m.id for m in self.cloud.machines.values() if m.zone == self.zones[at]]
         others = [f"node-{n}" for n in range(self.count) if n != at]
         pairs = [(f"node-{at}", other) for other in ("state", "cloud", *others)]
-        await self.cut_pairs(pairs + [(m, o) for m in inside for o in others], length)
+        await self.block_pairs(pairs + [(m, o) for m in inside for o in others], length)
 
-    async def deafen(self, machines: list[str], length: float) -> None:
+    async def block_inbound(self, machines: list[str], length: float) -> None:
         """What they report arrives; answers and direct commands are lost."""
-        self.network.deaf |= set(machines)
+        self.network.inbound_blocked |= set(machines)
         await trio.sleep(length)
-        self.network.deaf -= set(machines)
+        self.network.inbound_blocked -= set(machines)
 
-    async def mute(self, machines: list[str], length: float) -> None:
+    async def block_outbound(self, machines: list[str], length: float) -> None:
         """They reach no controller, while direct commands reach them."""
         for machine in machines:
-            self.network.silence(machine)
+            self.network.block_outbound(machine)
         await trio.sleep(length)
-        self.network.mute -= set(machines)
+        self.network.outbound_blocked -= set(machines)
 
     async def hold(self, ways: list[tuple[str, str]], length: float) -> None:
         """Packets are held back, and arrive late."""
@@ -90,7 +90,7 @@
             self.network.hold(*way)
         await trio.sleep(length)
         for way in ways:
-            self.network.let_go(*way)
+            self.network.release(*way)
 
     async def hang(self, machines: list[str], length: float) -> None:
         async with trio.open_nursery() as nursery:
@@ -98,7 +98,7 @@
                 if worker.machine in machines:
                     nursery.start_soon(worker.hang, length)
 
-    async def late_reports(self, share: float, length: float, rng: random.Random) -> None:
+    async def replay_heartbeats(self, share: float, length: float, rng: random.Random) -> None:
         """Copies of reports arrive again, from 2 s to well over a lease later, at any
         controller.
         """
@@ -113,12 +113,12 @@
 
         touched = self.workers()
         for worker in touched:
-            worker.sent.append(see)
+            worker.heartbeat_listeners.append(see)
         await trio.sleep(length)
         for worker in touched:
-            worker.sent.remove(see)
+            worker.heartbeat_listeners.remove(see)
 
-    async def late_commands(self, share: float, length: float, rng: random.Random) -> None:
+    async def delay_commands(self, share: float, length: float, rng: random.Random) -> None:
         """That share of direct commands is held up on its way, unanswered, and arrives once, 2 to
         16 s late; also on machines that come up meanwhile.
         """
@@ -135,7 +135,7 @@
         """How long the direct command that just came is held up; None: not at all."""
         return None if self._command_delay is None else self._command_delay()
 
-    async def late_reports_for_next_owner(
+    async def replay_heartbeats_to_next_leader(
         self, share: float, length: float, rng: random.Random
     ) -> None:
         """Copies of reports are kept until their zone has its next owner, and then reach every
@@ -151,7 +151,7 @@
 
         touched = self.workers()
         for worker in touched:
-            worker.sent.append(keep)
+            worker.heartbeat_listeners.append(keep)
         terms = {zone: self._term(zone) for zone in self.zones}
         end = trio.current_time() + length
         while trio.current_time() < end:
@@ -161,7 +161,7 @@
                     terms[zone], rows, copies[zone] = self._term(zone), copies[zone], []
                     self.nursery.start_soon(self._deliver_copies, rows, rng)
         for worker in touched:
-            worker.sent.remove(keep)
+            worker.heartbeat_listeners.remove(keep)
 
     def _term(self, zone: str) -> int:
         value = self.state.value(f"r/term/{zone}")
--- a/roadbend/fakes/gangs.py
+++ b/roadbend/fakes/gangs.py
@@ -28,7 +28,7 @@
     return {a for j, a in w.board.gangs if j == name}
 
 
-async def begun(
+async def start_gang(
     w: World, body: dict[str, Any], length: float | None, at: int = 0, within: float = 60
 ) -> list[str]:
     """Submit a gang, wait until all of it runs, and return its machines.
@@ -38,4 +38,4 @@
     """
     assert await w.submit(at, body, length) == HTTPStatus.CREATED
     assert await w.until(lambda: len(running(w, body["id"])) == body["legs"], within)
-    return sorted({m for t in w.board.running(body["id"]) for m in w.board.where[t]})
+    return sorted({m for t in w.board.running(body["id"]) for m in w.board.machines_by_task[t]})
--- a/roadbend/fakes/loopback.py
+++ b/roadbend/fakes/loopback.py
@@ -167,7 +167,7 @@
         """A user's request, seen by the judge."""
         began = trio.current_time()
         if path == "/v1/jobs":
-            self.rules.submitted(body)
+            self.rules.record_submission(body)
         client = Client(self._net, self._addresses.listen[at])
         try:
             status, answer = await client.request(method, path, body, within=timedelta(seconds=5))
@@ -175,7 +175,7 @@
             return 0, None
         finally:
             await client.close()
-        self.rules.answered(method, path, body, status, answer, began)
+        self.rules.check_answer(method, path, body, status, answer, began)
         return status, answer
 
 
--- a/roadbend/fakes/network.py
+++ b/roadbend/fakes/network.py
@@ -19,9 +19,9 @@
         self._streams: list[tuple[str, str, trio.abc.Stream, trio.abc.Stream]] = []
         self._reachability: set[frozenset[str]] = set()
         # Hosts that nothing reaches, while what they send arrives.
-        self.deaf: set[str] = set()
+        self.inbound_blocked: set[str] = set()
         # Hosts that can't open connections, while they can be reached.
-        self.mute: set[str] = set()
+        self.outbound_blocked: set[str] = set()
         # Ways on which packets are held back, and what is held: it arrives in order once they are
         # let go, even where the sender has given up and closed meanwhile.
         self._holding: set[tuple[str, str]] = set()
@@ -41,7 +41,7 @@
         self._listeners = {a: row for a, row in self._listeners.items() if row[0] != host}
         self._break(lambda a, b: host in (a, b))
 
-    def cut(self, a: str, b: str) -> None:
+    def block(self, a: str, b: str) -> None:
         self._reachability.add(frozenset((a, b)))
         self._break(lambda x, y: frozenset((x, y)) == frozenset((a, b)))
 
@@ -49,19 +49,19 @@
         """Connections between two hosts break; new ones can be made."""
         self._break(lambda x, y: frozenset((x, y)) == frozenset((a, b)))
 
-    def heal(self, a: str, b: str) -> None:
+    def unblock(self, a: str, b: str) -> None:
         self._reachability.discard(frozenset((a, b)))
 
-    def silence(self, host: str) -> None:
+    def block_outbound(self, host: str) -> None:
         """The host opens no connections any more, and those that it opened break."""
-        self.mute.add(host)
+        self.outbound_blocked.add(host)
         self._break(lambda a, b: a == host)
 
     def hold(self, sender: str, receiver: str, requests: bool = False) -> None:
         """`requests`: only on connections that the sender opened; its answers go through."""
         (self._holding_requests if requests else self._holding).add((sender, receiver))
 
-    def let_go(self, sender: str, receiver: str) -> None:
+    def release(self, sender: str, receiver: str) -> None:
         self._holding.discard((sender, receiver))
         self._holding_requests.discard((sender, receiver))
         rows, self._held = self._held, []
@@ -89,8 +89,8 @@
             raise ConnectionRefusedError(address)
         if (
             frozenset((host, target[0])) in self._reachability
-            or target[0] in self.deaf
-            or host in self.mute
+            or target[0] in self.inbound_blocked
+            or host in self.outbound_blocked
         ):
             # Behind a cut nothing answers.
             await trio.sleep(3600)
@@ -115,7 +115,7 @@
             return held or any(row[1] is stream for row in self._held)
 
         async def hook() -> None:
-            if receiver in self.deaf:
+            if receiver in self.inbound_blocked:
                 stream.get_data_nowait()
             elif waits():
                 self._hold_back(way, stream, finish)
--- a/roadbend/fakes/random_failures.py
+++ b/roadbend/fakes/random_failures.py
@@ -59,7 +59,7 @@
 
 async def machines_are_deaf(w: World, rng: random.Random) -> None:
     """Let nothing reach a third of the machines."""
-    await w.deafen(
+    await w.block_inbound(
         [x.machine for x in rng.sample(w.workers(), max(1, len(w.workers()) // 3))],
         rng.uniform(4, 25),
     )
@@ -73,13 +73,13 @@
 
 async def copies_of_heartbeats(w: World, rng: random.Random) -> None:
     """Let copies of heartbeats arrive after newer ones."""
-    await w.late_reports(0.4, 20, rng)
+    await w.replay_heartbeats(0.4, 20, rng)
 
 
 async def reclaim_notices(w: World, rng: random.Random) -> None:
     """Announce to a third of the machines that the cloud takes them back."""
     for worker in rng.sample(w.workers(), max(1, len(w.workers()) // 3)):
-        worker.recall = rng.uniform(6, 15)
+        worker.reclaim_in_s = rng.uniform(6, 15)
 
 
 FAILURES: list[Failure] = [
--- a/roadbend/fakes/scenario.py
+++ b/roadbend/fakes/scenario.py
@@ -27,11 +27,11 @@
 TEAMS = {"red": Team("red", 0, 0, 4, 24), "blue": Team("blue", 0, 0, 4, 30)}
 SERVICE = dict(shape="daemon", dueS=None, loaners=False)
 # Services are to start soon, so their orders go out directly as well.
-AIMS = (ServiceLevelObjective("wait", "plans", 0.9, 5 * S),)
-OP = OperatorSettings(reoffer_every=2 * S)
+OBJECTIVES = (ServiceLevelObjective("wait", "plans", 0.9, 5 * S),)
+OPERATOR = OperatorSettings(reoffer_every=2 * S)
 
 
-def name(number: int) -> str:
+def job_id(number: int) -> str:
     return f"run-{number:06d}"
 
 
@@ -44,7 +44,7 @@
         self.w, self.rng, self.site = w, rng, SITES[site]
         self.cancel_s = self.site["cancel_within"].total_seconds()
         self.lease_s = self.site["lease"].total_seconds()
-        self.long = [name(n) for n in (10, 11, 16, 12, 17, 13, 14, 15)]
+        self.long_jobs = [job_id(n) for n in (10, 11, 16, 12, 17, 13, 14, 15)]
 
     async def begin(self) -> None:
         w = self.w
@@ -64,13 +64,13 @@
             assert await w.submit(n % 3, body, self.rng.uniform(70, 110)) == 201
         for n, zone in ((16, "east"), (17, None)):
             assert await w.submit(n % 3, gang(n, 2, yard=zone), self.rng.uniform(70, 110)) == 201
-        assert await w.until(lambda: all(len(w.board.running(n)) == 2 for n in self.long), 90), (
-            "all runs"
-        )
+        assert await w.until(
+            lambda: all(len(w.board.running(n)) == 2 for n in self.long_jobs), 90
+        ), "all runs"
         for n in range(20, 24):
-            await self.more(n)
+            await self.submit_more(n)
 
-    async def more(self, number: int, **changes) -> None:
+    async def submit_more(self, number: int, **changes) -> None:
         """An array, or every third time a gang, that begins soon and ends; submitted wherever it
         is accepted.
         """
@@ -80,7 +80,7 @@
             if await self.w.submit(at, body, self.rng.uniform(4, 20)) in (200, 201):
                 return
 
-    async def more_alone(self, number: int) -> None:
+    async def submit_small_job(self, number: int) -> None:
         """A small job of one task, submitted again for a minute as users do."""
         body = job(number, vcpus=0.5, gpus=0.0, memoryGb=1.0, dueS=None, expectedS=2.0)
         end, length = trio.current_time() + 60, self.rng.uniform(0.5, 4)
@@ -89,15 +89,15 @@
                 return
             await trio.sleep(1)
 
-    def east(self) -> list[str]:
+    def east_machines(self) -> list[str]:
         return sorted(
             m.id
             for m in self.w.cloud.machines.values()
             if m.zone == "east" and m.status == "running"
         )
 
-    def some_east(self) -> list[str]:
-        machines = self.east()
+    def sample_east_machines(self) -> list[str]:
+        machines = self.east_machines()
         return self.rng.sample(machines, max(1, len(machines) // 2))
 
     async def wait(self, low: float, high: float) -> None:
@@ -113,18 +113,18 @@
 
     async def _cancel(self, called: str, wait: float) -> None:
         await trio.sleep(wait)
-        case = self.w.rules.cases.get(called)
-        if case is not None and case.accepted is not None:
-            await self.w.withdrawn(called, 240)
+        case = self.w.rules.jobs.get(called)
+        if case is not None and case.accepted_at is not None:
+            await self.w.cancel_job(called, 240)
 
-    async def gap(self, delay: float) -> None:
+    async def cancel_around_outage(self, delay: float) -> None:
         """The state service refuses the leader of the east alone, others confirm cancellations,
         then it is out for all for longer than a cancellation has, while workers go on reporting to
         the old leader.
         """
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.w.refuse, 0, delay + 10)
-            nursery.start_soon(self.cancel, self.long[:4], 0.0, delay)
+            nursery.start_soon(self.cancel, self.long_jobs[:4], 0.0, delay)
             await trio.sleep(delay)
             nursery.start_soon(self.w.outage, self.cancel_s + self.rng.uniform(4, 14))
 
@@ -132,9 +132,11 @@
 async def play(meeting: Callable[[Scenario], Awaitable[None]], seed: int, site: str) -> None:
     """Plays a meeting of troubles in a deployment with work in it, until all is over."""
     rng = random.Random(f"{meeting.__name__} {seed}")
-    async with world(capacity=10, operator=OP, teams=TEAMS, objectives=AIMS, **SITES[site]) as w:
+    async with world(
+        capacity=10, operator=OPERATOR, teams=TEAMS, objectives=OBJECTIVES, **SITES[site]
+    ) as w:
         scenario = Scenario(w, rng, site)
         await scenario.begin()
         await meeting(scenario)
-        assert await w.settled()
-        await w.over()
+        assert await w.until_ready()
+        await w.finish()
--- a/roadbend/fakes/state.py
+++ b/roadbend/fakes/state.py
@@ -40,7 +40,7 @@
         self.down = False
         # Hosts that get 503 while others are served, and hosts whose answers to writes get lost.
         self.refused: set[str] = set()
-        self.deaf: set[str] = set()
+        self.unanswered_hosts: set[str] = set()
         # Seconds that every answer takes longer.
         self.slow = 0.0
         # Share of transactions that get no answer and are carried out later, and who draws them.
@@ -49,10 +49,10 @@
         self._answer_lost: tuple[float, random.Random] | None = None
         self.answers_lost = 0
         self._to_come: list[tuple[float, dict]] = []
-        self.late_done: list[int] = []
+        self.late_statuses: list[int] = []
         self.requests = 0
 
-    def limits(self, value_bytes: int, txn_ops: int) -> None:
+    def set_limits(self, value_bytes: int, txn_ops: int) -> None:
         """Set other limits from now on; what is stored stays as it is."""
         self._most = (value_bytes, txn_ops)
 
@@ -77,9 +77,9 @@
         self._to_come = [row for row in self._to_come if row[0] > self._now()]
         for _, body in due:
             try:
-                self.late_done.append(self.compare_and_swap(body).status)
+                self.late_statuses.append(self.compare_and_swap(body).status)
             except (KeyError, TypeError, ValueError):
-                self.late_done.append(400)
+                self.late_statuses.append(400)
 
     def _expire(self) -> None:
         for lease_id in [p for p, (_, end) in self.leases.items() if end <= self._now()]:
@@ -94,7 +94,7 @@
                 del self.keys[key]
                 self.log.append((key, {"delete": key, "stamp": self.revision}))
 
-    def restore(self) -> None:
+    def end_outage(self) -> None:
         """End an outage; every lease has its full time again."""
         self.down = False
         self.leases = {p: (ttl, self._now() + ttl) for p, (ttl, _) in self.leases.items()}
@@ -120,7 +120,7 @@
         except (MalformedError, KeyError, TypeError, ValueError) as error:
             return Response(400, {"error": repr(error)})
         lost = self._loses_answer(request)
-        if lost or host in self.deaf and request.path == "/multi":
+        if lost or host in self.unanswered_hosts and request.path == "/multi":
             # Carried out, but nobody hears of it.
             self.answers_lost += lost
             await trio.sleep(3600)
@@ -238,6 +238,6 @@
         """Return the value of a record, None if there is none."""
         return self.keys[key][0] if key in self.keys else None
 
-    def starting(self, prefix: str) -> dict[str, Any]:
+    def values_with_prefix(self, prefix: str) -> dict[str, Any]:
         """Return the values of all records whose keys begin with `prefix`."""
         return {key: row[0] for key, row in self.keys.items() if key.startswith(prefix)}
--- a/roadbend/fakes/test_fakes.py
+++ b/roadbend/fakes/test_fakes.py
@@ -33,19 +33,21 @@
         self.submit(self.body, 201)
 
     def submit(self, body: dict, status: int) -> None:
-        self.rules.submitted(body)
-        self.rules.answered("POST", "/v1/jobs", body, status, {"status": "pending"}, self.now)
+        self.rules.record_submission(body)
+        self.rules.check_answer("POST", "/v1/jobs", body, status, {"status": "pending"}, self.now)
 
     def ask(
         self, word: str | None, status: int = 200, began: float | None = None, path: str = PATH
     ) -> None:
         answer = {"status": word} if status == 200 else None
         began = self.now if began is None else began
-        self.rules.answered("GET", path, None, status, answer, began)
+        self.rules.check_answer("GET", path, None, status, answer, began)
 
     def withdraw(self) -> None:
-        self.rules.withdrawing(PATH + "/withdraw")
-        self.rules.answered("POST", PATH + "/withdraw", {}, 200, {"status": "aborted"}, self.now)
+        self.rules.record_cancellation_request(PATH + "/withdraw")
+        self.rules.check_answer(
+            "POST", PATH + "/withdraw", {}, 200, {"status": "aborted"}, self.now
+        )
 
     def broken(self) -> set[str]:
         return {text.split(" ")[0] for text in self.rules.broken}
@@ -53,47 +55,47 @@
 
 def look(desk: Desk, at: float, rooms=(), hung=()) -> None:
     desk.now = at
-    desk.rules.look(set(hung), list(rooms))
+    desk.rules.check(set(hung), list(rooms))
 
 
 ROOM = (EAST, (24.0, 2.0, 144.0))
 
 
 def breach_twice(d):
-    d.rules.entered(f"{NAME}/0", EAST)
-    d.rules.entered(f"{NAME}/0", WEST)
+    d.rules.check_start(f"{NAME}/0", EAST)
+    d.rules.check_start(f"{NAME}/0", WEST)
 
 
 def breach_quota(d):
     for n in range(2, 9):
         d.submit(job(n), 201)
-        d.rules.entered(f"run-{n:06d}/0", Place(f"m-{n}", "g2", "east", False))
+        d.rules.check_start(f"run-{n:06d}/0", Place(f"m-{n}", "g2", "east", False))
 
 
 def breach_place(d):
     d.submit(job(2, yard="west"), 201)
-    d.rules.entered("run-000002/0", EAST)
+    d.rules.check_start("run-000002/0", EAST)
 
 
 def breach_spot(d):
     d.submit(job(2, loaners=False), 201)
-    d.rules.entered("run-000002/0", Place("m-1", "g2", "east", True))
+    d.rules.check_start("run-000002/0", Place("m-1", "g2", "east", True))
 
 
 def breach_together(d):
     d.submit(job(2, legs=2, together=True), 201)
-    d.rules.entered("run-000002/0", EAST)
-    d.rules.entered("run-000002/1", WEST)
+    d.rules.check_start("run-000002/0", EAST)
+    d.rules.check_start("run-000002/1", WEST)
 
 
 def breach_apart(d):
     d.submit(job(2, legs=2, apart=True), 201)
-    d.rules.entered("run-000002/0", EAST)
-    d.rules.entered("run-000002/1", Place("m-3", "g2", "east", False))
+    d.rules.check_start("run-000002/0", EAST)
+    d.rules.check_start("run-000002/1", Place("m-3", "g2", "east", False))
 
 
 def breach_cancelled(d):
-    d.rules.entered(f"{NAME}/0", EAST)
+    d.rules.check_start(f"{NAME}/0", EAST)
     d.withdraw()
     look(d, 37.0)
     assert d.broken() == set()
@@ -103,7 +105,7 @@
 def breach_started_late(d):
     d.withdraw()
     d.now = 1.0
-    d.rules.ordered(f"{NAME}/0", "m-1")
+    d.rules.check_start_order(f"{NAME}/0", "m-1")
 
 
 def breach_forgotten(d):
@@ -117,7 +119,7 @@
 
 
 def breach_unanswered(d):
-    d.rules.troubles_over()
+    d.rules.mark_faults_ended()
     for at in range(0, 70, 10):
         d.now = float(at)
         d.ask(None, 503)
@@ -135,7 +137,7 @@
 
 
 def breach_back(d):
-    d.rules.completed(f"{NAME}/0")
+    d.rules.record_completion(f"{NAME}/0")
     d.ask("done")
     d.now = 1.0
     d.ask("running")
@@ -146,14 +148,14 @@
 
 
 def breach_both(d):
-    d.rules.completed(f"{NAME}/0")
+    d.rules.record_completion(f"{NAME}/0")
     d.withdraw()
     d.now = 1.0
     d.ask("done")
 
 
 def breach_waiting(d):
-    d.rules.troubles_over()
+    d.rules.mark_faults_ended()
     for at in range(0, 90, 5):
         d.ask("pending")
         look(d, float(at), [ROOM])
@@ -206,9 +208,9 @@
     d = Desk(legs=2)
     # A question that began before the answer may bring an older one; an old machine's task leaves
     # before the next.
-    d.rules.entered(f"{NAME}/0", EAST)
-    d.rules.left(f"{NAME}/0", "m-1")
-    d.rules.entered(f"{NAME}/0", WEST)
+    d.rules.check_start(f"{NAME}/0", EAST)
+    d.rules.record_removal(f"{NAME}/0", "m-1")
+    d.rules.check_start(f"{NAME}/0", WEST)
     d.now = 5.0
     d.withdraw()
     d.now = 6.0
@@ -216,12 +218,12 @@
     # On a machine that hangs it does nothing; nothing waits where the team is at its limit or no
     # machine has room.
     look(d, 60.0, hung=["m-2"])
-    d.rules.left(f"{NAME}/0", "m-2")
+    d.rules.record_removal(f"{NAME}/0", "m-2")
     for n in range(2, 9):
         d.submit(job(n), 201)
     for n in range(2, 8):
-        d.rules.entered(f"run-{n:06d}/0", Place(f"m-{n}", "g2", "east", False))
-    d.rules.troubles_over()
+        d.rules.check_start(f"run-{n:06d}/0", Place(f"m-{n}", "g2", "east", False))
+    d.rules.mark_faults_ended()
     for at in range(60, 200, 5):
         d.now = float(at)
         for n in range(2, 9):
@@ -248,7 +250,7 @@
         ] == 200
         await trio.sleep(13)
         assert (await w.send("GET", "/keys/a", None, 1))[1]["value"] == 2
-        assert state.late_done == [409]
+        assert state.late_statuses == [409]
         nursery.cancel_scope.cancel()
 
 
@@ -284,7 +286,7 @@
             await w.send("POST", "/multi", {"apply": [{"write": "a", "value": 1}]}, 2)
         await trio.sleep(5)
         assert state.value("a") is None
-        network.let_go("user", "state")
+        network.release("user", "state")
         await trio.sleep(0.1)
         assert state.value("a") == 1
         nursery.cancel_scope.cancel()
@@ -294,7 +296,7 @@
     """A service's machine and its worker."""
     assert await w.submit(0, job(1, shape="daemon", dueS=None, **changes), None) == 201
     assert await w.until(lambda: w.board.running(NAME), 60)
-    machine = next(iter(w.board.where[f"{NAME}/0"]))
+    machine = next(iter(w.board.machines_by_task[f"{NAME}/0"]))
     await trio.sleep(6)
     return machine, w.cloud.machines[machine].worker
 
@@ -311,8 +313,8 @@
             w.controllers["node-0"].leaders["east"].machines[machine],
         )
         run = {
-            "deaf": lambda: w.deafen([machine], 16),
-            "mute": lambda: w.mute([machine], 16),
+            "deaf": lambda: w.block_inbound([machine], 16),
+            "mute": lambda: w.block_outbound([machine], 16),
             "hang": lambda: w.hang([machine], 16),
             "held": lambda: w.hold([(machine, "node-0")], 16),
         }[trouble]
@@ -346,7 +348,9 @@
         epoch = worker.epoch
         await w.hang([machine], 20)
         await trio.sleep(0.3)
-        assert worker.epoch == epoch + 1 and machine not in w.board.where.get(f"{NAME}/0", set())
+        assert worker.epoch == epoch + 1 and machine not in w.board.machines_by_task.get(
+            f"{NAME}/0", set()
+        )
 
 
 async def test_copies_of_reports_arrive_again_and_are_nobodys_news():
@@ -360,7 +364,7 @@
             return answer
 
         w.controllers["node-0"].fleet.handle_heartbeat = handle_heartbeat
-        await w.late_reports(1.0, 20, random.Random(2))
+        await w.replay_heartbeats(1.0, 20, random.Random(2))
         await trio.sleep(45)
         assert (
             seen.count(503) >= 5
@@ -380,14 +384,14 @@
             began = trio.current_time()
             await w.cancel_now(["run-000001", "run-000002"], 6.0)
             assert {
-                w.rules.cases[n].aborted - began < 1.0 for n in ("run-000001", "run-000002")
+                w.rules.jobs[n].cancelled_at - began < 1.0 for n in ("run-000001", "run-000002")
             } == {True}
             assert trio.current_time() - began > 5.9
-            await w.odd_requests(20, random.Random(3))
-        assert w.rules.cases["run-000004"].over and not ended
-        odd = [case for name, case in w.rules.cases.items() if name >= "run-900000"]
-        assert odd and all(case.accepted is None for case in odd)
-        await w.over()
+            await w.send_malformed_requests(20, random.Random(3))
+        assert w.rules.jobs["run-000004"].has_ended and not ended
+        odd = [case for name, case in w.rules.jobs.items() if name >= "run-900000"]
+        assert odd and all(case.accepted_at is None for case in odd)
+        await w.finish()
 
 
 async def test_a_controller_that_runs_is_not_started_a_second_time():
@@ -399,7 +403,7 @@
         w.crash(1)
         running = w.start(1)
         assert w.start(1) is running
-        assert await w.settled()
+        assert await w.until_ready()
         await trio.sleep(20)
         assert w.controllers["node-1"].election.leadership("north").term == 2
 
@@ -409,7 +413,7 @@
     in one instant. The task of a gang was shown as ended and then as waiting for the others.
     """
     async with world(caches_images=True) as w:
-        w.rules.submitted(gang(1, 2))
+        w.rules.record_submission(gang(1, 2))
         assert await w.submit(0, job(2, shape="daemon", dueS=None), None) == 201
         assert await w.until(lambda: w.board.running("run-000002"), 60)
         worker = w.workers()[0]
@@ -480,7 +484,7 @@
 
 async def test_no_task_of_a_gang_gathers_once_one_of_them_has_completed():
     board, key = Board(Desk(shape="group", legs=2).rules), (f"{NAME}/1", 8)
-    board.complete(f"{NAME}/0")
+    board.record_completion(f"{NAME}/0")
     async with trio.open_nursery() as nursery:
         worker = tasks_of_a_worker(board, EAST, nursery)
         worker.execute([{"verb": "run", "leg": key[0], "try": 8}])
--- a/roadbend/fakes/user_behaviour.py
+++ b/roadbend/fakes/user_behaviour.py
@@ -9,7 +9,7 @@
 
 import trio
 
-from roadbend.checkers.observed_jobs import REQUIRED_FIELDS, Case
+from roadbend.checkers.observed_jobs import REQUIRED_FIELDS, ObservedJob
 from roadbend.checkers.protocol_rules import Rules
 from roadbend.fakes.submission import job
 
@@ -40,7 +40,12 @@
         their machines hang that long.
         """
         homes = sorted(
-            {m for name in names for t in self.board.running(name) for m in self.board.where[t]}
+            {
+                m
+                for name in names
+                for t in self.board.running(name)
+                for m in self.board.machines_by_task[t]
+            }
         )[:8]
         async with trio.open_nursery() as nursery:
             if hang_s:
@@ -50,9 +55,9 @@
 
     async def _cancel_after(self, name: str, wait: float) -> None:
         await trio.sleep(wait)
-        await self.withdrawn(name, 240)
+        await self.cancel_job(name, 240)
 
-    async def withdrawn(self, name: str, within: float = 60) -> None:
+    async def cancel_job(self, name: str, within: float = 60) -> None:
         """A user repeats it until it is answered, here and there."""
 
         async def told() -> bool:
@@ -70,7 +75,7 @@
 
         def completed(task: str) -> None:
             name = task.rpartition("/")[0]
-            case = self.rules.cases.get(name)
+            case = self.rules.jobs.get(name)
             if name in names and len(case.completed) >= case.body["legs"]:
                 for at in range(self.count):
                     for method, path, body in (
@@ -82,20 +87,20 @@
                 names.remove(name)
 
         def cancelled(name: str) -> bool:
-            return name in self.rules.cases and self.rules.cases[name].aborted is not None
+            return name in self.rules.jobs and self.rules.jobs[name].cancelled_at is not None
 
-        self.board.ends.append(completed)
+        self.board.completion_listeners.append(completed)
         # One that somebody else cancels never completes.
         await self.until(lambda: all(cancelled(name) for name in names), float("inf"), 0.5)
 
-    async def odd_requests(self, length: float, rng: random.Random) -> None:
+    async def send_malformed_requests(self, length: float, rng: random.Random) -> None:
         """Users repeat submissions of unfinished jobs, also spoilt ones, cancel jobs that are done,
         and send jobs that fit no machine or lack a field.
         """
         number, end = 900_000, trio.current_time() + length
         while trio.current_time() < end:
             number, at = number + 1, rng.randrange(self.count)
-            cases = [case for case in self.rules.cases.values() if case.accepted is not None]
+            cases = [case for case in self.rules.jobs.values() if case.accepted_at is not None]
             old = rng.choice(cases) if cases else None
             kind = rng.randrange(5)
             if kind == 0 and old is not None:
@@ -105,7 +110,7 @@
                 await self.call(
                     at, "POST", "/v1/jobs", {**spoilt, "vcpus": rng.choice((-1, 99.0, "x"))}
                 )
-            elif kind == 2 and old is not None and old.done is not None:
+            elif kind == 2 and old is not None and old.done_at is not None:
                 await self.call(at, "POST", f"/v1/jobs/{old.name}/withdraw", {})
             elif kind == 3:
                 lacking = job(number)
@@ -118,17 +123,17 @@
                 await self.call(at, "POST", "/v1/jobs", job(number, **odd))
             await trio.sleep(rng.uniform(0.1, 1.0))
 
-    async def close_looks(self, length: float, rng: random.Random) -> None:
+    async def poll_on_changes(self, length: float, rng: random.Random) -> None:
         """Users ask every controller within milliseconds after a job was accepted, ended or
         cancelled; some repeat the submission, and some cancel a job that was just accepted.
         """
 
-        def news(case: Case) -> None:
+        def news(case: ObservedJob) -> None:
             for at in range(self.count):
                 self.nursery.start_soon(self._look_closely, at, case.name)
                 if rng.randrange(REPEAT_ONE_IN) == 0:
                     self.nursery.start_soon(self.call, at, "POST", "/v1/jobs", case.body)
-            if not case.over and rng.randrange(CANCEL_ONE_IN) == 0:
+            if not case.has_ended and rng.randrange(CANCEL_ONE_IN) == 0:
                 at = rng.randrange(self.count)
                 path = f"/v1/jobs/{case.name}/withdraw"
                 self.nursery.start_soon(self.call, at, "POST", path, {})
--- a/roadbend/fakes/worker.py
+++ b/roadbend/fakes/worker.py
@@ -54,7 +54,7 @@
         self.settings = settings or WorkerSettings()
         self.lease = Lease()
         # In how many seconds the cloud takes the machine back.
-        self.recall: float | None = None
+        self.reclaim_in_s: float | None = None
         self._changed = trio.Event()
         self._controller = min(controllers) if controllers else ""
         # Set while the machine runs; while it hangs it does nothing at all, and goes on where it
@@ -70,11 +70,11 @@
             changed=self._note_change,
         )
         # Called with every heartbeat that was sent, by those who copy some.
-        self.sent: list[Callable[[FakeWorker, dict[str, Any]], None]] = []
+        self.heartbeat_listeners: list[Callable[[FakeWorker, dict[str, Any]], None]] = []
         # Asked about every direct command: by how many seconds it is held up, None: not at all.
         self.command_delay: Callable[[], float | None] = lambda: None
         # Results of held commands as they arrived: executed or refused.
-        self.late_commands: list[bool] = []
+        self.late_command_results: list[bool] = []
 
     @property
     def machine(self) -> str:
@@ -162,11 +162,11 @@
             "stint": self.lease.epoch,
             "tick": self.lease.sequence,
             "baton": self.lease.token,
-            "recallS": self.recall,
+            "recallS": self.reclaim_in_s,
             "legs": rows,
         }
 
-    def take(self, answer: dict[str, Any], sent: float, epoch: int) -> bool:
+    def handle_answer(self, answer: dict[str, Any], sent: float, epoch: int) -> bool:
         """Take a heartbeat's answer; False if its token or epoch do not count any more.
 
         `sent`, `epoch`: when the heartbeat was sent, in seconds, and in which epoch.
@@ -204,7 +204,7 @@
         """Take a direct command that was held up; it counts if token and epoch still match."""
         await trio.sleep(delay)
         await self._wait_while_hung()
-        self.late_commands.append(self._command(body))
+        self.late_command_results.append(self._command(body))
 
     def _command(self, body: dict[str, Any]) -> bool:
         """Carry out a direct command; False where token or epoch refuse it."""
@@ -249,7 +249,7 @@
         await self._wait_while_hung()
         self._changed = trio.Event()
         sent, epoch, body = trio.current_time(), self.lease.epoch, self.heartbeat()
-        for see in self.sent:
+        for see in self.heartbeat_listeners:
             see(self, body)
         try:
             status, answer = await clients[self._controller].request(
@@ -259,7 +259,7 @@
             status, answer = 0, None
         await self._wait_while_hung()
         if status == HTTPStatus.OK and isinstance(answer, dict):
-            self.take(answer, sent, epoch)
+            self.handle_answer(answer, sent, epoch)
             await trio.sleep(SHORTEST_PAUSE_S)
             with trio.move_on_after(self.settings.heartbeat_s - SHORTEST_PAUSE_S):
                 await self._changed.wait()
--- a/roadbend/fakes/worker_tasks.py
+++ b/roadbend/fakes/worker_tasks.py
@@ -73,7 +73,7 @@
 
     def _start(self, key: tuple[str, int]) -> None:
         assert self.nursery is not None, "orders come to a worker that runs"
-        self._board.order(key[0], self._place.machine)
+        self._board.record_start_order(key[0], self._place.machine)
         task = self.tasks[key] = WorkerTask(*key, hangs=self._hung)
         self.nursery.start_soon(self._live, task)
         self._changed()
@@ -101,9 +101,9 @@
         if task.scope is not None:
             task.scope.cancel()
         if task.began is not None:
-            self._board.leave(task.name, self._place.machine)
+            self._board.record_removal(task.name, self._place.machine)
         if cause == "done":
-            self._board.complete(task.name)
+            self._board.record_completion(task.name)
         task.state, task.cause = "ended", cause
         self._changed()
 
@@ -117,7 +117,7 @@
         """Note that nothing is on the machine any more: it has ended."""
         for task in self.tasks.values():
             if task.began is not None:
-                self._board.leave(task.name, self._place.machine)
+                self._board.record_removal(task.name, self._place.machine)
 
     async def _fetch(self, task: WorkerTask) -> None:
         """Fetch a task's image, unless it is on the machine."""
@@ -142,7 +142,7 @@
                 await self._live_in_gang(gang, task)
                 return
             task.state, task.began = "running", trio.current_time()
-            self._board.enter(task.name, self._place)
+            self._board.record_start(task.name, self._place)
             self._changed()
             if self._settings.broken:
                 await trio.sleep(FAILS_AFTER_S)
@@ -159,7 +159,7 @@
         It begins and ends in the same instant, so that its start is judged like any other.
         """
         task.began = trio.current_time()
-        self._board.enter(task.name, self._place)
+        self._board.record_start(task.name, self._place)
         self.end(task, "done")
 
     async def _live_in_gang(self, gang: Gang, task: WorkerTask) -> None:
@@ -197,7 +197,7 @@
         """Wait until all tasks of a gang are there; False if that takes too long."""
         since = trio.current_time()
         task.state, task.began = "gathering", since
-        self._board.enter(task.name, self._place)
+        self._board.record_start(task.name, self._place)
         gang.members[task.name] = task
         self._changed()
         while gang.began is None:
@@ -218,7 +218,7 @@
         made = gang.base + now - gang.began
         step = self._board.body(task.job)["milestoneS"]
         if step:
-            self._board.save(task.job, made // step * step)
+            self._board.record_checkpoint(task.job, made // step * step)
         if length is not None and made >= length:
             gang.over = True
 
@@ -239,7 +239,7 @@
         if now - gang.stopping >= save_s:
             gang.saved.add(task.name)
         if len(gang.saved) == gang.size:
-            self._board.save(task.job, gang.base + gang.stopping - (gang.began or now))
+            self._board.record_checkpoint(task.job, gang.base + gang.stopping - (gang.began or now))
             task.saved = True
             self.end(task, "stopped")
         elif now - gang.stopping > self._settings.gang_peer_s + save_s:
--- a/roadbend/fakes/world.py
+++ b/roadbend/fakes/world.py
@@ -14,12 +14,12 @@
 from roadbend.controller import Controller
 from roadbend.fakes.board import Board
 from roadbend.fakes.cloud import FakeCloud
+from roadbend.fakes.fault_injection import FaultInjection
 from roadbend.fakes.network import Network
 from roadbend.fakes.platform import MACHINE_TYPE, ZONES, settings_for
 from roadbend.fakes.previous_version import PreviousVersionController
 from roadbend.fakes.stalls import HOST, Stalls
 from roadbend.fakes.state import FakeStateService
-from roadbend.fakes.troubles import Troubles
 from roadbend.fakes.user_behaviour import UserBehaviour
 from roadbend.fakes.worker import FakeWorker
 from roadbend.fakes.worker_tasks import WorkerSettings
@@ -28,7 +28,7 @@
 from roadbend.settings import OperatorSettings
 
 
-class World(Troubles, UserBehaviour):
+class World(FaultInjection, UserBehaviour):
     """A deployment in memory, its judge, and its troubles."""
 
     def __init__(
@@ -71,7 +71,7 @@
     async def _look(self) -> None:
         while True:
             await trio.sleep(0.5)
-            self.rules.look(*self.machines())
+            self.rules.check(*self.machines())
 
     def machines(self) -> tuple[set[str], list]:
         """Machines that hang, and those that work with what is free on them."""
@@ -85,7 +85,7 @@
                 continue
             free = [MACHINE_TYPE["vcpus"], MACHINE_TYPE["gpus"], MACHINE_TYPE["memoryGb"]]
             for task in worker.tasks.values():
-                case = self.rules.cases.get(task.name.rpartition("/")[0])
+                case = self.rules.jobs.get(task.name.rpartition("/")[0])
                 if task.state != "ended" and case is not None:
                     free = [f - n for f, n in zip(free, case.resources, strict=True)]
             if worker.place.machine not in self.broken_machines:
@@ -99,31 +99,33 @@
             if m.worker is not None and m.status == "running"
         ]
 
-    async def over(self, within: float = 240) -> None:
+    async def finish(self, within: float = 240) -> None:
         """All troubles are over: users ask after every job until it is done, and the judge's clocks
         for what is forgotten or left waiting run.
         """
-        self.rules.troubles_over()
+        self.rules.mark_faults_ended()
 
         async def settled() -> bool:
             open_jobs = [
                 case
-                for case in self.rules.cases.values()
-                if case.accepted is not None and not case.over
+                for case in self.rules.jobs.values()
+                if case.accepted_at is not None and not case.has_ended
             ]
             for case in open_jobs:
                 await self.status(int(case.name[4:]) % self.count, case.name)
             return all(
                 self.board.lengths.get(c.name, 0) is None
                 and len(self.board.running(c.name)) == c.body["legs"]
-                for c in self.rules.cases.values()
-                if c.accepted is not None and not c.over
+                for c in self.rules.jobs.values()
+                if c.accepted_at is not None and not c.has_ended
             )
 
         ended = await self.until(settled, within, 5.0)
         assert self.rules.broken == [], self.rules.broken
         open_jobs = [
-            c.name for c in self.rules.cases.values() if c.accepted is not None and not c.over
+            c.name
+            for c in self.rules.jobs.values()
+            if c.accepted_at is not None and not c.has_ended
         ]
         assert ended, open_jobs
 
@@ -197,9 +199,9 @@
     ) -> tuple[int, Any]:
         client, began = Client(self.network.port("user"), f"node-{at}:80"), trio.current_time()
         if path == "/v1/jobs":
-            self.rules.submitted(body)
+            self.rules.record_submission(body)
         elif path.endswith("/withdraw"):
-            self.rules.withdrawing(path)
+            self.rules.record_cancellation_request(path)
         try:
             status, answer = await client.request(
                 method, path, body, within=timedelta(seconds=within)
@@ -208,7 +210,7 @@
             return 0, None
         finally:
             await client.close()
-        self.rules.answered(method, path, body, status, answer, began)
+        self.rules.check_answer(method, path, body, status, answer, began)
         return status, answer
 
     async def submit(self, at: int, body: dict, length: float | None = 20.0) -> int:
@@ -231,7 +233,7 @@
             await trio.sleep(step)
         return False
 
-    def owner(self, partition: str) -> str | None:
+    def leader_of(self, partition: str) -> str | None:
         held = [
             name
             for name, controller in self.controllers.items()
@@ -239,10 +241,10 @@
         ]
         return held[0] if len(held) == 1 else None
 
-    async def settled(self) -> bool:
+    async def until_ready(self) -> bool:
         return await self.until(
             lambda: (
-                all(self.owner(zone) for zone in self.zones)
+                all(self.leader_of(zone) for zone in self.zones)
                 and all(controller.up(clock.now()) for controller in self.controllers.values())
             ),
             30,
@@ -255,7 +257,7 @@
     capacity: int = 8,
     operator: OperatorSettings | None = None,
     previous_version: bool | type[Controller] = False,
-    judge: Callable[[list[str]], None] | None = None,
+    on_broken_rules: Callable[[list[str]], None] | None = None,
     caches_images: bool = False,
     equip: Callable[[Controller], None] | None = None,
     **changes,
@@ -270,11 +272,11 @@
         )
         for at in range(count):
             made.start(at, previous_version)
-        assert await made.settled()
+        assert await made.until_ready()
         yield made
-        made.rules.look(*made.machines())
-        if judge is not None:
-            judge(made.rules.broken)
+        made.rules.check(*made.machines())
+        if on_broken_rules is not None:
+            on_broken_rules(made.rules.broken)
         else:
             assert made.rules.broken == [], made.rules.broken
         nursery.cancel_scope.cancel()
--- a/roadbend/fleet/test_large_fleet.py
+++ b/roadbend/fleet/test_large_fleet.py
@@ -102,5 +102,5 @@
         assert await w.until(lambda: w.status(1, array["id"]), 60)
         for name in names[3:]:
             assert (await w.call(2, "POST", f"/v1/jobs/{name}/withdraw"))[0] == 200
-        await w.over()
+        await w.finish()
         assert await w.until(lambda: len(w.cloud.machines) <= 80, 400, 5.0)
--- a/roadbend/fleet/test_machine_incarnations.py
+++ b/roadbend/fleet/test_machine_incarnations.py
@@ -14,7 +14,7 @@
 
 
 def machine_of(w, task):
-    return next(iter(w.board.where[task]))
+    return next(iter(w.board.machines_by_task[task]))
 
 
 def late_heartbeat(name, **more):
@@ -126,7 +126,7 @@
             lambda: w.board.running("run-000004") and len(w.board.running("run-000009")) == 3, 60
         )
         name = machine_of(w, "run-000004/0")
-        w.network.deaf.add(name)
+        w.network.inbound_blocked.add(name)
         began = trio.current_time()
         await trio.sleep(8)
         assert await w.submit(1, job(5, legs=2, yard="east", **SERVICE), None) == 201
@@ -150,7 +150,7 @@
     async with world() as w:
         assert await w.submit(0, job(6, yard="east", **SERVICE), None) == 201
         assert await w.until(lambda: w.board.running("run-000006"), 60)
-        w.network.deaf.add(machine_of(w, "run-000006/0"))
+        w.network.inbound_blocked.add(machine_of(w, "run-000006/0"))
         w.cloud.refuse_deletion = True
         assert (await w.call(1, "POST", "/v1/jobs/run-000006/withdraw", {}))[0] == 200
         assert await w.until(lambda: not w.board.running("run-000006"), 38)
@@ -161,9 +161,9 @@
         assert await w.submit(0, job(7, yard="east", **SERVICE), None) == 201
         assert await w.until(lambda: w.board.running("run-000007"), 60)
         name = machine_of(w, "run-000007/0")
-        w.network.deaf.add(name)
+        w.network.inbound_blocked.add(name)
         await trio.sleep(8)
-        w.network.deaf.discard(name)
+        w.network.inbound_blocked.discard(name)
         await trio.sleep(40)
         assert name in w.cloud.machines and len(w.board.starts) == 1
 
@@ -189,7 +189,7 @@
     elif choice < 0.66:
         w.state.down = True
         await trio.sleep(rng.uniform(0.2, 6))
-        w.state.restore()
+        w.state.end_outage()
     elif copies:
         await w.call(rng.randrange(3), "POST", "/hello", rng.choice(copies))
 
@@ -208,7 +208,7 @@
             copies = []
             for _ in range(60):
                 await inject_fault(w, rng, copies)
-            assert await w.settled()
+            assert await w.until_ready()
             for n in range(10, 16):
 
                 async def over(n=n):
@@ -216,7 +216,7 @@
 
                 assert await w.until(over, 150, 1.0), (seed, n)
             assert await w.until(lambda: len(w.board.running("run-000020")) == 2, 60)
-            partitions = w.state.starting("r/term/")
+            partitions = w.state.values_with_prefix("r/term/")
             assert (
                 len({keys.term_key(z) for z in ("east", "north", "west")} & partitions.keys()) == 3
             )
--- a/roadbend/fleet/test_process_pauses.py
+++ b/roadbend/fleet/test_process_pauses.py
@@ -37,7 +37,7 @@
         assert asked == []
         # From then on silence counts again, even if this process is constantly delayed.
         for machine in w.cloud.machines:
-            w.network.cut("node-0", machine)
+            w.network.block("node-0", machine)
         for _ in range(8):
             trio.lowlevel.current_clock().jump(2)
             await trio.sleep(1)
@@ -49,7 +49,10 @@
         assert await w.submit(0, job(1, yard="east", shape="daemon", dueS=None), None) == 201
         assert await w.until(lambda: w.board.running("run-000001"), 60)
         controller = w.controllers["node-0"]
-        machine, leader = next(iter(w.board.where["run-000001/0"])), controller.leaders["east"]
+        machine, leader = (
+            next(iter(w.board.machines_by_task["run-000001/0"])),
+            controller.leaders["east"],
+        )
         still = while_leading(controller.context, leader)
         assert still()
         controller.election.lose("east", LossReason.RECORD_MISSING)
--- a/roadbend/intake/test_intake.py
+++ b/roadbend/intake/test_intake.py
@@ -153,7 +153,7 @@
     async with world() as w:
         assert await w.submit(0, job(1, legs=100_000, dueS=None), 5) == 201
         assert await w.until(lambda: len(w.board.starts) > 20, 90)
-        sizes = [len(str(value)) for key, value in w.state.starting("r/").items()]
+        sizes = [len(str(value)) for key, value in w.state.values_with_prefix("r/").items()]
         assert max(sizes) < 4000
         assert (await w.call(1, "POST", "/v1/jobs/run-000001/withdraw", {}))[0] == 200
         assert await w.until(lambda: not w.board.running("run-000001"), 10)
@@ -265,4 +265,4 @@
         await trio.sleep(30)
         late = [row for row in w.board.starts if row[0] > cancelled_at + 10]
         assert late == [] and not any(w.board.running(f"run-{n:06d}") for n in range(70, 90))
-        assert all(use == {} for key, use in w.state.starting("r/team/").items())
+        assert all(use == {} for key, use in w.state.values_with_prefix("r/team/").items())
--- a/roadbend/partitions/test_election.py
+++ b/roadbend/partitions/test_election.py
@@ -53,7 +53,7 @@
             "apply": [{"write": "r/slice/east/run-9", "value": {}}],
         }
         w.crash(0)
-        assert await w.until(lambda: w.owner("east") is not None, 20)
+        assert await w.until(lambda: w.leader_of("east") is not None, 20)
         assert w.state.compare_and_swap(late).status == 409
 
 
@@ -87,9 +87,9 @@
     async with world() as w:
         assert await w.submit(1, job(1, shape="daemon", yard="east", dueS=None), None) == 201
         assert await w.until(lambda: w.board.running("run-000001"), 60)
-        machine = next(iter(w.board.where["run-000001/0"]))
-        w.network.cut(machine, "node-0")
-        assert await w.until(lambda: w.owner("east") in ("node-1", "node-2"), 18)
+        machine = next(iter(w.board.machines_by_task["run-000001/0"]))
+        w.network.block(machine, "node-0")
+        assert await w.until(lambda: w.leader_of("east") in ("node-1", "node-2"), 18)
         await trio.sleep(20)
         assert w.board.running("run-000001") and len(w.board.starts) == 1
 
--- a/roadbend/recovery/test_commands.py
+++ b/roadbend/recovery/test_commands.py
@@ -33,13 +33,13 @@
         assert status == 0 and not any(json.loads(out.out).values())
         for at in range(3):
             w.crash(at)
-        (key,) = w.state.starting("r/slice/")
+        (key,) = w.state.values_with_prefix("r/slice/")
         (worker,) = {x for x in w.workers() if x.tasks}
         (first, *_) = worker.tasks.values()
         orders = len(w.board.received)
         # A record without its task, and a task without its record.
         del worker.tasks[(first.name, first.attempt)]
-        w.board.leave(first.name, worker.machine)
+        w.board.record_removal(first.name, worker.machine)
         first.scope.cancel()
         status, out = await ask(w, capsys, "plan")
         found = [row for rows in json.loads(out.out).values() for row in rows]
@@ -66,7 +66,7 @@
     async with world() as w:
         assert await w.submit(0, job(1, legs=1, shape="daemon", dueS=None), None) == 201
         assert await w.until(lambda: len(w.board.running("run-000001")) == 1, 60)
-        for key in w.state.starting("r/slice/"):
+        for key in w.state.values_with_prefix("r/slice/"):
             w.state.keys[key][0]["r"] = []
         for command, word in (
             ("status", "nothing recorded"),
@@ -81,7 +81,7 @@
 @pytest.mark.parametrize("host, word", [("state", "state service"), ("cloud", "cloud")])
 async def test_what_cannot_be_read_is_named_and_is_status_1(capsys, host, word):
     async with world() as w:
-        w.network.cut("operator", host)
+        w.network.block("operator", host)
         arguments = Namespace(command="differences", json=False)
         port = w.network.port("operator")
         assert await commands.run(settings_for(0, 3), port, arguments) == 1
--- a/roadbend/recovery/test_recovery.py
+++ b/roadbend/recovery/test_recovery.py
@@ -58,7 +58,7 @@
     """Have machines reach no controller for a while."""
     controllers = [f"node-{at}" for at in range(3)]
     pairs = [(machine, controller) for machine in machines for controller in controllers]
-    w.nursery.start_soon(w.cut_pairs, pairs, length)
+    w.nursery.start_soon(w.block_pairs, pairs, length)
 
 
 def drop(w, *prefixes):
@@ -87,7 +87,7 @@
 async def test_an_unrecorded_attempt_is_adopted_where_it_runs():
     """Without holding it, it is stopped at the first report, and begins again elsewhere."""
     async with running(job(1, legs=3, **SERVICE), job(2, legs=2, **SERVICE)) as w:
-        before = {task: set(homes) for task, homes in w.board.where.items()}
+        before = {task: set(homes) for task, homes in w.board.machines_by_task.items()}
         starts = len(w.board.starts)
         stop_all(w)
         drop(w, "r/slice/")
@@ -95,7 +95,7 @@
         assert await w.until(lambda: len(recorded_attempts(w.state)) == 5, 30)
         await trio.sleep(10)
         assert len(w.board.starts) == starts
-        assert {task: set(homes) for task, homes in w.board.where.items()} == before
+        assert {task: set(homes) for task, homes in w.board.machines_by_task.items()} == before
 
 
 async def test_a_task_that_completed_unrecorded_is_recorded_as_done():
@@ -166,7 +166,7 @@
         drop(w, "r/slice/", "r/job/run-000001")
         start_all(w)
         assert await w.until(lambda: "r/unrecorded/run-000001" in w.state.keys, 30)
-        (machine,) = w.board.where["run-000001/0"]
+        (machine,) = w.board.machines_by_task["run-000001/0"]
         w.cloud.reboot(machine)
         assert await w.until(lambda: "r/unrecorded/run-000001" not in w.state.keys, 10)
         assert await w.submit(0, job(1, legs=1, **SERVICE), None) == 201
@@ -179,7 +179,7 @@
         w.state.compare_and_swap(
             {"apply": [{"write": "fin/run-000001", "value": {"s": "aborted", "n": 0}}]}
         )
-        w.rules.cases["run-000001"].asked = trio.current_time()
+        w.rules.jobs["run-000001"].cancel_requested_at = trio.current_time()
         start_all(w)
         assert await w.until(lambda: not w.board.running("run-000001"), 10)
 
@@ -242,10 +242,10 @@
         w.cloud.boot_seconds = 0.5
         stop_all(w)
         drop(w, "r/slice/")
-        cut(w, {m for homes in w.board.where.values() for m in homes}, 6.0)
+        cut(w, {m for homes in w.board.machines_by_task.values() for m in homes}, 6.0)
         start_all(w)
         starts = len(w.board.starts)
-        assert await w.settled()
+        assert await w.until_ready()
         assert await w.submit(0, job(2, legs=1, **SERVICE), None) == 201
         assert await w.until(lambda: w.board.running("run-000002"), 5)
         await trio.sleep(15)
@@ -259,7 +259,7 @@
         w.cloud.boot_seconds = 0.5
         stop_all(w)
         drop(w, "r/slice/")
-        cut(w, [sorted(w.board.where["run-000001/1"])[0]], 12.5)
+        cut(w, [sorted(w.board.machines_by_task["run-000001/1"])[0]], 12.5)
         starts = len(w.board.starts)
         start_all(w)
         await trio.sleep(30)
@@ -271,7 +271,7 @@
     """After it an attempt was adopted though a machine that was not heard might have it too."""
     async with running(job(1, legs=2, yard="east", **SERVICE)) as w:
         stop_all(w)
-        cut(w, {m for homes in w.board.where.values() for m in homes}, 30.0)
+        cut(w, {m for homes in w.board.machines_by_task.values() for m in homes}, 30.0)
         start_all(w)
         await trio.sleep(11)
         partition = w.controllers["node-0"].leaders["east"].recovery
--- a/roadbend/rehearsal/actions/controllers.py
+++ b/roadbend/rehearsal/actions/controllers.py
@@ -22,7 +22,7 @@
         """Cut the network between each worker and each controller."""
         for worker in stage.world.workers():
             for controller in stage.controller_names():
-                stage.world.network.cut(worker.machine, controller)
+                stage.world.network.block(worker.machine, controller)
         stage.note("workers cut off from the controllers")
 
 
@@ -36,7 +36,7 @@
             stage.world.crash(at)
         for worker in stage.world.workers():
             for controller in stage.controller_names():
-                stage.world.network.heal(worker.machine, controller)
+                stage.world.network.unblock(worker.machine, controller)
         stage.note("all controllers ended")
 
 
--- a/roadbend/rehearsal/actions/faults.py
+++ b/roadbend/rehearsal/actions/faults.py
@@ -87,7 +87,7 @@
         controllers = stage.controller_names()
         pairs = [(machine, controller) for machine in drawn for controller in controllers]
         length = self.length.total_seconds()
-        stage.world.nursery.start_soon(stage.world.cut_pairs, pairs, length)
+        stage.world.nursery.start_soon(stage.world.block_pairs, pairs, length)
         stage.note(f"machines cut off for {length:g} s: {', '.join(drawn)}")
 
 
--- a/roadbend/rehearsal/actions/jobs.py
+++ b/roadbend/rehearsal/actions/jobs.py
@@ -90,7 +90,7 @@
     begun: dict[str, set[str]] = {}
     for _, task, _ in stage.world.board.starts:
         begun.setdefault(task.rpartition("/")[0], set()).add(task)
-    cases = stage.world.rules.cases
+    cases = stage.world.rules.jobs
     return all(
         len(begun.get(job, ())) == messages.task_count(cases[job].body)
         for job in (*stage.services, *stage.arrays, *stage.gangs)
@@ -146,7 +146,7 @@
         jobs = stage.services[1:] + stage.arrays
         drawn = stage.rng.sample(jobs, min(self.count, len(jobs)))
         for job in drawn:
-            await stage.world.withdrawn(job, CANCELLED_WITHIN)
+            await stage.world.cancel_job(job, CANCELLED_WITHIN)
         for kind in (stage.services, stage.arrays):
             kind[:] = [job for job in kind if job not in drawn]
         stage.note(f"cancelled: {', '.join(drawn)}")
--- a/roadbend/rehearsal/measurement.py
+++ b/roadbend/rehearsal/measurement.py
@@ -84,10 +84,10 @@
         self.before = true_differences(world.state, world.workers())
         self._received = len(world.board.received)
         self._state_requests, self._revision = world.state.requests, world.state.revision
-        self._cloud_requests, self._rented = world.cloud.requests, len(world.cloud.names)
+        self._cloud_requests, self._rented = world.cloud.requests, len(world.cloud.creation_ids)
         self._starts = len(world.board.starts)
         recorded_term = max(
-            (value["n"] for value in world.state.starting("r/term/").values()), default=0
+            (value["n"] for value in world.state.values_with_prefix("r/term/").values()), default=0
         )
         highest = max((placed.attempt for placed in self._all_attempts()), default=0)
         self._last_term = max(recorded_term, highest >> ATTEMPT_BITS)
@@ -109,7 +109,7 @@
         What becomes of their tasks is no fault of the restart.
         """
         names = set(machines)
-        cases = self.world.rules.cases
+        cases = self.world.rules.jobs
         rows = self._kept | self.before.silent | self.before.missing
         touched = {row.job for row in rows if row.machine in names}
         # A gang that lost one of its tasks is to be stopped whole.
@@ -163,7 +163,7 @@
             state_requests=world.state.requests - self._state_requests,
             state_changes=max(0, world.state.revision - self._revision),
             cloud_requests=world.cloud.requests - self._cloud_requests,
-            rented=len(world.cloud.names) - self._rented,
+            rented=len(world.cloud.creation_ids) - self._rented,
         )
 
     @staticmethod
@@ -173,8 +173,8 @@
         The first task of a gang that is done ends its job, and the others are told to stop,
         though they end by themselves. That is not due to a restart.
         """
-        case = rules.cases[_job_of(order.task)]
-        return order.verb == KILL and is_gang(case.body) and case.complete
+        case = rules.jobs[_job_of(order.task)]
+        return order.verb == KILL and is_gang(case.body) and case.is_complete
 
     def _needless_stops(self, received: list[ReceivedOrder], rules: Rules) -> list[ReceivedOrder]:
         """Return stops that nothing asked for.
@@ -188,17 +188,17 @@
             if order.verb == KILL
             and order.effective
             and Placed(order.task, order.attempt, order.machine) in self._kept
-            and rules.cases[_job_of(order.task)].asked is None
+            and rules.jobs[_job_of(order.task)].cancel_requested_at is None
             and not self._made_room(order, rules)
         ]
 
     def _made_room(self, stop: ReceivedOrder, rules: Rules) -> bool:
         """Whether a task of a higher priority began on the machine right after the stop."""
-        stopped = priority(rules.cases[_job_of(stop.task)].body)
+        stopped = priority(rules.jobs[_job_of(stop.task)].body)
         return any(
             machine == stop.machine
             and 0 <= at - stop.at < MAKES_ROOM_FOR
-            and priority(rules.cases[_job_of(task)].body) > stopped
+            and priority(rules.jobs[_job_of(task)].body) > stopped
             for at, task, machine in self.world.board.starts[self._starts :]
         )
 
@@ -213,7 +213,7 @@
         again = []
         for _, task, machine in self.world.board.starts[self._starts :]:
             row = running.get(task)
-            if row is not None and rules.cases[row.job].asked is None:
+            if row is not None and rules.jobs[row.job].cancel_requested_at is None:
                 again.append(f"{task} from {row.machine} to {machine}")
         return again
 
--- a/roadbend/rehearsal/real_processes.py
+++ b/roadbend/rehearsal/real_processes.py
@@ -229,7 +229,7 @@
 async def _open_jobs(fakes: Loopback) -> list[str]:
     """Ask after every job, and return those that do not run whole."""
     open_jobs = []
-    for number, case in enumerate(fakes.rules.cases.values()):
+    for number, case in enumerate(fakes.rules.jobs.values()):
         await fakes.call(number % CONTROLLERS, "GET", f"/v1/jobs/{case.name}")
         if len(fakes.board.running(case.name)) != messages.task_count(case.body):
             open_jobs.append(case.name)
--- a/roadbend/rehearsal/runner.py
+++ b/roadbend/rehearsal/runner.py
@@ -51,7 +51,7 @@
     broken: list[str] = []
     async with world(
         capacity=scenario.workers // 3 + max(SPARE_LEAST, scenario.workers // SPARE_SHARE),
-        judge=broken.extend,
+        on_broken_rules=broken.extend,
         caches_images=True,
         previous_version=scenario.previous_version,
         equip=equip if scenario.recovery else None,
@@ -92,13 +92,13 @@
 
     Return those that at the end neither run whole nor have their final answer.
     """
-    deployment.rules.troubles_over()
+    deployment.rules.mark_faults_ended()
     end = trio.current_time() + END_WITHIN.total_seconds()
     while trio.current_time() < end:
         open_jobs = [
             case
-            for case in deployment.rules.cases.values()
-            if case.accepted is not None and not case.over
+            for case in deployment.rules.jobs.values()
+            if case.accepted_at is not None and not case.has_ended
         ]
         for number, case in enumerate(open_jobs):
             await deployment.status(number % deployment.count, case.name)
@@ -110,8 +110,8 @@
 
 
 def _is_settled(deployment: World, job: str) -> bool:
-    case = deployment.rules.cases[job]
-    if case.over:
+    case = deployment.rules.jobs[job]
+    if case.has_ended:
         return True
     runs_on = deployment.board.lengths.get(job, 0) is None
     return runs_on and len(deployment.board.running(job)) == task_count(case.body)
--- a/roadbend/store/test_store.py
+++ b/roadbend/store/test_store.py
@@ -79,12 +79,12 @@
 async def test_a_transaction_whose_answer_is_lost_is_carried_out_once():
     async with trio.open_nursery() as nursery:
         harness = Harness(nursery)
-        harness.service.deaf.add("node")
+        harness.service.unanswered_hosts.add("node")
         rows = [put("r/job/x", {"n": 1})]
 
         async def heal():
             await trio.sleep(2)
-            harness.service.deaf.clear()
+            harness.service.unanswered_hosts.clear()
 
         nursery.start_soon(heal)
         with pytest.raises(ConflictError):
--- a/roadbend/test_nonsense.py
+++ b/roadbend/test_nonsense.py
@@ -93,8 +93,8 @@
             assert (await w.call(0, "POST", "/hello", body))[0] in (200, 503)
             await trio.sleep(0.05)
         assert all(w.board.running(name) for name in names[:2])
-        await w.withdrawn(names[0])
-        await w.over()
+        await w.cancel_job(names[0])
+        await w.finish()
 
 
 @pytest.mark.parametrize("who", ["state", "cloud"])
@@ -119,7 +119,7 @@
             w.board.lengths[f"run-{n:06d}"] = 5.0
             await trio.sleep(4)
         service.handle = real
-        assert await w.settled() and len(w.controllers) == 3
+        assert await w.until_ready() and len(w.controllers) == 3
         assert await w.submit(0, job(20), 5.0) == 201
         assert await w.until(lambda: is_done(w), 120)
 
@@ -147,6 +147,6 @@
             await stream.send_all(frames.pack(kind, 1, rng.randbytes(rng.randrange(200))))
             await trio.sleep(0.1)
             await stream.aclose()
-        assert await w.settled()
+        assert await w.until_ready()
         assert await w.submit(2, job(1), 5.0) == 201
-        await w.over()
+        await w.finish()
--- a/tests/compatibility/adapter.py
+++ b/tests/compatibility/adapter.py
@@ -723,7 +723,7 @@
         if down:
             self._world.state.down = True
         else:
-            self._world.state.restore()
+            self._world.state.end_outage()
 
     def runs_for(self, name: str, seconds: float | None) -> None:
         """How long each task of a job runs; None: until it is stopped."""
@@ -746,7 +746,7 @@
         """All controllers begin anew."""
         for at in range(self._world.count):
             self._world.start(at)
-        assert await self._world.settled()
+        assert await self._world.until_ready()
 
     def lose_records(self, *prefixes: str) -> None:
         """The state service loses records."""
@@ -764,7 +764,7 @@
         recovery_service.install(node, recovery_settings.RecoverySettings())
 
     async with world(
-        count=controllers, equip=equip if recovery else None, judge=lambda broken: None
+        count=controllers, equip=equip if recovery else None, on_broken_rules=lambda broken: None
     ) as made:
         yield Deployment(made)
 
--- a/tests/scenarios/test_combined_failures.py
+++ b/tests/scenarios/test_combined_failures.py
@@ -21,7 +21,7 @@
     them."""
     for machine in machines:
         for host in ("node-0", "node-1", "node-2"):
-            (w.network.cut if cut else w.network.heal)(host, machine)
+            (w.network.block if cut else w.network.unblock)(host, machine)
 
 
 async def withdrawn(w: World, name: str) -> None:
@@ -72,7 +72,7 @@
         assert await w.until(lambda: len(w.board.running("run-000001")) == 24, 90)
         assert await done(w, "run-000002")
         await trio.sleep(30)
-        used = {m for homes in w.board.where.values() for m in homes}
+        used = {m for homes in w.board.machines_by_task.values() for m in homes}
         assert used == set(w.cloud.machines) or len(set(w.cloud.machines) - used) <= 3
 
 
@@ -110,7 +110,7 @@
             for at in range(3):
                 w.start(at)
             await trio.sleep(4)
-            w.state.restore()
+            w.state.end_outage()
             await trio.sleep(15)
             for at in range(3):
                 w.crash(at)
@@ -118,7 +118,7 @@
                 w.start(at)
                 await trio.sleep(12)
             over.set()
-        assert await w.settled()
+        assert await w.until_ready()
         assert len(accepted) > 20
         for name in accepted:
             assert await done(w, name), name
@@ -152,7 +152,7 @@
     async def outage(self) -> None:
         self.w.state.down = True
         await self._for(3, 20)
-        self.w.state.restore()
+        self.w.state.end_outage()
 
     async def refused(self) -> None:
         host = f"node-{self.rng.randrange(3)}"
@@ -163,10 +163,10 @@
     async def peers_refuse(self) -> None:
         pairs = [("node-0", "node-1"), ("node-0", "node-2"), ("node-1", "node-2")]
         for pair in pairs:
-            self.w.network.cut(*pair)
+            self.w.network.block(*pair)
         await self._for(5, 30)
         for pair in pairs:
-            self.w.network.heal(*pair)
+            self.w.network.unblock(*pair)
 
     async def zone_cut(self) -> None:
         at = self.rng.randrange(3)
@@ -176,10 +176,10 @@
             (m, o) for m in inside for o in others
         ]
         for pair in pairs:
-            self.w.network.cut(*pair)
+            self.w.network.block(*pair)
         await self._for(10, 40)
         for pair in pairs:
-            self.w.network.heal(*pair)
+            self.w.network.unblock(*pair)
 
     async def hang(self) -> None:
         machines = self.rng.sample(sorted(self.w.cloud.machines), len(self.w.cloud.machines) // 2)
@@ -233,7 +233,7 @@
                 for kind in rng.sample(KINDS, 2):
                     nursery.start_soon(getattr(troubles, kind))
                     await trio.sleep(rng.uniform(0, 12))
-        assert await w.settled()
+        assert await w.until_ready()
         await withdrawn(w, "run-000020")
         assert await w.until(lambda: not w.board.running("run-000020"), 38)
         for name in names:
@@ -243,4 +243,4 @@
         assert (await w.call(0, "POST", "/v1/jobs", job(20, legs=4, **SERVICE)))[1][
             "status"
         ] == "aborted"
-        assert keys.job_end_key("run-000020") in w.state.starting("fin/")
+        assert keys.job_end_key("run-000020") in w.state.values_with_prefix("fin/")
--- a/tests/scenarios/test_confirmed_cancellations.py
+++ b/tests/scenarios/test_confirmed_cancellations.py
@@ -23,7 +23,7 @@
 from roadbend.controller.attempts_on_machines import AttemptsOnMachines
 from roadbend.controller.cancellation_confirmation import max_confirmation_wait
 from roadbend.fakes.previous_version import Version090Controller
-from roadbend.fakes.scenario import TEAMS, name
+from roadbend.fakes.scenario import TEAMS, job_id
 from roadbend.fakes.submission import gang, job
 from roadbend.fakes.world import World, world
 from roadbend.recovery.service import install
@@ -66,7 +66,7 @@
 
 async def delay_commands(w: World, machine: str) -> None:
     """Direct commands arrive 2 to 16 s late, while the machine is alive."""
-    await w.late_commands(1.0, 2.0, random.Random(f"late {machine}"))
+    await w.delay_commands(1.0, 2.0, random.Random(f"late {machine}"))
 
 
 @pytest.mark.parametrize("site", ["visa", "pet"])
@@ -126,9 +126,9 @@
         await next_heartbeat(w, machine)
         sent_at = trio.current_time() - 0.05
         await trio.sleep(0.5)
-        w.nursery.start_soon(w.withdrawn, CANCELLED, 60)
+        w.nursery.start_soon(w.cancel_job, CANCELLED, 60)
         await trio.sleep(sent_at + ANSWER_DROPPED_S - 0.3 - trio.current_time())
-        w.network.let_go("node-0", machine)
+        w.network.release("node-0", machine)
         await over(w)
 
 
@@ -137,7 +137,7 @@
 
 
 async def submit_again(w: World, at: int) -> None:
-    await w.call(at, "POST", "/v1/jobs", w.rules.cases[CANCELLED].body)
+    await w.call(at, "POST", "/v1/jobs", w.rules.jobs[CANCELLED].body)
 
 
 async def withdraw_again(w: World, at: int) -> None:
@@ -182,11 +182,11 @@
 
 async def the_leader_is_cut_off(w: World) -> None:
     """It loses the state store and the other controllers, not its workers."""
-    await w.cut_controller(0, 12.0)
+    await w.isolate_controller(0, 12.0)
 
 
 async def the_leader_is_cut_off_from_its_peers(w: World) -> None:
-    await w.cut_pairs([("node-0", "node-1"), ("node-0", "node-2")], 6.0)
+    await w.block_pairs([("node-0", "node-1"), ("node-0", "node-2")], 6.0)
 
 
 async def the_leader_gives_the_partition_up(w: World) -> None:
@@ -230,7 +230,7 @@
         status, answer = await w.call(at, "POST", f"/v1/jobs/{KEPT}/withdraw", {})
         assert (status, answer["status"]) == (200, "aborted")
         assert trio.current_time() - began < AT_ONCE_S
-        await w.over()
+        await w.finish()
 
 
 @pytest.mark.parametrize("site", ["visa", "pet"])
@@ -244,7 +244,7 @@
         w.cloud.refuse_deletion = True
         others = ("state", "cloud", "node-1", "node-2")
         pairs = [("node-0", other) for other in others] + [(machine, f"node-{n}") for n in range(3)]
-        w.nursery.start_soon(w.cut_pairs, pairs, 90.0)
+        w.nursery.start_soon(w.block_pairs, pairs, 90.0)
         await cancellation_recorded(w, 1)
         settings = w.controllers["node-1"].settings
         bound = max_confirmation_wait(settings, w.operator).total_seconds()
@@ -270,7 +270,7 @@
         machine = await machine_of_kept_service(w)
         w.crash(1)
         w.start(1)
-        assert await w.settled()
+        assert await w.until_ready()
         await hold_up_start(w, machine)
         await start_recorded(w, job(1, **SERVICE), None)
         began = trio.current_time()
@@ -278,7 +278,7 @@
             await w.call(1, "POST", f"/v1/jobs/{CANCELLED}/withdraw", {})
             await trio.sleep(0.2)
         await over(w)
-        assert w.rules.cases[CANCELLED].aborted - began > START_DELAY_S
+        assert w.rules.jobs[CANCELLED].cancelled_at - began > START_DELAY_S
         # What runs and meets no trouble takes as long as its tasks take to end.
         began = trio.current_time()
         assert (await w.call(1, "POST", f"/v1/jobs/{KEPT}/withdraw", {}))[0] == 200
@@ -293,13 +293,13 @@
             w.crash(at)
             await trio.sleep(0.5)
             w.start(at)
-            assert await w.settled()
+            assert await w.until_ready()
         # Its machine has shown the token of the leader that is new.
         await trio.sleep(8)
         assert (await w.call(1, "POST", f"/v1/jobs/{KEPT}/withdraw", {}))[0] == 200
         for at in range(3):
             assert await w.status(at, KEPT) == "aborted"
-        await w.over()
+        await w.finish()
 
 
 async def test_with_recovery_switched_on_a_held_start_is_waited_for_too():
@@ -333,8 +333,8 @@
     async with deployment() as w:
         machine = await machine_of_kept_service(w)
         w.crash(0)
-        assert await w.until(lambda: w.owner("east"), 30)
-        node = w.controllers[w.owner("east")]
+        assert await w.until(lambda: w.leader_of("east"), 30)
+        node = w.controllers[w.leader_of("east")]
         assert await w.until(lambda: machine in node.leaders["east"].machines, 20, 0.05)
         await trio.sleep(2)
         assert not node.leaders["east"].starts_in_doubt.has_any(KEPT, clock.now())
@@ -342,8 +342,8 @@
         assert (await w.call(1, "POST", f"/v1/jobs/{KEPT}/withdraw", {}))[0] == 200
         assert trio.current_time() - began < AT_ONCE_S
         w.start(0)
-        assert await w.settled()
-        await w.over()
+        assert await w.until_ready()
+        await w.finish()
 
 
 async def test_what_was_sent_before_a_machine_restarted_is_in_doubt_until_it_shows_the_new_token():
@@ -360,7 +360,7 @@
         assert await w.until(lambda: known.confirmed, 10, 0.01)
         starts = leader.starts_in_doubt
         assert await w.until(lambda: not starts.has_any(KEPT, clock.now()), 10, 0.05)
-        await w.over()
+        await w.finish()
 
 
 async def test_a_wide_job_is_confirmed_by_its_machines_while_its_leader_is_gone():
@@ -371,7 +371,9 @@
         wide = job(1, legs=70, vcpus=24.0, gpus=0.0, yard="east", shape="daemon", dueS=None)
         assert await w.submit(1, wide, None) == 201
         assert await w.until(lambda: len(w.board.running(CANCELLED)) == 70, 120)
-        assert len({m for t in w.board.running(CANCELLED) for m in w.board.where[t]}) == 70
+        assert (
+            len({m for t in w.board.running(CANCELLED) for m in w.board.machines_by_task[t]}) == 70
+        )
         await trio.sleep(15)
         w.crash(0)
         assert (await w.call(1, "POST", f"/v1/jobs/{CANCELLED}/withdraw", {}))[0] == 200
@@ -393,9 +395,9 @@
             {0: Attempt(attempts[0].number, "m-999999")},
         ):
             assert not await machines.are_all_held(KEPT, lacking)
-        w.network.cut("node-1", machine)
+        w.network.block("node-1", machine)
         assert not await machines.are_all_held(KEPT, attempts)
-        w.network.heal("node-1", machine)
+        w.network.unblock("node-1", machine)
 
 
 async def test_a_task_cut_off_with_its_leader_is_confirmed_by_one_call_and_gone_in_time():
@@ -405,17 +407,17 @@
     async with world() as w:
         assert await w.submit(1, job(1, shape="daemon", yard="east", dueS=None), None) == 201
         assert await w.until(lambda: w.board.running(CANCELLED), 60)
-        machine = next(iter(w.board.where[f"{CANCELLED}/0"]))
+        machine = next(iter(w.board.machines_by_task[f"{CANCELLED}/0"]))
         for other in ("state", "cloud", "node-1", "node-2"):
-            w.network.cut("node-0", other)
+            w.network.block("node-0", other)
         for other in ("node-1", "node-2"):
-            w.network.cut(machine, other)
+            w.network.block(machine, other)
         await trio.sleep(1)
         w.cloud.refuse_deletion = True
         assert (await w.call(1, "POST", f"/v1/jobs/{CANCELLED}/withdraw", {}))[0] == 200
         began = trio.current_time()
         assert await w.until(lambda: not w.board.running(CANCELLED), 38)
-        await w.withdrawn(CANCELLED, began + 45 - trio.current_time())
+        await w.cancel_job(CANCELLED, began + 45 - trio.current_time())
 
 
 @pytest.mark.parametrize("version", [Version090Controller, Controller])
@@ -434,16 +436,16 @@
         for n in range(30, 42):
             body = job(n, legs=1, yard="east", dueS=5.0, loaners=False, vcpus=2.0)
             assert await w.submit(1, body, 60.0) == 201
-            slice_key = f"r/slice/east/{name(n)}/0"
-            assert await w.until(lambda key=slice_key: w.state.starting(key), 3, 0.01)
+            slice_key = f"r/slice/east/{job_id(n)}/0"
+            assert await w.until(lambda key=slice_key: w.state.values_with_prefix(key), 3, 0.01)
             cut_off = bool(n % 2)
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(w.refuse, 0, 3.0)
                 if cut_off:
                     links = [("node-0", "node-1"), ("node-0", "node-2")]
-                    nursery.start_soon(w.cut_pairs, links, 3.0)
-                status = (await w.call(1, "POST", f"/v1/jobs/{name(n)}/withdraw", {}))[0]
+                    nursery.start_soon(w.block_pairs, links, 3.0)
+                status = (await w.call(1, "POST", f"/v1/jobs/{job_id(n)}/withdraw", {}))[0]
                 assert status == 200 or (status == 503 and cut_off and version is Controller)
-            await w.withdrawn(name(n), 10)
+            await w.cancel_job(job_id(n), 10)
             await trio.sleep(2 + n * 0.37 % 2.5)
-        await w.over()
+        await w.finish()
--- a/tests/scenarios/test_deployment.py
+++ b/tests/scenarios/test_deployment.py
@@ -26,7 +26,10 @@
         assert len({task for _, task, _ in w.board.starts}) == 5
         # Its usage is given back, and nothing of it is left among the live records.
         assert await w.until(lambda: w.state.value(keys.team_key("red")) == {}, 20)
-        assert w.state.starting("r/job/") == {} and w.state.starting("r/slice/") == {}
+        assert (
+            w.state.values_with_prefix("r/job/") == {}
+            and w.state.values_with_prefix("r/slice/") == {}
+        )
 
 
 async def is_(w, at, number, status):
@@ -43,7 +46,7 @@
         )
         assert await w.until(lambda: len(w.board.running("run-000002")) == 3, 60)
         zones = [
-            w.cloud.machines[next(iter(w.board.where[t]))].zone
+            w.cloud.machines[next(iter(w.board.machines_by_task[t]))].zone
             for t in w.board.running("run-000002")
         ]
         assert max(zones.count(z) for z in zones) <= 2
@@ -70,33 +73,36 @@
         assert await w.until(
             lambda: len(w.board.running("run-000004")) == 4 and w.board.running("run-000005"), 60
         )
-        terms = {partition: row["n"] for partition, row in w.state.starting("r/term/").items()}
+        terms = {
+            partition: row["n"] for partition, row in w.state.values_with_prefix("r/term/").items()
+        }
         for at in range(3):
             w.crash(at)
         await trio.sleep(5)
         for at in range(3):
             w.start(at)
-        assert await w.settled()
+        assert await w.until_ready()
         assert await w.until(lambda: is_(w, 2, 4, "done"), 90)
         assert w.board.running("run-000005") == ["run-000005/0"]
         # Nothing was started anew, and every partition is under a new term.
         assert len(w.board.starts) == 5
         assert all(
-            row["n"] > terms[partition] for partition, row in w.state.starting("r/term/").items()
+            row["n"] > terms[partition]
+            for partition, row in w.state.values_with_prefix("r/term/").items()
         )
 
 
 async def test_a_dead_owners_part_is_taken_over_and_handed_back():
     async with world() as w:
-        assert w.owner("east") == "node-0"
+        assert w.leader_of("east") == "node-0"
         assert await w.submit(1, job(6, shape="daemon", yard="east", dueS=None), None) == 201
         assert await w.until(lambda: w.board.running("run-000006"), 60)
         w.crash(0)
-        assert await w.until(lambda: w.owner("east") in ("node-1", "node-2"), 20)
+        assert await w.until(lambda: w.leader_of("east") in ("node-1", "node-2"), 20)
         await trio.sleep(30)
         assert w.board.running("run-000006") and len(w.board.starts) == 1
         w.start(0)
-        assert await w.until(lambda: w.owner("east") == "node-0", 60)
+        assert await w.until(lambda: w.leader_of("east") == "node-0", 60)
         await trio.sleep(20)
         assert w.board.running("run-000006") and len(w.board.starts) == 1
 
@@ -105,7 +111,7 @@
     async with world() as w:
         assert await w.submit(0, job(7, shape="daemon", dueS=None), None) == 201
         assert await w.until(lambda: w.board.running("run-000007"), 60)
-        machine = next(iter(w.board.where["run-000007/0"]))
+        machine = next(iter(w.board.machines_by_task["run-000007/0"]))
         w.cloud.kill(machine)
         assert await w.until(lambda: not w.board.running("run-000007"), 1)
         assert await w.until(lambda: w.board.running("run-000007"), 60)
@@ -116,12 +122,12 @@
     async with world() as w:
         assert await w.submit(0, job(8, shape="daemon", dueS=None), None) == 201
         assert await w.until(lambda: w.board.running("run-000008"), 60)
-        machine = next(iter(w.board.where["run-000008/0"]))
+        machine = next(iter(w.board.machines_by_task["run-000008/0"]))
         w.cloud.refuse_deletion = True
         # The machine is cut off but runs on until its lease ends; the board would see a second
         # start.
         for host in ("node-0", "node-1", "node-2"):
-            w.network.cut(host, machine)
+            w.network.block(host, machine)
         cut = trio.current_time()
         assert await w.until(
             lambda: w.board.running("run-000008") and w.board.starts[-1][0] > cut, 90
@@ -143,7 +149,7 @@
             began = trio.current_time()
             assert (await w.call(at, "GET", "/v1/jobs/run-000009"))[0] == 503
             assert trio.current_time() - began < 0.5
-        w.state.restore()
+        w.state.end_outage()
         assert await w.until(lambda: is_(w, 0, 9, "running"), 20)
         assert len(w.board.starts) == 1
 
@@ -154,7 +160,7 @@
         assert await w.until(lambda: w.board.running("run-000010"), 60)
         w.state.refused.add("node-0")
         assert await w.until(lambda: down(w, 0), 10)
-        assert await w.until(lambda: w.owner("east") in ("node-1", "node-2"), 30)
+        assert await w.until(lambda: w.leader_of("east") in ("node-1", "node-2"), 30)
         await trio.sleep(30)
         assert w.board.running("run-000010") and len(w.board.starts) == 1
         assert (await w.call(1, "POST", "/v1/jobs/run-000010/withdraw", {}))[0] == 200
@@ -186,12 +192,12 @@
     async with world() as w:
         assert await w.submit(1, job(11, shape="daemon", yard="east", dueS=None), None) == 201
         assert await w.until(lambda: w.board.running("run-000011"), 60)
-        machine = next(iter(w.board.where["run-000011/0"]))
+        machine = next(iter(w.board.machines_by_task["run-000011/0"]))
         for other in ("state", "cloud", "node-1", "node-2"):
-            w.network.cut("node-0", other)
+            w.network.block("node-0", other)
         for other in ("node-1", "node-2"):
-            w.network.cut(machine, other)
-            w.network.cut(other, machine)
+            w.network.block(machine, other)
+            w.network.block(other, machine)
         await trio.sleep(1)
         w.cloud.refuse_deletion = True
         assert (await w.call(1, "POST", "/v1/jobs/run-000011/withdraw", {}))[0] == 200
@@ -201,10 +207,10 @@
 async def test_a_withdrawal_whose_answer_got_lost_is_answered_when_repeated():
     async with world() as w:
         assert await w.submit(0, job(12, shape="daemon", dueS=None), None) == 201
-        w.state.deaf.add("node-1")
+        w.state.unanswered_hosts.add("node-1")
         status, _ = await w.call(1, "POST", "/v1/jobs/run-000012/withdraw", {})
         assert status in (0, 503)
-        w.state.deaf.clear()
+        w.state.unanswered_hosts.clear()
         status, answer = await w.call(2, "POST", "/v1/jobs/run-000012/withdraw", {})
         assert (status, answer["status"]) == (200, "aborted")
         status, answer = await w.call(1, "POST", "/v1/jobs/run-000012/withdraw", {})
@@ -275,7 +281,7 @@
         w.cloud.handle = handle
         assert await w.submit(0, job(61), 10) == 201
         assert await w.until(lambda: is_(w, 0, 61, "done"), 90)
-        assert lost and len(w.cloud.names) == 1
+        assert lost and len(w.cloud.creation_ids) == 1
 
 
 async def test_controllers_start_while_the_cloud_is_out():
@@ -286,7 +292,7 @@
             w.crash(at)
         for at in range(3):
             w.start(at)
-        assert await w.settled()
+        assert await w.until_ready()
         assert await w.submit(0, job(62)) == 201
         w.cloud.down = False
         assert await w.until(lambda: is_(w, 0, 62, "done"), 120)
@@ -330,19 +336,23 @@
     async with world(teams={"red": Team("red", 0, 0, 4, 40)}) as w:
         assert await w.submit(0, job(80, legs=8, yard="east", dueS=20), 200) == 201
         assert await w.until(lambda: len(w.board.running("run-000080")) == 8, 60)
-        homes = sorted({next(iter(w.board.where[t])) for t in w.board.running("run-000080")})
+        homes = sorted(
+            {next(iter(w.board.machines_by_task[t])) for t in w.board.running("run-000080")}
+        )
         assert len(homes) == 4
         # Beside them others go on reporting, so that it isn't most of the partition that is silent.
         assert await w.submit(0, job(81, legs=8, yard="east", dueS=20, loaners=False), 200) == 201
         assert await w.until(lambda: len(w.board.running("run-000081")) == 8, 60)
-        others = sorted({next(iter(w.board.where[t])) for t in w.board.running("run-000081")})
+        others = sorted(
+            {next(iter(w.board.machines_by_task[t])) for t in w.board.running("run-000081")}
+        )
         for machine in [*homes[:1], *others[:2]]:
             for n in range(3):
-                w.network.cut(f"node-{n}", machine)
+                w.network.block(f"node-{n}", machine)
         await trio.sleep(9)
         for machine in [*homes[:1], *others[:2]]:
             for n in range(3):
-                w.network.heal(f"node-{n}", machine)
+                w.network.unblock(f"node-{n}", machine)
         await trio.sleep(15)
         assert set(homes + others) <= set(w.cloud.machines)
         assert len(w.board.starts) == 16
@@ -372,10 +382,10 @@
     async with world(count=1) as w:
         assert await w.submit(0, job(90, shape="daemon", dueS=None), None) == 201
         assert await w.until(lambda: w.board.running("run-000090"), 60)
-        machine = next(iter(w.board.where["run-000090/0"]))
+        machine = next(iter(w.board.machines_by_task["run-000090/0"]))
         w.crash(0)
         # What the crashed owner had written, and had not yet told the machine.
-        w.rules.submitted(job(91))
+        w.rules.record_submission(job(91))
         name, spec = read_submission(job(91))
         made = Job(name, spec, clock.wall(), {"east": ((0, 1),)})
         piece = SliceShard(
@@ -391,11 +401,13 @@
         w.board.lengths[name] = 5.0
         await trio.sleep(4)
         w.start(0)
-        assert await w.settled()
+        assert await w.until_ready()
         assert await w.until(lambda: is_(w, 0, 91, "done"), 60)
         assert [(task, home) for _, task, home in w.board.starts if task == "run-000091/0"] == [
             ("run-000091/0", machine)
         ]
         # Nothing of it is left, and what is set aside still covers what runs.
-        assert w.state.starting("r/slice/").keys() == {keys.slice_key("east", "run-000090", 0)}
+        assert w.state.values_with_prefix("r/slice/").keys() == {
+            keys.slice_key("east", "run-000090", 0)
+        }
         assert w.state.value(keys.team_key("red"))["east"][1] >= 1
--- a/tests/scenarios/test_double_starts.py
+++ b/tests/scenarios/test_double_starts.py
@@ -32,17 +32,17 @@
 
 def home(w: World, task: str = "run-000001/0") -> str:
     """The machine that a task runs on."""
-    return next(iter(w.board.where[task]))
+    return next(iter(w.board.machines_by_task[task]))
 
 
 def cut_off(w: World, machine: str) -> None:
     for at in range(w.count):
-        w.network.cut(f"node-{at}", machine)
+        w.network.block(f"node-{at}", machine)
 
 
 def heal(w: World, machine: str) -> None:
     for at in range(w.count):
-        w.network.heal(f"node-{at}", machine)
+        w.network.unblock(f"node-{at}", machine)
 
 
 async def report_now(w: World, machine: str) -> None:
@@ -50,7 +50,7 @@
     worker = w.cloud.machines[machine].worker
     sent, epoch, body = trio.current_time(), worker.epoch, worker.heartbeat()
     status, answer = await w.call(0, "POST", "/hello", body)
-    assert status == 200 and worker.take(answer, sent, epoch)
+    assert status == 200 and worker.handle_answer(answer, sent, epoch)
 
 
 async def test_an_attempt_with_a_proof_that_is_not_recorded_yet_is_not_ordered_again():
@@ -74,7 +74,7 @@
         heal(w, machine)
         await trio.sleep(3)
         # The records are back, and the machine reports before its task's end has reached them.
-        w.state.restore()
+        w.state.end_outage()
         assert await w.until(lambda: controller.election.may_start(clock.now()), 5, 0.005)
         assert TASK in leader.terminations
         await report_now(w, machine)
@@ -129,7 +129,7 @@
         assert await w.submit(0, job(1, **SERVICE), None) == 201
         await trio.sleep(5)
         worker = w.cloud.machines[machine].worker
-        w.network.silence(machine)
+        w.network.block_outbound(machine)
         w.cloud._capacity, w.cloud.refuse_deletion = 2, True
         await trio.sleep(0.1)
         # A task has failed: room for the one that waits. It is recorded, but the answer of the
@@ -137,7 +137,7 @@
         failed = next(task for task in worker.tasks.values() if task.name == "run-000002/0")
         worker.end(failed, "error")
         first, between = worker.heartbeat(), worker.heartbeat()
-        w.state.deaf.add("node-0")
+        w.state.unanswered_hosts.add("node-0")
         async with trio.open_nursery() as nursery:
             nursery.start_soon(leader.heartbeats.handle, parse_heartbeat(first))
             assert await w.until(
@@ -148,7 +148,7 @@
             if stopped_while_it_waits:
                 cut_off(w, machine)
                 leader.stops.order(TASK, attempt, timedelta(seconds=5), "test", clock.now())
-        w.state.deaf.clear()
+        w.state.unanswered_hosts.clear()
         assert worker.tasks[(f"{TASK[0]}/0", attempt.number)].state != "ended"
         # The task is to be stopped, nothing reaches the machine, and the report from between comes.
         cut_off(w, machine)
@@ -156,7 +156,7 @@
         await w.call(0, "POST", "/hello", between)
         await trio.sleep(17)
         heal(w, machine)
-        w.network.mute.clear()
+        w.network.outbound_blocked.clear()
         assert await w.until(lambda: w.board.running("run-000001"), 60)
 
 
@@ -166,7 +166,7 @@
         assert await w.until(lambda: w.board.running("run-000001"), 60)
         machine, leader = home(w), w.controllers["node-0"].leaders["east"]
         worker = w.cloud.machines[machine].worker
-        w.network.silence(machine)
+        w.network.block_outbound(machine)
         await trio.sleep(0.1)
         worker.end(next(iter(worker.tasks.values())), "error")
         answers = []
@@ -202,7 +202,7 @@
         heartbeat = parse_heartbeat(body)
         assert known.admit(heartbeat, leader.heartbeats.token(known), clock.now())
         answer = {"baton": leader.heartbeats.token(known), "orders": []}
-        assert not worker.take(answer, sent, epoch) and not w.board.running("run-000001")
+        assert not worker.handle_answer(answer, sent, epoch) and not w.board.running("run-000001")
 
 
 async def test_a_direct_order_that_waited_does_not_start_what_is_proven_gone():
@@ -225,7 +225,7 @@
             and TASK not in leader.machines[machine].token.direct_starts
         )
         leader.terminations.withdraw(TASK, machine)
-        w.state.restore()
+        w.state.end_outage()
         await trio.sleep(3)
         # One that goes out may be carried out by a machine that has just begun anew.
         known = leader.machines[machine]
@@ -270,7 +270,7 @@
         await trio.sleep(4)
         assert leader.transactions.in_doubt == tried[0] and len(tried) == 1
         monkeypatch.undo()
-        w.state.restore()
+        w.state.end_outage()
         assert await w.until(lambda: w.board.running("run-000001"), 60)
 
 
--- a/tests/scenarios/test_failover_time.py
+++ b/tests/scenarios/test_failover_time.py
@@ -22,9 +22,9 @@
         await trio.sleep(5 + moment * 0.6)
         w.crash(0)
         within = OWN_LEASE_S + LEASE_LATE_S + ACQUIRING_S
-        assert await w.until(lambda: w.owner("east") not in (None, "node-0"), within, 0.05)
+        assert await w.until(lambda: w.leader_of("east") not in (None, "node-0"), within, 0.05)
         w.start(0)
-        assert await w.settled()
+        assert await w.until_ready()
 
 
 async def test_the_only_controller_that_is_left_leads_everything_soon_after_an_outage():
@@ -36,13 +36,13 @@
             w.crash(at)
         w.state.down = True
         await trio.sleep(2)
-        w.state.restore()
+        w.state.end_outage()
         over_at = trio.current_time()
         w.start(0)
         within = OWN_LEASE_S + LEASE_LATE_S + ACQUIRING_S
         for zone in w.zones:
             left = over_at + within - trio.current_time()
-            assert await w.until(lambda zone=zone: w.owner(zone) == "node-0", left, 0.05)
+            assert await w.until(lambda zone=zone: w.leader_of(zone) == "node-0", left, 0.05)
         for at in (1, 2):
             w.start(at)
-        assert await w.settled()
+        assert await w.until_ready()
--- a/tests/scenarios/test_gang_phases.py
+++ b/tests/scenarios/test_gang_phases.py
@@ -5,7 +5,7 @@
 import trio
 
 from roadbend import clock
-from roadbend.fakes.gangs import NAME, TEAMS, attempts, begun, running
+from roadbend.fakes.gangs import NAME, TEAMS, attempts, running, start_gang
 from roadbend.fakes.submission import gang, job
 from roadbend.fakes.world import World, world
 from roadbend.placement import gang_reservations, preemption
@@ -67,7 +67,7 @@
 
         assert await w.until(look, 90, 0.1)
         slow.settings.fetch_s = 1.0
-        await w.over()
+        await w.finish()
         assert machines <= {m.id for m in w.cloud.machines.values() if m.status == "running"}
 
 
@@ -85,7 +85,7 @@
         while running(w, NAME) == [] and w.board.running(NAME):
             assert not w.board.running("run-000002")
             await trio.sleep(0.1)
-        await w.over()
+        await w.finish()
 
 
 PHASES = ["waiting", "fetching", "gathering", "running", "flushing"]
@@ -111,10 +111,10 @@
             assert not w.board.running(NAME)
         else:
             assert await w.until(lambda: phase in states(w, NAME), 60, 0.05)
-        await w.withdrawn(NAME)
+        await w.cancel_job(NAME)
         assert await w.until(lambda: not states(w, NAME) - {"ended"}, 10)
-        await w.over()
-        assert await w.until(lambda: w.state.starting("r/gang/") == {}, 10)
+        await w.finish()
+        assert await w.until(lambda: w.state.values_with_prefix("r/gang/") == {}, 10)
 
 
 @pytest.mark.parametrize("late_copy", [False, True])
@@ -122,18 +122,18 @@
     """It completes while nobody owns its partition; one machine is cut off, so that its tasks are
     seen by nobody. What the others report, or a late copy of it, ends the job, once."""
     async with world(teams=TEAMS) as w:
-        machines = await begun(w, gang(1, 24, yard="east"), 12.0)
+        machines = await start_gang(w, gang(1, 24, yard="east"), 12.0)
         assert len(machines) >= 2
         copies: list[dict] = []
         for worker in w.workers():
             if worker.machine in machines[1:]:
-                worker.sent.append(lambda _worker, body: copies.append(body))
+                worker.heartbeat_listeners.append(lambda _worker, body: copies.append(body))
         w.crash(0)
         pairs = [(f"node-{at}", machines[0]) for at in range(3)]
         if late_copy:
             pairs = [(f"node-{at}", machine) for at in range(3) for machine in machines]
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(w.cut_pairs, pairs, 30.0)
+            nursery.start_soon(w.block_pairs, pairs, 30.0)
             assert await w.until(lambda: not w.board.running(NAME), 30)
             await trio.sleep(4)
             if late_copy:
@@ -141,21 +141,25 @@
                     for at in (1, 2):
                         nursery.start_soon(w.call, at, "POST", "/hello", body)
             w.start(0)
-        await w.over()
+        await w.finish()
         assert len(attempts(w, NAME)) == 1
-        assert keys.job_end_key(NAME) in w.state.starting("fin/")
+        assert keys.job_end_key(NAME) in w.state.values_with_prefix("fin/")
 
 
 async def test_no_task_begins_in_another_zone_before_the_old_attempt_is_gone():
     """A gang that must stay together loses its zone: the judge watches that nothing of it starts
     elsewhere while a task of the old attempt may be on a machine there."""
     async with world(teams=TEAMS) as w:
-        await begun(w, gang(1, 16), 50.0)
-        zone = {w.cloud.machines[m].zone for t in w.board.running(NAME) for m in w.board.where[t]}
+        await start_gang(w, gang(1, 16), 50.0)
+        zone = {
+            w.cloud.machines[m].zone
+            for t in w.board.running(NAME)
+            for m in w.board.machines_by_task[t]
+        }
         at = ("east", "north", "west").index(zone.pop())
         await trio.sleep(5)
-        await w.cut_zone(at, 70.0)
-        await w.over()
+        await w.isolate_zone(at, 70.0)
+        await w.finish()
 
 
 async def test_a_gang_that_has_no_room_keeps_nobody_from_room():
@@ -169,8 +173,8 @@
             name = body["id"]
             assert await w.until(lambda name=name: w.board.running(name), 90), name
         assert not w.board.running(NAME)
-        await w.withdrawn(NAME)
-        await w.over()
+        await w.cancel_job(NAME)
+        await w.finish()
 
 
 async def test_the_largest_gang_begins_within_four_minutes_behind_a_steady_stream():
@@ -194,7 +198,7 @@
             began = await w.until(lambda: len(running(w, NAME)) == 20, 240)
             over.set()
         assert began
-        await w.over()
+        await w.finish()
 
 
 async def test_a_job_is_kept_from_room_for_others_for_a_while_only():
@@ -220,8 +224,8 @@
         await trio.sleep(20)
         assert not w.board.running("run-000002")
         assert await w.until(lambda: w.board.running("run-000002"), 40)
-        await w.withdrawn(NAME)
-        await w.over()
+        await w.cancel_job(NAME)
+        await w.finish()
 
 
 async def test_room_kept_for_a_gang_keeps_no_work_of_higher_priority_from_it():
@@ -237,5 +241,5 @@
         assert await w.submit(0, job(3, rank="production", **small), 5.0) == 201
         assert await w.until(lambda: w.board.running("run-000003"), 10)
         assert not w.board.running("run-000002")
-        await w.withdrawn(NAME)
-        await w.over()
+        await w.cancel_job(NAME)
+        await w.finish()
--- a/tests/scenarios/test_gangs.py
+++ b/tests/scenarios/test_gangs.py
@@ -7,7 +7,7 @@
 import pytest
 import trio
 
-from roadbend.fakes.gangs import NAME, SMALL, TEAMS, attempts, begun, running
+from roadbend.fakes.gangs import NAME, SMALL, TEAMS, attempts, running, start_gang
 from roadbend.fakes.random_failures import FAILURES
 from roadbend.fakes.submission import gang, job
 from roadbend.fakes.world import world
@@ -19,14 +19,17 @@
 
 async def test_a_gang_starts_whole_under_one_number_and_is_done_once():
     async with world(teams=TEAMS) as w:
-        machines = await begun(w, gang(1, 16), 15.0)
+        machines = await start_gang(w, gang(1, 16), 15.0)
         assert len(machines) > 1 and len(attempts(w, NAME)) == 1
         assert await w.until(lambda: w.status(2, NAME), 3)
         assert await w.until(lambda: not w.board.running(NAME), 30)
-        await w.over()
+        await w.finish()
         assert len({m.zone for m in w.cloud.machines.values() if m.id in machines}) == 1
-        assert w.state.starting("r/gang/") == {} and w.state.starting("r/job/") == {}
-        assert await w.until(lambda: w.state.starting("r/slice/") == {}, 20)
+        assert (
+            w.state.values_with_prefix("r/gang/") == {}
+            and w.state.values_with_prefix("r/job/") == {}
+        )
+        assert await w.until(lambda: w.state.values_with_prefix("r/slice/") == {}, 20)
 
 
 async def test_a_gang_begins_within_two_seconds_where_there_is_room():
@@ -39,7 +42,7 @@
         await trio.sleep(5)
         for n in range(2, 7):
             began = trio.current_time()
-            await begun(w, gang(n, 8, yard="east"), 4.0)
+            await start_gang(w, gang(n, 8, yard="east"), 4.0)
             # A second of it is the fetch of its image.
             assert trio.current_time() - began < 2.0, n
             await trio.sleep(5.3)
@@ -54,7 +57,7 @@
         assert await w.submit(0, gang(3, 2, together=False, apart=True, yard="east")) == 422
         assert await w.submit(0, gang(5, 2, together=True, apart=True)) == 422
         assert await w.submit(0, gang(4, 2, milestoneS=-1.0)) == 400
-        await w.over()
+        await w.finish()
 
 
 WIDE = dict(vcpus=0.5, memoryGb=0.5, yard="east")
@@ -65,26 +68,26 @@
     """Its attempts are recorded in several transactions, and so is its end."""
     async with world(count=1, teams=TEAMS, **SMALL) as w:
         length = 10.0 if ends == "done" else None
-        await begun(w, gang(1, 300, **WIDE), length, within=90)
+        await start_gang(w, gang(1, 300, **WIDE), length, within=90)
         assert len(attempts(w, NAME)) == 1
         if ends == "withdrawn":
-            await w.withdrawn(NAME)
+            await w.cancel_job(NAME)
         assert await w.until(lambda: not w.board.running(NAME), 40)
-        await w.over()
-        assert await w.until(lambda: w.state.starting("r/slice/") == {}, 40)
+        await w.finish()
+        assert await w.until(lambda: w.state.values_with_prefix("r/slice/") == {}, 40)
 
 
 async def test_an_owner_that_ends_amid_a_wide_gangs_start_leaves_no_half_of_it():
     async with world(teams=TEAMS, **SMALL) as w:
-        await begun(w, gang(9, 40, **WIDE), 2.0)
+        await start_gang(w, gang(9, 40, **WIDE), 2.0)
         assert await w.submit(1, gang(1, 300, **WIDE), 8.0) == 201
         slices = f"r/slice/east/{NAME}"
-        assert await w.until(lambda: len(w.state.starting(slices)) == 3, 90, 0.01)
+        assert await w.until(lambda: len(w.state.values_with_prefix(slices)) == 3, 90, 0.01)
         w.crash(0)
         await trio.sleep(3)
         w.start(0)
-        await w.over()
-        assert keys.job_end_key(NAME) in w.state.starting("fin/")
+        await w.finish()
+        assert keys.job_end_key(NAME) in w.state.values_with_prefix("fin/")
 
 
 async def test_two_gangs_that_need_all_the_room_run_one_after_the_other():
@@ -97,13 +100,13 @@
         for _ in range(1200):
             assert sum(1 for name in names if w.board.running(name)) <= 1
             await trio.sleep(0.1)
-        await w.over()
+        await w.finish()
         assert {len(attempts(w, name)) for name in names} == {1}
 
 
 async def test_a_task_lost_while_the_gang_gathers_is_replaced_under_the_same_number():
     async with world(count=1, teams=TEAMS) as w:
-        await begun(w, gang(9, 16), 3.0)
+        await start_gang(w, gang(9, 16), 3.0)
         await trio.sleep(6)
         real = w.board.gang
         machine = None
@@ -118,13 +121,13 @@
             w.cloud.kill(machine)
         assert await w.until(lambda: len(running(w, NAME)) == 16, 90)
         assert machine is not None and len(attempts(w, NAME)) == 1 and real is not None
-        await w.over()
+        await w.finish()
 
 
 @pytest.mark.parametrize("trouble", ["dies", "hangs"])
 async def test_a_task_lost_while_running_ends_the_attempt_and_the_next_resumes(trouble):
     async with world(count=1, teams=TEAMS) as w:
-        machines = await begun(w, gang(1, 16), 60.0)
+        machines = await start_gang(w, gang(1, 16), 60.0)
         await trio.sleep(25)
         if trouble == "dies":
             w.cloud.kill(machines[0])
@@ -133,13 +136,13 @@
         assert await w.until(lambda: len(attempts(w, NAME)) == 2, 90)
         assert await w.until(lambda: len(running(w, NAME)) == 16, 60)
         assert w.board.progress[NAME] >= 20.0
-        await w.over()
+        await w.finish()
 
 
 @pytest.mark.parametrize("cause", ["preempted", "notice"])
 async def test_a_gang_is_stopped_whole_and_saves_what_it_did(cause):
     async with world(count=1, capacity=2, teams=TEAMS) as w:
-        machines = await begun(
+        machines = await start_gang(
             w, gang(1, 20, rank="best_effort", milestoneS=1000.0, yard="east"), 40.0
         )
         await trio.sleep(14)
@@ -158,16 +161,16 @@
         else:
             for worker in w.workers():
                 if worker.machine == machines[0]:
-                    worker.recall = 15.0
+                    worker.reclaim_in_s = 15.0
         assert await w.until(lambda: w.board.progress.get(NAME, 0) > 12, 60)
         saved = w.board.progress[NAME]
         assert saved >= 13.0
         for n in (2, 3):
-            if f"run-{n:06d}" in w.rules.cases:
-                await w.withdrawn(f"run-{n:06d}")
+            if f"run-{n:06d}" in w.rules.jobs:
+                await w.cancel_job(f"run-{n:06d}")
         if cause == "notice":
             w.cloud.kill(machines[0])
-        await w.over()
+        await w.finish()
 
 
 async def test_a_direct_order_that_arrives_late_is_refused():
@@ -178,21 +181,23 @@
         assert await w.submit(0, keep, None) == 201
         assert await w.until(lambda: len(w.board.running("run-000050")) == 2, 60)
         await trio.sleep(6)
-        machines = sorted({m for t in w.board.running("run-000050") for m in w.board.where[t]})
+        machines = sorted(
+            {m for t in w.board.running("run-000050") for m in w.board.machines_by_task[t]}
+        )
         for machine in machines:
             w.network.hold("node-0", machine, requests=True)
-        await begun(w, gang(1, 2, yard="east"), None)
+        await start_gang(w, gang(1, 2, yard="east"), None)
         await trio.sleep(4)
-        await w.withdrawn(NAME)
+        await w.cancel_job(NAME)
         assert await w.until(lambda: not w.board.running(NAME), 10)
         await trio.sleep(6)
         for machine in machines:
-            w.network.let_go("node-0", machine)
+            w.network.release("node-0", machine)
         await trio.sleep(5)
         assert not w.board.running(NAME)
         # The machines go on being used.
-        await begun(w, gang(2, 2, yard="east"), 5.0, within=6)
-        await w.over()
+        await start_gang(w, gang(2, 2, yard="east"), 5.0, within=6)
+        await w.finish()
 
 
 @pytest.mark.parametrize("seed", range(10))
@@ -218,7 +223,7 @@
         )
         assert await w.submit(1, job(51, legs=5, crew="blue", dueS=40.0), 15.0) == 201
         first = gang(1, rng.choice((4, 12)), loaners=True)
-        await begun(w, first, rng.uniform(20, 50))
+        await start_gang(w, first, rng.uniform(20, 50))
         over = trio.Event()
 
         async def stream() -> None:
@@ -234,7 +239,7 @@
                         break
                 if rng.random() < 0.3:
                     await trio.sleep(rng.uniform(0, 4))
-                    w.nursery.start_soon(w.withdrawn, body["id"], 200)
+                    w.nursery.start_soon(w.cancel_job, body["id"], 200)
                 await trio.sleep(rng.uniform(0.5, 4))
             over.set()
 
@@ -244,7 +249,7 @@
                 nursery.start_soon(trouble, w, rng)
                 await trio.sleep(rng.uniform(0, 6))
             await over.wait()
-        assert await w.settled()
-        await w.over()
-        assert not w.state.starting("r/gang/")
-        assert keys.job_end_key(NAME) in w.state.starting("fin/")
+        assert await w.until_ready()
+        await w.finish()
+        assert not w.state.values_with_prefix("r/gang/")
+        assert keys.job_end_key(NAME) in w.state.values_with_prefix("fin/")
--- a/tests/scenarios/test_gangs_beyond_cuts.py
+++ b/tests/scenarios/test_gangs_beyond_cuts.py
@@ -52,7 +52,7 @@
     w.crash(0)
     for worker in [worker for worker in w.workers() if worker.tasks][:cut_machines]:
         for other in OTHERS:
-            w.network.cut(worker.machine, other)
+            w.network.block(worker.machine, other)
     await trio.sleep(0.5)
     before = term(w)
     w.start(0, production)
@@ -70,7 +70,7 @@
         began = await return_beyond_cut(w, production, TASKS)
         await trio.sleep(WATCHED_S)
         assert term(w) - began <= MAX_CHANGES
-        assert w.owner("east") == "node-0"
+        assert w.leader_of("east") == "node-0"
 
 
 @pytest.mark.parametrize("cut_machines", [1, TASKS], ids=["one machine", "all machines"])
@@ -100,12 +100,12 @@
     monkeypatch.setattr(worlds, "ZONES", zones)
     async with world(count=len(zones), teams=TEAMS, capacity=TASKS) as w:
         await run_gang(w)
-        former = w.owner("east")
+        former = w.leader_of("east")
         assert former in ("node-0", "node-1")
         w.crash(int(former[-1]))
         await trio.sleep(0.5)
         w.start(int(former[-1]), production)
-        assert await w.until(lambda: w.owner("east") not in (None, former), REPLACED_WITHIN_S)
+        assert await w.until(lambda: w.leader_of("east") not in (None, former), REPLACED_WITHIN_S)
         await trio.sleep(60)
-        assert w.owner("east") not in (None, former)
+        assert w.leader_of("east") not in (None, former)
         assert len(w.board.starts) == TASKS
--- a/tests/scenarios/test_gangs_done_in_part.py
+++ b/tests/scenarios/test_gangs_done_in_part.py
@@ -38,17 +38,20 @@
     await trio.sleep(0.5)
     for at in range(w.count):
         w.start(at, version)
-    assert await w.settled()
+    assert await w.until_ready()
 
 
 def machines_of(w: World, *indexes: int) -> list[str]:
     """Return the machines of some of the gang's tasks."""
-    return [machine for n in indexes for machine in w.board.where[f"{GANG}/{n}"]]
+    return [machine for n in indexes for machine in w.board.machines_by_task[f"{GANG}/{n}"]]
 
 
 def recorded_done(w: World) -> int:
     """Return how many of the gang's tasks the records say are done."""
-    rows = [*w.state.starting("r/slice/").values(), *w.state.starting("r/job/").values()]
+    rows = [
+        *w.state.values_with_prefix("r/slice/").values(),
+        *w.state.values_with_prefix("r/job/").values(),
+    ]
     return sum(stop - start for row in rows for start, stop in row.get("d", ()))
 
 
@@ -68,7 +71,7 @@
     await trio.sleep(attempt.began + LENGTH_S - 2 - trio.current_time())
     for machine in machines_of(w, *unseen):
         for controller in w.addresses:
-            w.network.cut(controller, machine)
+            w.network.block(controller, machine)
     assert await w.until(lambda: recorded_done(w) == TASKS // 2, 10)
 
 
@@ -83,8 +86,8 @@
     assert await w.until(is_done, ENDED_WITHIN_S)
     assert await w.until(lambda: not w.board.running(GANG), ENDED_WITHIN_S)
     assert await w.until(lambda: fetching(w) == 0, ENDED_WITHIN_S)
-    await w.over()
-    assert await w.until(lambda: w.state.starting("r/slice/") == {}, 60)
+    await w.finish()
+    assert await w.until(lambda: w.state.values_with_prefix("r/slice/") == {}, 60)
     assert [o for o in w.board.received if o.verb == "run" and o.at > restarted] == []
     assert w.state.value(keys.job_end_key(GANG)) == {"s": "done", "n": TASKS}
 
--- a/tests/scenarios/test_gangs_in_a_roll.py
+++ b/tests/scenarios/test_gangs_in_a_roll.py
@@ -37,7 +37,7 @@
     w.crash(0)
     await trio.sleep(0.5)
     w.start(0, version)
-    assert await w.settled()
+    assert await w.until_ready()
     # All machines follow the new term.
     await trio.sleep(5)
 
@@ -108,7 +108,7 @@
         w.crash(0)
         await trio.sleep(0.5)
         w.start(0, production)
-        assert await w.until(lambda: w.owner("east") in ("node-1", "node-2"), REPLACED_WITHIN_S)
+        assert await w.until(lambda: w.leader_of("east") in ("node-1", "node-2"), REPLACED_WITHIN_S)
         caplog.clear()
         await trio.sleep(LONG_S)
         assert "leadership-acquired" not in caplog.text
@@ -116,7 +116,7 @@
         assert len(w.board.running(GANG)) == TASKS and not stopped_tasks(w)
         assert await w.until(lambda: not w.board.running(GANG), LONG_S)
         assert len(w.board.starts) == TASKS
-        assert await w.until(lambda: w.owner("east") == "node-0", LONG_S)
+        assert await w.until(lambda: w.leader_of("east") == "node-0", LONG_S)
 
 
 @PRODUCTION
@@ -129,8 +129,8 @@
         await trio.sleep(3)
         for at in range(w.count):
             w.start(at, production if at == 0 else False)
-        assert await w.settled()
-        assert await w.until(lambda: w.owner("east") in ("node-1", "node-2"), REPLACED_WITHIN_S)
+        assert await w.until_ready()
+        assert await w.until(lambda: w.leader_of("east") in ("node-1", "node-2"), REPLACED_WITHIN_S)
         urgent = job(2, yard="east", rank="production", vcpus=CPUS, crew="blue", loaners=False)
         assert await w.submit(1, urgent, 60) == 201
         assert await w.until(lambda: w.board.running("run-000002"), 60)
@@ -150,7 +150,7 @@
         await trio.sleep(0.5)
         w.start(0, production)
         w.start(2, production)
-        assert await w.until(lambda: w.owner("east") == "node-0" and w.owner("west"), 15)
+        assert await w.until(lambda: w.leader_of("east") == "node-0" and w.leader_of("west"), 15)
         election = w.start(1).election
         most = 0
         for _ in range(LONG_S * 10):
@@ -167,16 +167,16 @@
         await run_gang(w, 300)
         w.crash(0)
         for peer in ("node-1", "node-2"):
-            w.network.cut("node-0", peer)
+            w.network.block("node-0", peer)
         for worker in w.workers():
             for peer in ("node-1", "node-2"):
-                w.network.cut(worker.machine, peer)
+                w.network.block(worker.machine, peer)
         w.start(0, production)
-        assert await w.until(lambda: w.owner("east") == "node-0", 15)
+        assert await w.until(lambda: w.leader_of("east") == "node-0", 15)
         started = len(w.board.starts)
         for _ in range(LONG_S):
             await trio.sleep(1)
-            assert w.owner("east") == "node-0"
+            assert w.leader_of("east") == "node-0"
         assert len(w.board.running(GANG)) == TASKS and len(w.board.starts) == started
 
 
@@ -199,7 +199,7 @@
     """Let the east's machines reach no controller but their own zone's."""
     for worker in w.workers():
         for peer in ("node-1", "node-2"):
-            w.network.cut(worker.machine, peer)
+            w.network.block(worker.machine, peer)
 
 
 def count_acquisitions(text: str) -> int:
@@ -217,7 +217,7 @@
         cut_east_from_peers(w)
         caplog.clear()
         w.start(0, production)
-        assert await w.until(lambda: w.owner("east") == "node-0", 15)
+        assert await w.until(lambda: w.leader_of("east") == "node-0", 15)
         await trio.sleep(2 * LONG_S)
         assert count_acquisitions(caplog.text) == 1
         assert len(w.board.running(GANG)) == TASKS and len(w.board.starts) == TASKS
@@ -244,4 +244,4 @@
         # Both have tried.
         caplog.clear()
         await trio.sleep(2 * LONG_S)
-        assert count_acquisitions(caplog.text) == 0 and w.owner("east") == "node-0"
+        assert count_acquisitions(caplog.text) == 0 and w.leader_of("east") == "node-0"
--- a/tests/scenarios/test_gangs_with_anti_affinity.py
+++ b/tests/scenarios/test_gangs_with_anti_affinity.py
@@ -7,7 +7,7 @@
 import pytest
 import trio
 
-from roadbend.fakes.gangs import NAME, SMALL, TEAMS, attempts, begun, running
+from roadbend.fakes.gangs import NAME, SMALL, TEAMS, attempts, running, start_gang
 from roadbend.fakes.random_failures import FAILURES
 from roadbend.fakes.submission import gang, job
 from roadbend.fakes.world import World, world
@@ -20,7 +20,7 @@
 def zones(w: World, name: str) -> dict[str, int]:
     out: dict[str, int] = {}
     for task in w.board.running(name):
-        for machine in w.board.where[task]:
+        for machine in w.board.machines_by_task[task]:
             zone = w.cloud.machines[machine].zone
             out[zone] = out.get(zone, 0) + 1
     return out
@@ -29,11 +29,11 @@
 @pytest.mark.parametrize("tasks", [2, 5, 16])
 async def test_it_starts_whole_over_zones_under_one_number(tasks):
     async with world(teams=TEAMS) as w:
-        await begun(w, gang(1, tasks, **APART), 12.0, within=150)
+        await start_gang(w, gang(1, tasks, **APART), 12.0, within=150)
         assert max(zones(w, NAME).values()) <= (tasks + 1) // 2
         assert await w.until(lambda: not w.board.running(NAME), 60)
-        await w.over()
-        assert await w.until(lambda: w.state.starting("r/slice/") == {}, 30)
+        await w.finish()
+        assert await w.until(lambda: w.state.values_with_prefix("r/slice/") == {}, 30)
 
 
 async def test_it_begins_at_once_where_there_is_room_in_two_zones():
@@ -44,38 +44,38 @@
         assert await w.until(lambda: len(w.workers()) >= 3, 60)
         await trio.sleep(8)
         began = trio.current_time()
-        await begun(w, gang(1, 6, **APART), 5.0)
+        await start_gang(w, gang(1, 6, **APART), 5.0)
         assert trio.current_time() - began < 5.0
         assert len(attempts(w, NAME)) == 1
-        await w.over()
+        await w.finish()
 
 
 async def test_a_wide_one_starts_whole():
     async with world(teams=TEAMS, **SMALL) as w:
-        await begun(w, gang(1, 240, vcpus=0.5, memoryGb=0.5, **APART), 10.0, within=200)
-        await w.over()
+        await start_gang(w, gang(1, 240, vcpus=0.5, memoryGb=0.5, **APART), 10.0, within=200)
+        await w.finish()
 
 
 async def test_what_one_share_loses_ends_the_attempt_and_all_begin_again():
     async with world(teams=TEAMS) as w:
-        machines = await begun(w, gang(1, 16, **APART), 60.0, within=150)
+        machines = await start_gang(w, gang(1, 16, **APART), 60.0, within=150)
         first = len(attempts(w, NAME))
         await trio.sleep(25)
         w.cloud.kill(machines[0])
         assert await w.until(lambda: len(attempts(w, NAME)) > first, 120)
         assert await w.until(lambda: len(running(w, NAME)) == 16, 150)
         assert w.board.progress[NAME] >= 20.0
-        await w.over()
+        await w.finish()
 
 
 async def test_a_share_that_finds_no_room_is_bid_for_again():
     """Two of three zones have no machine at first: it waits for ever in none of them."""
     async with world(teams=TEAMS) as w:
-        w.cloud.closed_zones = {"north", "west"}
+        w.cloud.unavailable_zones = {"north", "west"}
         assert await w.submit(0, gang(1, 4, **APART), 5.0) == 201
         await trio.sleep(100)
-        w.cloud.closed_zones = {"west"}
-        await w.over()
+        w.cloud.unavailable_zones = {"west"}
+        await w.finish()
 
 
 # The order of tasks that seed 7 had up to 0.8.0. Drawn from the test's present name, seed 7 meets
@@ -94,7 +94,7 @@
     small = SMALL if seed % 2 else {}
     operator = OperatorSettings(reoffer_every=timedelta(seconds=2))
     async with world(capacity=3, teams=TEAMS, operator=operator, **small) as w:
-        await begun(w, gang(1, 6, **APART), 30.0, within=200)
+        await start_gang(w, gang(1, 6, **APART), 30.0, within=200)
         over = trio.Event()
 
         async def stream() -> None:
@@ -106,7 +106,7 @@
                         break
                 if rng.random() < 0.3:
                     await trio.sleep(rng.uniform(0, 4))
-                    w.nursery.start_soon(w.withdrawn, body["id"], 200)
+                    w.nursery.start_soon(w.cancel_job, body["id"], 200)
                 await trio.sleep(rng.uniform(0.5, 4))
             over.set()
 
@@ -116,6 +116,6 @@
                 nursery.start_soon(trouble, w, rng)
                 await trio.sleep(rng.uniform(0, 6))
             await over.wait()
-        assert await w.settled()
-        await w.over(400)
-        assert keys.job_end_key(NAME) in w.state.starting("fin/")
+        assert await w.until_ready()
+        await w.finish(400)
+        assert keys.job_end_key(NAME) in w.state.values_with_prefix("fin/")
--- a/tests/scenarios/test_held_across_restart.py
+++ b/tests/scenarios/test_held_across_restart.py
@@ -57,7 +57,7 @@
         worker = w.cloud.machines[machine].worker
         # The new worker would take the command: it knows no token, and its epoch is the same.
         assert (worker.token, worker.epoch) == (0, sent)
-        await w.withdrawn(CANCELLED, 60)
+        await w.cancel_job(CANCELLED, 60)
         await trio.sleep(HELD_S)
         assert not w.board.running(CANCELLED)
-        await w.over()
+        await w.finish()
--- a/tests/scenarios/test_inherited_starts.py
+++ b/tests/scenarios/test_inherited_starts.py
@@ -34,8 +34,8 @@
         assert trio.current_time() - began < BEFORE_MACHINES_ARE_ASKED_S
         await trio.sleep(HANG_S)
         w.start(0)
-        assert await w.settled()
-        await w.over()
+        assert await w.until_ready()
+        await w.finish()
 
 
 @pytest.mark.parametrize(
@@ -47,11 +47,11 @@
         machine = await machine_of_kept_service(w)
         # Without the cloud it does not delete the machine as silent.
         others = (*services, "node-1", "node-2", *(worker.machine for worker in w.workers()))
-        w.nursery.start_soon(w.cut_pairs, [("node-0", other) for other in others], 30.0)
+        w.nursery.start_soon(w.block_pairs, [("node-0", other) for other in others], 30.0)
         await successor(w)
         status, answer = await w.call(1, "POST", f"/v1/jobs/{KEPT}/withdraw", {})
         assert (status, answer["status"]) == (200, "aborted")
         w.cloud.machines[machine].worker.lease.renewed_at -= 100.0
         await trio.sleep(40.0)
         assert not w.board.running(KEPT)
-        await w.over()
+        await w.finish()
--- a/tests/scenarios/test_interrupted_acquisitions.py
+++ b/tests/scenarios/test_interrupted_acquisitions.py
@@ -44,7 +44,7 @@
         assert not leads(w)
         assert await w.until(lambda: leads(w), READING_AGAIN_S + ACQUIRING_S, 0.05)
         w.start(0)
-        assert await w.settled()
+        assert await w.until_ready()
 
 
 async def test_no_task_begins_again_when_an_outage_interrupts_the_acquisition():
@@ -56,7 +56,7 @@
         await new_term(w)
         await w.outage(first_expiry(w) - BACK_BEFORE_EXPIRY_S - trio.current_time())
         await trio.sleep(60)
-        assert await w.settled()
+        assert await w.until_ready()
         assert len(w.board.starts) == started
 
 
@@ -72,5 +72,5 @@
         within = READING_AGAIN_S + ACQUIRING_S + 3 * w.operator.takeover_grace.total_seconds()
         assert await w.until(lambda: leads(w), within, 0.05)
         w.start(0)
-        assert await w.settled()
+        assert await w.until_ready()
         assert len(w.board.starts) == started
--- a/tests/scenarios/test_preemption_after_failover.py
+++ b/tests/scenarios/test_preemption_after_failover.py
@@ -24,7 +24,9 @@
 
 def machines_of(w: World, name: str) -> list[str]:
     """Return the machines that run a job."""
-    return sorted({machine for task in w.board.running(name) for machine in w.board.where[task]})
+    return sorted(
+        {machine for task in w.board.running(name) for machine in w.board.machines_by_task[task]}
+    )
 
 
 async def fill_east(w: World) -> None:
@@ -46,7 +48,7 @@
     w.nursery.start_soon(w.hang, late, late_s)
     await trio.sleep(0.5)
     w.start(0)
-    assert await w.until(lambda: w.owner("east") == "node-0", 10, 0.05)
+    assert await w.until(lambda: w.leader_of("east") == "node-0", 10, 0.05)
 
 
 def told_to_stop(w: World) -> set[str]:
--- a/tests/scenarios/test_production_program.py
+++ b/tests/scenarios/test_production_program.py
@@ -39,8 +39,8 @@
     w.crash(0)
     await trio.sleep(0.5)
     w.start(0, version)
-    assert await w.settled()
-    assert w.owner("east") == "node-0"
+    assert await w.until_ready()
+    assert w.leader_of("east") == "node-0"
 
 
 async def begin_gang(w: World) -> None:
@@ -96,7 +96,7 @@
     async with world(teams=TEAMS) as w:
         await restart_leader_as(w, ProductionController)
         assert await w.submit(0, job(1, legs=3, yard="east"), 10) == 201
-        await w.over()
+        await w.finish()
         assert await w.status(1, "run-000001") == "done"
         term = w.controllers["node-0"].election.leadership("east").term
         assert [order.attempt >> ATTEMPT_BITS for order in received(w, "run", 0)] == [term] * 3
--- a/tests/scenarios/test_raised_tokens.py
+++ b/tests/scenarios/test_raised_tokens.py
@@ -43,7 +43,7 @@
 
 async def cut_leader_off(w: World, length: float = CUT_OFF_S) -> None:
     """The leader of the east is refused by the state store, and loses its peers."""
-    w.nursery.start_soon(w.cut_controller, 0, length)
+    w.nursery.start_soon(w.isolate_controller, 0, length)
     await trio.sleep(0.01)
 
 
@@ -59,10 +59,10 @@
         w.crash(0)
         await withdrawn_by_one_call(w, 1)
         await trio.sleep(START_DELAY_S)
-        assert worker.late_commands == [False]
+        assert worker.late_command_results == [False]
         w.start(0)
-        assert await w.settled()
-        await w.over()
+        assert await w.until_ready()
+        await w.finish()
 
 
 async def test_a_leader_goes_on_from_a_token_that_a_peer_has_raised():
@@ -82,7 +82,7 @@
         # The machine is given work as before.
         assert await w.submit(0, job(2, **SERVICE), None) == 201
         assert await w.until(lambda: w.board.running("run-000002"), 15)
-        await w.over()
+        await w.finish()
 
 
 async def test_two_controllers_may_raise_a_token_at_once():
@@ -98,7 +98,7 @@
                 nursery.start_soon(withdrawn_by_one_call, w, at)
         await trio.sleep(LONGER_THAN_A_LEASE_S)
         assert worker.epoch == 1 and w.board.running(KEPT)
-        await w.over()
+        await w.finish()
 
 
 async def test_a_leader_that_raises_the_token_itself_and_a_peer_do_not_disturb_each_other():
@@ -114,8 +114,8 @@
         await withdrawn_by_one_call(w, 1)
         await trio.sleep(LONGER_THAN_A_LEASE_S)
         assert worker.epoch == 1 and w.board.running(KEPT)
-        assert worker.late_commands == [False]
-        await w.over()
+        assert worker.late_command_results == [False]
+        await w.finish()
 
 
 async def test_the_machine_of_a_leader_of_0_10_0_keeps_its_token():
@@ -124,7 +124,7 @@
         machine = await machine_of_kept_service(w)
         w.crash(1)
         w.start(1)
-        assert await w.settled()
+        assert await w.until_ready()
         worker = w.cloud.machines[machine].worker
         await next_heartbeat(w, machine)
         delays = iter([COMMAND_DELAY_S])
@@ -135,9 +135,9 @@
         status, _ = await w.call(1, "POST", f"/v1/jobs/{CANCELLED}/withdraw", {}, ONE_CALL_S)
         assert (status, worker.token) == (503, before)
         w.start(0, previous_version=Version0100Controller)
-        assert await w.settled()
-        await w.withdrawn(CANCELLED, 60)
-        await w.over()
+        assert await w.until_ready()
+        await w.cancel_job(CANCELLED, 60)
+        await w.finish()
 
 
 @pytest.mark.parametrize("lacks", ["address", "answer", "room"])
@@ -153,18 +153,18 @@
         w.crash(0)
         if lacks == "address":
             for at in (1, 2):
-                w.network.cut(f"node-{at}", machine)
+                w.network.block(f"node-{at}", machine)
         elif lacks == "room":
             # The last incarnation that a token can number.
             worker.lease.token |= 0xFFFF
         status, _ = await w.call(1, "POST", f"/v1/jobs/{CANCELLED}/withdraw", {}, ONE_CALL_S)
         assert status == 503
         for at in (1, 2):
-            w.network.heal(f"node-{at}", machine)
+            w.network.unblock(f"node-{at}", machine)
         w.start(0)
-        assert await w.settled()
-        await w.withdrawn(CANCELLED, 60)
-        await w.over()
+        assert await w.until_ready()
+        await w.cancel_job(CANCELLED, 60)
+        await w.finish()
 
 
 async def test_a_machine_is_shown_one_higher_token_for_a_job_however_often_its_user_asks():
@@ -177,20 +177,20 @@
         term, before = node.view.terms["east"].number, worker.token
         assert await w.submit(0, job(51, **{**SERVICE, "yard": "west"}), None) == 201
         assert await w.until(lambda: w.board.running("run-000051"), 60)
-        silent = next(iter(w.board.where[w.board.running("run-000051")[0]]))
+        silent = next(iter(w.board.machines_by_task[w.board.running("run-000051")[0]]))
         await trio.sleep(10)
-        w.network.cut("node-1", silent)
+        w.network.block("node-1", silent)
         attempts = {0: Attempt(9, machine), 1: Attempt(9, silent)}
         for _ in range(5):
             assert not await machines.are_all_settled(CANCELLED, attempts, term)
             await trio.sleep(1)
-        w.network.heal("node-1", silent)
+        w.network.unblock("node-1", silent)
         assert await machines.are_all_settled(CANCELLED, {0: Attempt(9, machine)}, term)
         assert worker.token == before + 1
         # Another job's start is refused by a token of its own.
         assert await machines.are_all_settled("run-000002", {0: Attempt(10, machine)}, term)
         assert worker.token == before + 2
-        await w.over()
+        await w.finish()
 
 
 async def test_no_start_goes_out_under_a_token_that_its_machine_has_not_shown():
@@ -213,4 +213,4 @@
         await start_recorded(w, job(1, **SERVICE), None)
         assert await w.until(lambda: w.board.running(CANCELLED), 15)
         assert raised and not any("run" in verbs for verbs in raised)
-        await w.over()
+        await w.finish()
--- a/tests/scenarios/test_rolling_upgrade.py
+++ b/tests/scenarios/test_rolling_upgrade.py
@@ -331,7 +331,7 @@
 
 async def cut(w: World, rng: random.Random) -> None:
     await trio.sleep(rng.uniform(0, 8))
-    await w.cut_controller(rng.randrange(3), rng.uniform(8, 25))
+    await w.isolate_controller(rng.randrange(3), rng.uniform(8, 25))
 
 
 async def late(w: World, rng: random.Random) -> None:
@@ -355,7 +355,7 @@
         cancel_within=48 * S,
         **SMALL,
     ) as w:
-        w.state.limits(previous_version.VALUE_BYTES, previous_version.TXN_OPS)
+        w.state.set_limits(previous_version.VALUE_BYTES, previous_version.TXN_OPS)
         assert (
             await w.submit(
                 0, job(1, shape="daemon", legs=6, apart=True, dueS=None, loaners=False), None
@@ -372,24 +372,24 @@
         assert (await w.call(0, "POST", "/v1/jobs", gang(9)))[0] == 400
         assert any(
             records.value_size_bound(value) > 1200
-            for value in w.state.starting("r/slice/").values()
+            for value in w.state.values_with_prefix("r/slice/").values()
         )
         async with trio.open_nursery() as nursery:
             nursery.start_soon(rolled, w, rng, trouble)
             await trio.sleep(rng.uniform(1, 20))
-            await w.withdrawn("run-000004", 120)
+            await w.cancel_job("run-000004", 120)
             for n in range(10, 14):
                 await w.submit(n % 3, job(n, legs=2, crew="blue", dueS=30.0), 8.0)
-        assert await w.settled()
+        assert await w.until_ready()
         assert all(
             not isinstance(controller, previous_version.PreviousVersionController)
             for controller in w.controllers.values()
         )
-        w.state.limits(1200, 4)
+        w.state.set_limits(1200, 4)
         assert await w.submit(1, gang(20, 8, crew="blue"), 10.0) in (200, 201)
         assert await w.submit(2, gang(21, 3, crew="blue"), 10.0) in (200, 201)
-        await w.over()
-        assert w.state.starting("r/gang/") == {}
+        await w.finish()
+        assert w.state.values_with_prefix("r/gang/") == {}
 
 
 def test_a_slice_that_outgrew_the_values_is_split_so_that_each_task_is_in_one_record():
--- a/tests/scenarios/test_scalability.py
+++ b/tests/scenarios/test_scalability.py
@@ -155,7 +155,7 @@
                 lambda n=number, k=tasks: len(w.board.running(f"run-{n:06d}")) == k, 90
             )
             await trio.sleep(10)
-            name = next(iter(w.board.where["run-000001/0"]))
+            name = next(iter(w.board.machines_by_task["run-000001/0"]))
             leader, worker = w.controllers["node-0"].leaders["east"], w.cloud.machines[name].worker
             data, answers = worker.heartbeat(), []
             costs.append(
@@ -191,14 +191,17 @@
     ) as w:
         assert await w.submit(0, job(1, legs=250, dueS=30.0), 100.0) == 201
         assert await w.until(lambda: len(w.board.running("run-000001")) >= 240, 90)
-        assert max(records.value_size_bound(v) for v in w.state.starting("r/").values()) < KIB4
+        assert (
+            max(records.value_size_bound(v) for v in w.state.values_with_prefix("r/").values())
+            < KIB4
+        )
 
         async def over():
             return await w.status(1, "run-000001") == "done"
 
         assert await w.until(over, 200)
         assert len({task for _, task, _ in w.board.starts}) == 250
-        assert w.state.starting("r/slice/") == {}
+        assert w.state.values_with_prefix("r/slice/") == {}
 
 
 async def test_the_widest_array_begins_behind_a_steady_stream_of_small_ones():
@@ -395,7 +398,7 @@
             w.crash(0)
             await trio.sleep(0.1)
             w.start(0)
-            assert await w.settled()
+            assert await w.until_ready()
             late = {
                 "when": [{"path": keys.controller_key("node-0"), "stamp": mod_revision}],
                 "apply": [
@@ -407,7 +410,7 @@
             assert w.state.compare_and_swap(late).status != 200
         assert None not in terms and len(set(terms)) == 4
         assert await w.until(lambda: len(w.board.running("run-000001")) == 2, 90)
-        assert len(set(w.cloud.names)) == len(w.cloud.names)
+        assert len(set(w.cloud.creation_ids)) == len(w.cloud.creation_ids)
 
 
 async def test_a_controller_left_with_its_workers_only_hands_them_over_without_loss():
@@ -419,7 +422,7 @@
             assert await w.until(lambda w=w: len(w.board.running("run-000001")) == 4, 60)
             machines = set(w.cloud.machines)
             for other in ("state", "cloud", "node-1", "node-2"):
-                w.network.cut("node-0", other)
+                w.network.block("node-0", other)
             assert await w.until(lambda w=w: w.controllers["node-1"].up(clock.now()), 5)
             await trio.sleep(3)
             status, _ = await w.call(0, "GET", "/v1/jobs/run-000001")
@@ -445,7 +448,7 @@
                 for other in {"state": ("state", "cloud"), "peers": ("node-1", "node-2")}.get(
                     step, ("state", "cloud", "node-1", "node-2")
                 ):
-                    w.network.heal("node-0", other)
+                    w.network.unblock("node-0", other)
                 await trio.sleep(4)
             assert await w.until(lambda w=w: w.controllers["node-0"].up(clock.now()), 20)
             await trio.sleep(40)
@@ -466,12 +469,12 @@
                 (m, o) for m in inside for o in ("node-1", "node-2")
             ]
             for pair in pairs:
-                w.network.cut(*pair)
-            rented = len(w.cloud.names)
+                w.network.block(*pair)
+            rented = len(w.cloud.creation_ids)
             await trio.sleep(length)
-            assert set(inside) <= set(w.cloud.machines) and len(w.cloud.names) == rented
+            assert set(inside) <= set(w.cloud.machines) and len(w.cloud.creation_ids) == rented
             for pair in pairs:
-                w.network.heal(*pair)
+                w.network.unblock(*pair)
             assert await w.until(lambda w=w: len(w.board.running("run-000001")) == 8, 40)
             await trio.sleep(20)
             assert set(inside) <= set(w.cloud.machines)
--- a/tests/scenarios/test_silent_leaders.py
+++ b/tests/scenarios/test_silent_leaders.py
@@ -57,11 +57,11 @@
         w.crash(0)
         await trio.sleep(outage_after)
         await w.outage(outage)
-        assert await w.until(lambda: w.owner("east") is not None, ROUND_S + ACQUIRING_S, 0.05)
+        assert await w.until(lambda: w.leader_of("east") is not None, ROUND_S + ACQUIRING_S, 0.05)
         await trio.sleep(30)
         assert len(w.board.starts) == started
         w.start(0)
-        assert await w.settled()
+        assert await w.until_ready()
         assert len(w.board.starts) == started
 
 
@@ -73,11 +73,11 @@
     async with world(teams=TEAMS) as w:
         started = await run_tasks(w)
         others = ("state", "node-1", "node-2", *w.cloud.machines)
-        w.nursery.start_soon(w.cut_pairs, [("node-0", other) for other in others], 60)
+        w.nursery.start_soon(w.block_pairs, [("node-0", other) for other in others], 60)
         await trio.sleep(outage_after)
         await w.outage(outage)
         await trio.sleep(60)
-        assert await w.settled()
+        assert await w.until_ready()
         assert len(w.board.starts) == started
 
 
@@ -91,10 +91,10 @@
         before = term(w)
         few = workers_of(w)[: len(workers_of(w)) // 2 * cut_workers]
         pairs = [("node-0", other) for other in ("node-1", "node-2", *few)]
-        w.nursery.start_soon(w.cut_pairs, pairs, 12)
+        w.nursery.start_soon(w.block_pairs, pairs, 12)
         await trio.sleep(11)
         # It reaches the state store, so its lease lasts.
-        assert (term(w), w.owner("east")) == (before, "node-0")
+        assert (term(w), w.leader_of("east")) == (before, "node-0")
         await trio.sleep(20)
         assert len(w.board.starts) == started
 
@@ -105,15 +105,15 @@
         started = await run_tasks(w)
         most = workers_of(w)[1:]
         others = ("state", "node-1", "node-2", *most)
-        w.nursery.start_soon(w.cut_pairs, [("node-0", other) for other in others], 25)
+        w.nursery.start_soon(w.block_pairs, [("node-0", other) for other in others], 25)
         within = SETTINGS.takeover_silence.total_seconds() + ROUND_S + 4 + ACQUIRING_S
         assert within < OWN_LEASE_S + ROUND_S + 4
         await trio.sleep(within)
         assert any(w.controllers[name].election.leadership("east") for name in ("node-1", "node-2"))
         # What it still serves is cancelled meanwhile, and ends in time (the judge).
-        await w.withdrawn("run-000001", 60)
+        await w.cancel_job("run-000001", 60)
         await trio.sleep(40)
-        assert await w.settled()
+        assert await w.until_ready()
         assert len(w.board.starts) == started
 
 
@@ -123,16 +123,16 @@
     async with world(teams=TEAMS) as w:
         w.crash(0)
         w.start(0, older)
-        assert await w.settled()
+        assert await w.until_ready()
         started = await run_tasks(w)
         before = term(w)
         others = ("node-1", "node-2", *workers_of(w))
-        w.nursery.start_soon(w.cut_pairs, [("node-0", other) for other in others], 20)
+        w.nursery.start_soon(w.block_pairs, [("node-0", other) for other in others], 20)
         former = w.controllers["node-0"].election
         assert await w.until(lambda: former.leadership("east") is None, 15, 0.05)
         assert term(w) == before + 1
         await trio.sleep(40)
-        assert await w.settled()
+        assert await w.until_ready()
         assert len(w.board.starts) == started
 
 
@@ -144,10 +144,10 @@
         w.crash(0)
         await trio.sleep(away_s)
         w.start(0)
-        assert await w.until(lambda: w.owner("east") == "node-0", 3, 0.05)
+        assert await w.until(lambda: w.leader_of("east") == "node-0", 3, 0.05)
         before = term(w)
         await trio.sleep(30)
-        assert (term(w), w.owner("east")) == (before, "node-0")
+        assert (term(w), w.leader_of("east")) == (before, "node-0")
         assert len(w.board.starts) == started
 
 
@@ -156,10 +156,10 @@
     async with world(teams=TEAMS) as w:
         await run_tasks(w)
         w.crash(0)
-        assert await w.until(lambda: w.owner("east") is not None, 10, 0.05)
+        assert await w.until(lambda: w.leader_of("east") is not None, 10, 0.05)
         acquired = term(w)
         w.start(0)
         await trio.sleep(20)
         assert term(w) == acquired
-        assert await w.until(lambda: w.owner("east") == "node-0", 30)
+        assert await w.until(lambda: w.leader_of("east") == "node-0", 30)
         assert term(w) == acquired + 1
--- a/tests/scenarios/test_start_reports.py
+++ b/tests/scenarios/test_start_reports.py
@@ -50,8 +50,8 @@
         assert await withdrawn_by_one_call(w, 1) < BEFORE_MACHINES_ARE_ASKED_S
         await trio.sleep(14.0)
         w.start(0)
-        assert await w.settled()
-        await w.over()
+        assert await w.until_ready()
+        await w.finish()
 
 
 async def test_a_task_that_its_machine_lost_is_not_started_again_while_a_report_is_relied_on():
@@ -60,7 +60,7 @@
     async with deployment() as w:
         machine = await machine_of_kept_service(w)
         leader = w.controllers["node-0"]
-        w.nursery.start_soon(w.cut_controller, 0, 5.0)
+        w.nursery.start_soon(w.isolate_controller, 0, 5.0)
         await trio.sleep(0.01)
         # The user is told as soon as the report is read: the leader may still start tasks.
         assert await withdrawn_by_one_call(w, 1) < BEFORE_MACHINES_ARE_ASKED_S
@@ -68,7 +68,7 @@
         await lose_tasks(w, machine)
         await trio.sleep(REPORT_LIFETIME.total_seconds() + 5.0)
         assert not w.board.running(KEPT)
-        await w.over()
+        await w.finish()
 
 
 async def test_a_lost_task_is_started_again_soon_where_all_controllers_are_up():
@@ -77,7 +77,7 @@
         machine = await machine_of_kept_service(w)
         await lose_tasks(w, machine)
         assert await w.until(lambda: w.board.running(KEPT), STARTED_AGAIN_S)
-        await w.over()
+        await w.finish()
 
 
 async def test_a_lost_task_is_started_again_while_a_controller_is_gone():
@@ -89,8 +89,8 @@
         within = REPORT_LIFETIME.total_seconds() + STARTED_AGAIN_S
         assert await w.until(lambda: w.board.running(KEPT), within)
         w.start(2)
-        assert await w.settled()
-        await w.over()
+        assert await w.until_ready()
+        await w.finish()
 
 
 async def test_a_direct_start_that_waited_for_its_turn_is_not_sent_to_a_machine_that_holds_it():
@@ -103,7 +103,7 @@
         await controller.fleet.commands._start_directly(leader, machine, [(key, attempt)])
         assert len(leader_orders(w, machine)) == before
         assert key not in leader.machines[machine].token.direct_starts
-        await w.over()
+        await w.finish()
 
 
 async def test_a_machine_that_restarted_is_reported_before_its_next_heartbeat():
@@ -115,7 +115,7 @@
         position = leader.machines[machine].contact.position
         leader.heartbeats.begin_incarnation(leader.machines[machine], position)
         assert KEPT in leader.unheld.jobs()
-        await w.over()
+        await w.finish()
 
 
 async def test_after_a_failover_a_task_is_held_once_its_machine_shows_the_new_token():
@@ -123,16 +123,16 @@
     async with deployment() as w:
         machine = await machine_of_kept_service(w)
         w.crash(0)
-        assert await w.until(lambda: w.owner("east"), 30)
-        leader = w.controllers[w.owner("east")].leaders["east"]
+        assert await w.until(lambda: w.leader_of("east"), 30)
+        leader = w.controllers[w.leader_of("east")].leaders["east"]
         assert await w.until(lambda: machine in leader.machines, 20, 0.005)
         token = leader.machines[machine].token
         assert not token.confirmed and KEPT in leader.unheld.jobs()
         assert await w.until(lambda: token.confirmed, 10, 0.005)
         assert KEPT not in leader.unheld.jobs()
         w.start(0)
-        assert await w.settled()
-        await w.over()
+        assert await w.until_ready()
+        await w.finish()
 
 
 async def test_a_task_on_a_machine_that_restarted_is_started_again():
@@ -142,4 +142,4 @@
         w.cloud.reboot(machine)
         assert await w.until(lambda: not w.board.running(KEPT), 5, 0.01)
         assert await w.until(lambda: w.board.running(KEPT), 30)
-        await w.over()
+        await w.finish()
--- a/tests/scenarios/test_stops.py
+++ b/tests/scenarios/test_stops.py
@@ -37,7 +37,7 @@
         w.cloud.machines[machine].worker.command_delay = lambda: 1000.0
         await cancel(w)
         assert await w.until(lambda: not w.board.running(KEPT), NEXT_HEARTBEAT_S, 0.02)
-        await w.over()
+        await w.finish()
 
 
 async def test_a_machine_that_hangs_stops_its_task_as_it_goes_on():
@@ -49,7 +49,7 @@
         await cancel(w)
         within = HANG_S + NEXT_HEARTBEAT_S
         assert await w.until(lambda: not w.board.running(KEPT), within, 0.02)
-        await w.over()
+        await w.finish()
 
 
 async def test_a_stop_that_was_carried_out_is_sent_once():
@@ -60,7 +60,7 @@
         await cancel(w)
         await trio.sleep(8)
         assert stops_received(w, machine) == [f"{KEPT}/0"]
-        await w.over()
+        await w.finish()
 
 
 async def test_a_heartbeat_is_judged_anew_while_a_stop_is_open():
--- a/tests/scenarios/test_workers_of_silent_leaders.py
+++ b/tests/scenarios/test_workers_of_silent_leaders.py
@@ -46,7 +46,7 @@
     renewed_at = worker.lease.renewed_at
     assert await w.until(lambda: worker.lease.renewed_at > renewed_at, 5, 0.01)
     others = ("state", "node-1", "node-2", *w.cloud.machines)
-    w.nursery.start_soon(w.cut_pairs, [("node-0", other) for other in others], length)
+    w.nursery.start_soon(w.block_pairs, [("node-0", other) for other in others], length)
 
 
 def first_expiry(w: World) -> float:
@@ -84,15 +84,15 @@
     """Guards against workers kept from the leader that alone may answer them."""
     async with world(teams=TEAMS) as w:
         started = await run_tasks(w)
-        w.nursery.start_soon(w.cut_pairs, PEERS, peers_before + 40)
+        w.nursery.start_soon(w.block_pairs, PEERS, peers_before + 40)
         await trio.sleep(peers_before)
         workers = workers_of(w)[: 1 if lost_by == "one" else None]
-        w.nursery.start_soon(w.cut_pairs, [("node-0", name) for name in workers], lost_for)
+        w.nursery.start_soon(w.block_pairs, [("node-0", name) for name in workers], lost_for)
         await trio.sleep(2)
         if store_out:
             await w.outage(12)
         await trio.sleep(40)
-        assert await w.settled()
+        assert await w.until_ready()
         assert len(w.board.starts) == started
 
 
@@ -112,10 +112,10 @@
         pairs = [("node-0", other) for other in others]
         w.nursery.start_soon(w.outage, 2 * (cut_s + heard_s))
         for _ in range(2):
-            await w.cut_pairs(pairs, cut_s)
+            await w.block_pairs(pairs, cut_s)
             await trio.sleep(heard_s)
         await trio.sleep(40)
-        assert await w.settled()
+        assert await w.until_ready()
         assert len(w.board.starts) == started
 
 
@@ -125,11 +125,11 @@
     async with world(teams=TEAMS) as w:
         started = await run_tasks(w)
         pairs = [("node-0", machine) for machine in w.cloud.machines]
-        w.nursery.start_soon(w.cut_pairs, pairs, cut_s)
+        w.nursery.start_soon(w.block_pairs, pairs, cut_s)
         await trio.sleep(OUTAGE_AFTER_S)
         await w.outage(outage)
         await trio.sleep(cut_s + 30)
-        assert await w.settled()
+        assert await w.until_ready()
         assert len(w.board.starts) == started
 
 
@@ -144,14 +144,14 @@
     async with world(teams=TEAMS) as w:
         w.crash(older_at)
         w.start(older_at, older)
-        assert await w.settled()
+        assert await w.until_ready()
         started = await run_tasks(w)
         others = ("state", "node-1", "node-2", *w.cloud.machines)
-        w.nursery.start_soon(w.cut_pairs, [("node-0", other) for other in others], 60)
+        w.nursery.start_soon(w.block_pairs, [("node-0", other) for other in others], 60)
         await trio.sleep(2.5)
         await w.outage(6)
         await trio.sleep(60)
-        assert await w.settled()
+        assert await w.until_ready()
         assert len(w.board.starts) == started
 
 
@@ -188,7 +188,7 @@
         assert len(workers) >= tasks / 2
         asked = defaultdict(list)
         for worker in workers:
-            worker.sent.append(
+            worker.heartbeat_listeners.append(
                 lambda worker, _body: asked[worker.machine, worker._controller].append(
                     trio.current_time()
                 )
