--- a/tests/scenarios/test_raised_tokens.py
+++ b/tests/scenarios/test_raised_tokens.py
@@ -198,15 +198,15 @@
     async with deployment() as w:
         machine = await machine_of_kept_service(w)
         worker = w.cloud.machines[machine].worker
-        take, raised = worker.take, []
+        handle_answer, raised = worker.handle_answer, []
 
         def note_and_take(answer: dict, *rest) -> bool:
             verbs = [order["verb"] for order in answer.get("orders", [])]
             if answer.get("baton", 0) > worker.token:
                 raised.append(verbs)
-            return take(answer, *rest)
+            return handle_answer(answer, *rest)
 
-        worker.take = note_and_take
+        worker.handle_answer = note_and_take
         await next_heartbeat(w, machine)
         # Nobody knows what became of the direct start, and its fence does not arrive either.
         worker.command_delay = lambda: COMMAND_DELAY_S
