--- a/roadbend/checkers/__init__.py
+++ b/roadbend/checkers/__init__.py
@@ -1,1 +1,1 @@
-"""Checkers: they judge deployments from outside, and use nothing that the controllers conclude."""
+"""Checkers of deployments. They observe from outside and use no conclusion of the controllers."""
--- a/roadbend/checkers/differences.py
+++ b/roadbend/checkers/differences.py
@@ -1,7 +1,7 @@
-"""What really differs between the stored records and the workers, worked out from the fakes.
+"""The actual differences between the stored records and the workers, as the fakes show them.
 
-Nothing of the product is used here, not even its reading of records: this is what its own
-comparison is judged by.
+No code of the scheduler is used here, not even its parsing of records, because its own comparison
+is checked against this one.
 """
 
 from collections.abc import Iterable
@@ -12,11 +12,11 @@
 from roadbend.fakes.worker import FakeWorker
 
 SLICE, JOB = "r/slice/", "r/job/"
-# An attempt's number has the term above so many bits.
+# The term of an attempt's number is above this many bits.
 ATTEMPT_BITS = 32
 
 
-class Placed(NamedTuple):
+class PlacedAttempt(NamedTuple):
     """An attempt at a task on a machine."""
 
     task: str
@@ -31,37 +31,37 @@
 
 @dataclass(frozen=True)
 class TrueDifferences:
-    """Records and workers side by side at one instant."""
-
-    # Recorded and alive on their machines.
-    matching: frozenset[Placed] = frozenset()
-    # Recorded, and the machine works without it.
-    missing: frozenset[Placed] = frozenset()
-    # Recorded, and ended on its machine.
-    ended: frozenset[Placed] = frozenset()
-    # Alive on machines, their jobs cancelled or over.
-    cancelled: frozenset[Placed] = frozenset()
-    # On machines, of jobs that live, in no record.
-    unrecorded: frozenset[Placed] = frozenset()
-    # Recorded on machines that do not work.
-    silent: frozenset[Placed] = frozenset()
-    # Ended on machines and in no record, to be forgotten there.
-    leftovers: frozenset[Placed] = frozenset()
+    """Records compared with workers at one instant."""
+
+    # Recorded, and not ended on their machines.
+    matching: frozenset[PlacedAttempt] = frozenset()
+    # Recorded, but unknown to their running machines.
+    missing: frozenset[PlacedAttempt] = frozenset()
+    # Recorded, but ended on their machines.
+    ended: frozenset[PlacedAttempt] = frozenset()
+    # Not ended on their machines, but their jobs are cancelled or done.
+    cancelled: frozenset[PlacedAttempt] = frozenset()
+    # Not ended on their machines, of live jobs, but not recorded.
+    unrecorded: frozenset[PlacedAttempt] = frozenset()
+    # Recorded on machines that do not run.
+    silent: frozenset[PlacedAttempt] = frozenset()
+    # Ended on their machines and not recorded; they are to be removed there.
+    leftovers: frozenset[PlacedAttempt] = frozenset()
     machines: int = 0
 
     def counts(self) -> dict[str, int]:
-        """Return how many differences of each kind there are."""
+        """Return the number of differences of each kind."""
         names = ("missing", "ended", "cancelled", "unrecorded", "silent", "leftovers")
         return {name: len(getattr(self, name)) for name in names}
 
     @property
     def total(self) -> int:
-        """Return how many differences there are."""
+        """Return the number of all differences."""
         return sum(self.counts().values())
 
     @property
     def needed_orders(self) -> int:
-        """Return how many orders settle them: a start, a removal, or a stop and a removal."""
+        """Return how many orders settle them: a start, a removal, or a stop and a removal each."""
         return (
             len(self.missing)
             + len(self.ended)
@@ -70,59 +70,61 @@
         )
 
 
-def recorded_attempts(state: FakeStateService) -> set[Placed]:
-    """Return the attempts that the stored slices name."""
-    found = set()
+def recorded_attempts(state: FakeStateService) -> set[PlacedAttempt]:
+    """Return the attempts in the stored slices."""
+    attempts = set()
     for key, value in state.values_with_prefix(SLICE).items():
         job = key.removeprefix(SLICE).split("/")[1]
-        for term, start, flat in value["r"]:
-            for at in range(0, len(flat), 3):
-                index, low, rest = flat[at : at + 3]
-                number = term << ATTEMPT_BITS | low
-                found.add(Placed(f"{job}/{index}", number, start + rest))
-    return found
+        for term, machine_prefix, entries in value["r"]:
+            for offset in range(0, len(entries), 3):
+                index, low_bits, machine_suffix = entries[offset : offset + 3]
+                number = term << ATTEMPT_BITS | low_bits
+                attempts.add(
+                    PlacedAttempt(f"{job}/{index}", number, machine_prefix + machine_suffix)
+                )
+    return attempts
 
 
 @dataclass
-class _Sorted:
-    rows: dict[str, set[Placed]] = field(default_factory=dict)
+class _Classified:
+    by_kind: dict[str, set[PlacedAttempt]] = field(default_factory=dict)
 
-    def add(self, name: str, placed: Placed) -> None:
-        self.rows.setdefault(name, set()).add(placed)
+    def add(self, kind: str, attempt: PlacedAttempt) -> None:
+        self.by_kind.setdefault(kind, set()).add(attempt)
 
 
 def true_differences(state: FakeStateService, workers: Iterable[FakeWorker]) -> TrueDifferences:
-    """Compare the stored records with what is on machines now."""
-    recorded, live = recorded_attempts(state), set(_live_jobs(state))
-    working = {worker.machine: worker for worker in workers if not worker.hung}
-    found = _Sorted()
-    held: dict[Placed, Any] = {
-        Placed(task.name, task.attempt, name): task
-        for name, worker in working.items()
+    """Compare the stored records with the attempts on machines now."""
+    recorded, live_jobs = recorded_attempts(state), set(_live_jobs(state))
+    running = {worker.machine: worker for worker in workers if not worker.hung}
+    classified = _Classified()
+    held: dict[PlacedAttempt, Any] = {
+        PlacedAttempt(task.name, task.attempt, machine): task
+        for machine, worker in running.items()
         for task in worker.tasks.values()
     }
-    for placed in recorded | held.keys():
-        found.add(_kind(placed, placed in recorded, held, working, live), placed)
-    rows = {name: frozenset(placed) for name, placed in found.rows.items()}
-    return TrueDifferences(machines=len(working), **rows)
+    for attempt in recorded | held.keys():
+        classified.add(_classify(attempt, attempt in recorded, held, running, live_jobs), attempt)
+    by_kind = {kind: frozenset(attempts) for kind, attempts in classified.by_kind.items()}
+    return TrueDifferences(machines=len(running), **by_kind)
 
 
-def _kind(
-    placed: Placed,
+def _classify(
+    attempt: PlacedAttempt,
     recorded: bool,
-    held: dict[Placed, Any],
-    working: dict[str, FakeWorker],
-    live: set[str],
+    held: dict[PlacedAttempt, Any],
+    running: dict[str, FakeWorker],
+    live_jobs: set[str],
 ) -> str:
-    if placed.machine not in working:
+    if attempt.machine not in running:
         return "silent"
-    task = held.get(placed)
+    task = held.get(attempt)
     if task is None:
-        # A job that is over wants nothing started: its absence is just to be recorded.
-        return "missing" if placed.job in live else "matching"
+        # An attempt of an ended job needs no restart; its end just has to be recorded.
+        return "missing" if attempt.job in live_jobs else "matching"
     if task.state == "ended":
         return "ended" if recorded else "leftovers"
-    if placed.job not in live:
+    if attempt.job not in live_jobs:
         return "cancelled"
     return "matching" if recorded else "unrecorded"
 
--- a/roadbend/checkers/observed_jobs.py
+++ b/roadbend/checkers/observed_jobs.py
@@ -1,11 +1,11 @@
-"""What a checker knows of jobs and machines, from outside."""
+"""Jobs and machines as a checker observes them from outside."""
 
 from dataclasses import dataclass, field
 from typing import Any, NamedTuple
 
 from roadbend.checkers.requirements import resources_of
 
-# The fields that every accepted submission has, in the names of the users' interface.
+# The fields that every accepted submission has, by their names on the wire.
 REQUIRED_FIELDS = (
     "id",
     "lane",
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True)
 class Place:
-    """A machine: what it is, and what it has."""
+    """A machine with its type and zone."""
 
     machine: str
     machine_type: str
@@ -38,7 +38,7 @@
 
 
 class MachineWithCapacity(NamedTuple):
-    """A machine that works, and the CPUs, GPUs and gigabytes of memory that are free on it."""
+    """A running machine, and the CPUs, GPUs and gigabytes of memory that are free on it."""
 
     place: Place
     free: tuple[float, float, float]
@@ -46,23 +46,23 @@
 
 @dataclass
 class ObservedJob:
-    """A job as its users and the machines show it. All times are in seconds."""
+    """A job as its user and the machines show it. All times are in seconds."""
 
     body: dict[str, Any]
     accepted_at: float | None = None
-    # When a withdrawal was first asked for, and when one was first confirmed.
+    # When a cancellation was first requested, and when it was first confirmed.
     cancel_requested_at: float | None = None
     cancelled_at: float | None = None
     done_at: float | None = None
     completed: set[str] = field(default_factory=set)
-    # When a question was last answered, and since when it waits beside free capacity.
+    # When a query was last answered, and since when a task waits although it fits free capacity.
     answered_at: float = 0.0
     waits_since: float | None = None
-    # Accepted and over, as the watchers were last told.
+    # Whether it was accepted and had ended, as last reported to the listeners.
     reported_state: tuple[bool, bool] = (False, False)
 
     @property
-    def name(self) -> str:
+    def id(self) -> str:
         """Return the job's id."""
         return str(self.body["id"])
 
@@ -75,8 +75,8 @@
     def is_complete(self) -> bool:
         """Whether all tasks have completed.
 
-        Those of a gang complete together: one that is done says that all are, though a machine
-        that hangs shows it later.
+        The tasks of a gang complete together: one completed task means that all have completed,
+        although a hung machine shows it later.
         """
         if self.body["shape"] == "group":
             return bool(self.completed)
@@ -84,9 +84,9 @@
 
     def tasks(self) -> list[str]:
         """Return the names of its tasks."""
-        return [f"{self.name}/{n}" for n in range(self.body["legs"])]
+        return [f"{self.id}/{n}" for n in range(self.body["legs"])]
 
     @property
     def resources(self) -> tuple[float, float, float]:
-        """Return the CPUs, GPUs and gigabytes of memory that a task takes."""
+        """Return the CPUs, GPUs and gigabytes of memory that a task needs."""
         return resources_of(self.body)
--- a/roadbend/checkers/search_faults.py
+++ b/roadbend/checkers/search_faults.py
@@ -1,4 +1,4 @@
-"""The faults that the search for broken rules draws, and what each does to a deployment."""
+"""The faults that the search for broken rules injects into a deployment."""
 
 import logging
 import random
@@ -8,131 +8,134 @@
 
 import trio
 
-from roadbend.checkers.protocol_rules import JOBS_PATH, WITHDRAW
+from roadbend.checkers.protocol_rules import CANCEL_SUFFIX, JOBS_PATH
 from roadbend.fakes.world import World
 
-# The share of the jobs that are cancelled as they start, and how long their users ask, in seconds.
-CANCELLED_STARTS, PATIENCE_S = 0.5, 60.0
-# How long a controller is away at the most before it returns in an older version, in seconds.
-OLDER_VERSION_AWAY_S = 12.0
+# The share of jobs that are cancelled as they start, and how long their users repeat the requests,
+# in seconds.
+CANCELLED_STARTS_SHARE, CANCELLATION_TIMEOUT_S = 0.5, 60.0
+# How long a controller is down at most before it returns in an older version, in seconds.
+MAX_OLDER_VERSION_DOWNTIME_S = 12.0
 
 
 class Deployment:
-    """What a run's faults act on.
+    """The deployment of a run, with a method for each fault.
 
-    Each fault lasts about `length` seconds and draws what it needs from `rng`.
+    A fault lasts for about `length` seconds and makes its random draws from `rng`.
     """
 
     def __init__(self, w: World) -> None:
         self.world = w
 
-    def node(self, rng: random.Random) -> int:
+    def draw_index(self, rng: random.Random) -> int:
         """Draw the number of a controller."""
         return rng.randrange(self.world.count)
 
     def some_machines(self, rng: random.Random) -> list[str]:
-        """Draw one machine, some, or all of a zone."""
+        """Draw one machine of a zone, half of them, or all."""
         zone = rng.choice(self.world.zones)
-        rows = sorted(m.id for m in self.world.cloud.machines.values() if m.zone == zone)
-        rows = [row for row in rows if self.world.cloud.machines[row].status == "running"]
-        if not rows:
+        ids = sorted(m.id for m in self.world.cloud.machines.values() if m.zone == zone)
+        ids = [id_ for id_ in ids if self.world.cloud.machines[id_].status == "running"]
+        if not ids:
             return []
-        return rng.sample(rows, rng.choice((1, (len(rows) + 1) // 2, len(rows))))
+        return rng.sample(ids, rng.choice((1, (len(ids) + 1) // 2, len(ids))))
 
     # Faults of controllers.
 
     async def crash(self, length: float, rng: random.Random) -> None:
-        """End a controller, and start it again."""
-        at = self.node(rng)
-        if f"node-{at}" not in self.world.controllers:
+        """Crash a controller, and start it again later."""
+        index = self.draw_index(rng)
+        if f"node-{index}" not in self.world.controllers:
             return
-        self.world.crash(at)
+        self.world.crash(index)
         await trio.sleep(length)
-        self.world.start(at)
+        self.world.start(index)
 
     async def crash_all(self, length: float, rng: random.Random) -> None:
-        """End all controllers at once, and start them one after the other."""
-        down = [at for at in range(self.world.count) if f"node-{at}" in self.world.controllers]
-        for at in down:
-            self.world.crash(at)
+        """Crash all controllers at once, and start them one after the other."""
+        down = [
+            index for index in range(self.world.count) if f"node-{index}" in self.world.controllers
+        ]
+        for index in down:
+            self.world.crash(index)
         await trio.sleep(length)
-        for at in down:
-            self.world.start(at)
+        for index in down:
+            self.world.start(index)
             await trio.sleep(rng.uniform(0.0, 2.0))
 
     async def older_version(self, length: float, rng: random.Random) -> None:
-        """End a controller, start it in the version in production, and replace that one later."""
-        at = self.node(rng)
-        if f"node-{at}" not in self.world.controllers:
+        """Replace a controller by one of the version in production for a while."""
+        index = self.draw_index(rng)
+        if f"node-{index}" not in self.world.controllers:
             return
-        self.world.crash(at)
-        await trio.sleep(rng.uniform(0.1, OLDER_VERSION_AWAY_S))
-        self.world.start(at, True)
+        self.world.crash(index)
+        await trio.sleep(rng.uniform(0.1, MAX_OLDER_VERSION_DOWNTIME_S))
+        self.world.start(index, True)
         await trio.sleep(length)
-        if f"node-{at}" in self.world.controllers:
-            self.world.crash(at)
-        self.world.start(at)
+        if f"node-{index}" in self.world.controllers:
+            self.world.crash(index)
+        self.world.start(index)
 
     async def stall(self, length: float, rng: random.Random) -> None:
-        """Let a controller stand still."""
-        await self.world.stalls.stall(f"node-{self.node(rng)}", length)
+        """Pause the process of a controller."""
+        await self.world.stalls.stall(f"node-{self.draw_index(rng)}", length)
 
     async def slow(self, length: float, rng: random.Random) -> None:
-        """Let a controller stand still again and again."""
-        host, end = f"node-{self.node(rng)}", trio.current_time() + length
+        """Pause the process of a controller repeatedly for short times."""
+        host, end = f"node-{self.draw_index(rng)}", trio.current_time() + length
         while trio.current_time() < end:
             await self.world.stalls.stall(host, rng.uniform(0.1, 1.5))
             await trio.sleep(rng.uniform(0.01, 0.3))
 
     async def hand_over(self, _length: float, rng: random.Random) -> None:
-        """Let a controller give up the partitions that it leads."""
-        node = self.world.controllers.get(f"node-{self.node(rng)}")
-        if node is None:
+        """Let a controller fail over the partitions that it leads."""
+        controller = self.world.controllers.get(f"node-{self.draw_index(rng)}")
+        if controller is None:
             return
-        for partition in list(node.leaders):
+        for partition in list(controller.leaders):
             try:
-                await node.election.fail_over(partition)
-            except Exception:  # Whatever keeps it from handing over, the run goes on.
-                logging.getLogger("search").info("no hand-over", exc_info=True)
+                await controller.election.fail_over(partition)
+            except Exception:  # A failed failover must not end the run.
+                logging.getLogger("search").info("failover failed", exc_info=True)
 
     async def isolate_controller(self, length: float, rng: random.Random) -> None:
-        """Cut a controller off from all but its machines."""
-        await self.world.isolate_controller(self.node(rng), length)
+        """Partition a controller from the state store and the other controllers."""
+        await self.world.isolate_controller(self.draw_index(rng), length)
 
     async def isolate_zone(self, length: float, rng: random.Random) -> None:
-        """Cut a zone off, its controller included."""
-        await self.world.isolate_zone(self.node(rng), length)
+        """Partition a zone, including its controller, from everything else."""
+        await self.world.isolate_zone(self.draw_index(rng), length)
 
-    # Faults of the state service and the cloud.
+    # Faults of the state store and the cloud.
 
     async def outage(self, length: float, _rng: random.Random) -> None:
-        """Let the state store answer nobody."""
+        """Take the state store down."""
         await self.world.outage(length)
 
     async def refuse(self, length: float, rng: random.Random) -> None:
-        """Let the state store refuse one controller."""
-        await self.world.refuse(self.node(rng), length)
+        """Let the state store refuse all requests of one controller."""
+        await self.world.refuse(self.draw_index(rng), length)
 
     async def slow_state(self, length: float, rng: random.Random) -> None:
-        """Let the state store answer late."""
+        """Delay all answers of the state store."""
         self.world.state.slow = rng.uniform(0.05, 1.2)
         await trio.sleep(length)
         self.world.state.slow = 0.0
 
     async def late_writes(self, length: float, rng: random.Random) -> None:
-        """Let some transactions be carried out late and never be answered."""
+        """Let some transactions be committed late and never answered."""
         self.world.state.late_writes(rng.uniform(0.1, 0.5), rng)
         await trio.sleep(length)
         self.world.state.late_writes(0.0, None)
 
     async def lost_answers(self, length: float, rng: random.Random) -> None:
-        """Let some transactions be carried out at once and never be answered."""
+        """Let some transactions be committed at once and never answered."""
         self.world.state.lose_answers(rng.uniform(0.1, 0.5), rng)
         await trio.sleep(length)
         self.world.state.lose_answers(0.0, None)
 
     async def no_cloud(self, length: float, _rng: random.Random) -> None:
-        """Let the cloud answer nobody."""
+        """Take the cloud's API down."""
         self.world.cloud.down = True
         await trio.sleep(length)
         self.world.cloud.down = False
@@ -140,25 +143,27 @@
     # Faults of machines and of the network.
 
     async def cut_machines(self, length: float, rng: random.Random) -> None:
-        """Cut some machines off from all controllers."""
+        """Partition some machines from all controllers."""
         machines = self.some_machines(rng)
         controllers = [f"node-{n}" for n in range(self.world.count)]
-        await self.world.block_pairs([(m, node) for m in machines for node in controllers], length)
+        await self.world.block_pairs(
+            [(m, controller) for m in machines for controller in controllers], length
+        )
 
     async def flap(self, length: float, rng: random.Random) -> None:
-        """Cut machines off for about as long as a lease; they are back for moments only."""
+        """Partition machines for about one lease at a time, with short reconnections in between."""
         machines, end = self.some_machines(rng), trio.current_time() + length
         controllers = [f"node-{n}" for n in range(self.world.count)]
-        pairs = [(machine, node) for machine in machines for node in controllers]
+        pairs = [(machine, controller) for machine in machines for controller in controllers]
         while trio.current_time() < end:
             await self.world.block_pairs(pairs, rng.uniform(14.0, 24.0))
             await trio.sleep(rng.uniform(0.2, 4.0))
 
     async def lease_edge(self, length: float, rng: random.Random) -> None:
-        """Cut machines off until their leases end.
+        """Partition machines until about the end of their leases.
 
-        They are back for a moment while the records can't be reached, or have just come back; none
-        can be deleted meanwhile.
+        They are reachable for a moment while the state store is down or has just returned. No
+        machine can be deleted meanwhile.
         """
         machines = self.some_machines(rng)
         pairs = [(m, f"node-{n}") for m in machines for n in range(self.world.count)]
@@ -172,15 +177,14 @@
         self.world.cloud.refuse_deletion = False
 
     async def held_burst(self, length: float, rng: random.Random) -> None:
-        """Hold heartbeats back until they come all at once.
+        """Hold heartbeats back until they all arrive at once.
 
-        Meanwhile transactions are carried out and their answers lost; then the machines are out of
-        reach.
+        At about that time answers to transactions are lost; then the machines are partitioned.
         """
-        machines, at = self.some_machines(rng), self.node(rng)
+        machines, index = self.some_machines(rng), self.draw_index(rng)
         self.world.cloud.refuse_deletion = True
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self.world.hold, [(m, f"node-{at}") for m in machines], length)
+            nursery.start_soon(self.world.hold, [(m, f"node-{index}") for m in machines], length)
             await trio.sleep(length * 0.9)
             nursery.start_soon(self.lost_answers, 4.0, rng)
         pairs = [(m, f"node-{n}") for m in machines for n in range(self.world.count)]
@@ -188,37 +192,37 @@
         self.world.cloud.refuse_deletion = False
 
     async def hold_packets(self, length: float, rng: random.Random) -> None:
-        """Hold back packets between some machines and a controller, one way or both."""
-        node = f"node-{self.node(rng)}"
-        out = [(machine, node) for machine in self.some_machines(rng)]
-        back = [(node, machine) for machine, _ in out]
-        await self.world.hold(rng.choice((out, back, out + back)), length)
+        """Hold back packets between some machines and a controller, in one direction or both."""
+        controller = f"node-{self.draw_index(rng)}"
+        inbound = [(machine, controller) for machine in self.some_machines(rng)]
+        outbound = [(controller, machine) for machine, _ in inbound]
+        await self.world.hold(rng.choice((inbound, outbound, inbound + outbound)), length)
 
     async def hold_state(self, length: float, rng: random.Random) -> None:
-        """Hold back packets between a controller and the state store, one way."""
-        node = f"node-{self.node(rng)}"
-        way = rng.choice(((node, "state"), ("state", node)))
-        await self.world.hold([way], length)
+        """Hold back packets between a controller and the state store, in one direction."""
+        controller = f"node-{self.draw_index(rng)}"
+        direction = rng.choice(((controller, "state"), ("state", controller)))
+        await self.world.hold([direction], length)
 
     async def reset(self, length: float, rng: random.Random) -> None:
-        """Break the connections of some machines, again and again."""
+        """Break the connections of some machines repeatedly."""
         machines, end = self.some_machines(rng), trio.current_time() + length
         while trio.current_time() < end:
             for machine in machines:
-                for at in range(self.world.count):
-                    self.world.network.reset(machine, f"node-{at}")
+                for index in range(self.world.count):
+                    self.world.network.reset(machine, f"node-{index}")
             await trio.sleep(rng.uniform(0.05, 2.0))
 
     async def hang(self, length: float, rng: random.Random) -> None:
-        """Let some machines stand still."""
+        """Hang some machines."""
         await self.world.hang(self.some_machines(rng), length)
 
     async def block_inbound(self, length: float, rng: random.Random) -> None:
-        """Let nobody open connections to some machines."""
+        """Block all inbound traffic of some machines."""
         await self.world.block_inbound(self.some_machines(rng), length)
 
     async def block_outbound(self, length: float, rng: random.Random) -> None:
-        """Let some machines open no connections."""
+        """Keep some machines from opening connections."""
         await self.world.block_outbound(self.some_machines(rng), length)
 
     async def reboot(self, _length: float, rng: random.Random) -> None:
@@ -227,12 +231,12 @@
             self.world.cloud.reboot(machine)
 
     async def die(self, _length: float, rng: random.Random) -> None:
-        """End some machines with all that is on them."""
+        """End some machines and all tasks on them."""
         for machine in self.some_machines(rng):
             self.world.cloud.kill(machine)
 
     async def notice(self, length: float, rng: random.Random) -> None:
-        """Announce that the cloud takes machines back, and take them at the end."""
+        """Send reclaim notices for some machines, and end the machines when the time is up."""
         machines = self.some_machines(rng)
         for worker in self.world.workers():
             if worker.machine in machines:
@@ -243,73 +247,75 @@
                 self.world.cloud.kill(machine)
 
     async def replay_heartbeats(self, length: float, rng: random.Random) -> None:
-        """Let copies of heartbeats arrive late."""
+        """Deliver copies of heartbeats late."""
         await self.world.replay_heartbeats(rng.uniform(0.1, 0.6), length, rng)
 
     async def replay_heartbeats_to_next_leader(self, length: float, rng: random.Random) -> None:
-        """Let copies of heartbeats arrive late, at the next leader."""
+        """Deliver copies of heartbeats late, to the next leader."""
         await self.world.replay_heartbeats_to_next_leader(rng.uniform(0.1, 0.6), length, rng)
 
     async def delay_commands(self, length: float, rng: random.Random) -> None:
-        """Let direct commands arrive late."""
+        """Deliver direct commands late."""
         await self.world.delay_commands(rng.uniform(0.1, 0.6), length, rng)
 
-    # What users do.
+    # Actions of users.
 
     async def cancel_starts(self, length: float, rng: random.Random) -> None:
-        """Cancel jobs as soon as their first start is recorded, while machines hang for moments.
+        """Cancel jobs as soon as their first start is recorded, while machines hang briefly.
 
-        Users ask every controller in every way until the cancellation is confirmed.
+        Users send every kind of request to any controller until the cancellation is confirmed.
         """
-        end, seen = trio.current_time() + length, self._jobs_with_starts()
+        end, known = trio.current_time() + length, self._jobs_with_starts()
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._hang_for_moments, end, rng)
+            nursery.start_soon(self._hang_briefly, end, rng)
             while trio.current_time() < end:
                 await trio.sleep(rng.uniform(0.005, 0.05))
-                begun = self._jobs_with_starts()
-                for called in sorted(begun - seen):
-                    if rng.random() < CANCELLED_STARTS:
-                        nursery.start_soon(self._ask_until_cancelled, called, rng)
-                seen |= begun
+                started = self._jobs_with_starts()
+                for job_id in sorted(started - known):
+                    if rng.random() < CANCELLED_STARTS_SHARE:
+                        nursery.start_soon(self._request_until_cancelled, job_id, rng)
+                known |= started
 
     def _jobs_with_starts(self) -> set[str]:
-        """Return the jobs of which a start is recorded."""
+        """Return the jobs with at least one recorded start."""
         return {key.split("/")[3] for key in self.world.state.values_with_prefix("r/slice/")}
 
-    async def _hang_for_moments(self, end: float, rng: random.Random) -> None:
+    async def _hang_briefly(self, end: float, rng: random.Random) -> None:
         while trio.current_time() < end:
             await self.world.hang(self.some_machines(rng), rng.uniform(0.3, 6.0))
             await trio.sleep(rng.uniform(0.0, 2.0))
 
-    async def _ask_until_cancelled(self, called: str, rng: random.Random) -> None:
-        """Withdraw a job, ask after it and submit it again, at any controller."""
-        case = self.world.rules.jobs[called]
-        path = f"{JOBS_PATH}/{called}"
-        end = trio.current_time() + PATIENCE_S
+    async def _request_until_cancelled(self, job_id: str, rng: random.Random) -> None:
+        """Cancel a job, query it and submit it again, at any controller, until it has ended."""
+        job = self.world.rules.jobs[job_id]
+        path = f"{JOBS_PATH}/{job_id}"
+        end = trio.current_time() + CANCELLATION_TIMEOUT_S
         requests: list[tuple[str, str, Any]] = [
-            ("POST", f"{path}{WITHDRAW}", {}),
+            ("POST", f"{path}{CANCEL_SUFFIX}", {}),
             ("GET", path, None),
-            ("POST", JOBS_PATH, case.body),
+            ("POST", JOBS_PATH, job.body),
         ]
-        while not case.has_ended and trio.current_time() < end:
+        while not job.has_ended and trio.current_time() < end:
             for method, target, body in requests:
-                await self.world.call(self.node(rng), method, target, body)
+                await self.world.call(self.draw_index(rng), method, target, body)
             await trio.sleep(rng.uniform(0.01, 0.3))
 
     async def cancel(self, _length: float, rng: random.Random) -> None:
         """Cancel some jobs at once, each at any controller."""
-        cases = [
-            c.name for c in self.world.rules.jobs.values() if c.accepted_at and not c.has_ended
+        job_ids = [
+            job.id
+            for job in self.world.rules.jobs.values()
+            if job.accepted_at and not job.has_ended
         ]
         async with trio.open_nursery() as nursery:
-            for called in rng.sample(cases, min(len(cases), 4)):
-                path, at = f"/v1/jobs/{called}/withdraw", self.node(rng)
-                nursery.start_soon(self.world.call, at, "POST", path, {})
+            for job_id in rng.sample(job_ids, min(len(job_ids), 4)):
+                path, index = f"/v1/jobs/{job_id}/withdraw", self.draw_index(rng)
+                nursery.start_soon(self.world.call, index, "POST", path, {})
 
 
 @dataclass(frozen=True)
 class Kind:
-    """A kind of fault, and between which lengths it is drawn, in seconds."""
+    """A kind of fault, and the bounds for its random length, in seconds."""
 
     begin: Callable[[Deployment, float, random.Random], Awaitable[None]]
     length: tuple[float, float]
@@ -350,6 +356,6 @@
     "cancel-starts": Kind(Deployment.cancel_starts, (5.0, 20.0)),
 }
 
-
-# Kinds that a seed draws only where `--kinds` names them, so that seeds keep their runs.
+# Kinds that are drawn only if `--kinds` names them, so that a seed still gives the same run as
+# before they were added.
 ONLY_ON_REQUEST = {"crash-all", "older-version", "cancel-starts"}
--- a/roadbend/checkers/test_search.py
+++ b/roadbend/checkers/test_search.py
@@ -1,4 +1,4 @@
-"""The search for broken rules finds what it is to find, and goes the same way every time."""
+"""The search finds a planted fault, its runs are reproducible, and earlier findings stay fixed."""
 
 import random
 
@@ -16,18 +16,18 @@
 async def start_again_elsewhere(
     deployment: Deployment, _length: float, _rng: random.Random
 ) -> None:
-    """Plant a double start: another machine is told to start a task that runs."""
+    """Plant a double start: order another machine to start a running task."""
     board = deployment.world.board
-    task, homes = next((task, homes) for task, homes in board.machines_by_task.items() if homes)
-    other = next(worker for worker in deployment.world.workers() if worker.machine not in homes)
-    # At once, for the controllers would stop it with its machine's next report.
+    task, machines = next((t, ids) for t, ids in board.machines_by_task.items() if ids)
+    other = next(worker for worker in deployment.world.workers() if worker.machine not in machines)
+    # Start at once, because the controllers would stop the task at its machine's next heartbeat.
     other.settings.fetch_s = 0.0
     other.execute([{"verb": "run", "leg": task, "try": 1}])
 
 
 def test_a_planted_double_start_is_found_and_the_run_made_small(monkeypatch):
     monkeypatch.setitem(FAULTS, "planted", Kind(start_again_elsewhere, (0.1, 0.2)))
-    monkeypatch.setattr(search_runs, "QUIET", 5.0)
+    monkeypatch.setattr(search_runs, "QUIET_S", 5.0)
     faults = (Fault(30.0, "cancel", 0.1, 1), Fault(40.0, "planted", 0.1, 2))
     run = Run(0, sorted(SITES)[0], faults)
     broken = search_runs.play_alone(run)
@@ -43,7 +43,10 @@
 
 
 def test_the_run_that_showed_a_task_in_two_places_breaks_no_rule_any_more():
-    """Found by the search on 0.6.0 (seed 53) and made small: ran_twice at 51.9 s."""
+    """Guards against a double start that the search found in 0.6.0 (seed 53).
+
+    The shrunk run broke `ran_twice` at 51.9 s.
+    """
     faults = (
         Fault(28.40, "lease-edge", 4.03, 466052218),
         Fault(29.95, "hold-packets", 13.38, 446364384),
@@ -53,7 +56,10 @@
 
 
 def test_the_run_in_which_completed_tasks_ran_again_breaks_no_rule_any_more():
-    """Found by the search on 61282d6 (seed 60, eleven kinds) and made small: quota at 105.4 s."""
+    """Guards against second runs of completed tasks, found at 61282d6 (seed 60, eleven kinds).
+
+    The shrunk run broke `quota` at 105.4 s.
+    """
     faults = (
         Fault(49.47013577795059, "refuse", 1.8381475396874043, 327856009),
         Fault(55.66522703305958, "slow-state", 24.83392636577453, 703291634),
@@ -64,17 +70,17 @@
 
 async def test_a_controller_that_stands_still_does_nothing_meanwhile_and_then_goes_on():
     async with world() as w:
-        answered = []
+        answered_at = []
 
-        async def ask() -> None:
+        async def send_request() -> None:
             await w.call(0, "POST", "/v1/jobs", job(1), within=9)
-            answered.append(trio.current_time())
+            answered_at.append(trio.current_time())
 
         began = trio.current_time()
         async with trio.open_nursery() as nursery:
             nursery.start_soon(w.stalls.stall, "node-0", 4.0)
             await trio.sleep(0.5)
-            nursery.start_soon(ask)
+            nursery.start_soon(send_request)
             assert (await w.call(1, "GET", "/v1/jobs/run-000009"))[0] == 404
             assert trio.current_time() - began < 2
-        assert answered[0] - began >= 4.0
+        assert answered_at[0] - began >= 4.0
--- a/roadbend/fakes/__main__.py
+++ b/roadbend/fakes/__main__.py
@@ -18,7 +18,7 @@
 
 
 async def serve(paths: list[Path]) -> None:
-    """Runs until it is ended."""
+    """Serve until cancelled, and print each broken rule."""
     async with trio.open_nursery() as nursery:
         fakes = Loopback(nursery, ADDRESSES, Limits())
         await fakes.start()
@@ -34,7 +34,7 @@
 
 
 def main() -> int:
-    """Writes the settings files and serves."""
+    """Write the settings files and serve the fakes."""
     parser = argparse.ArgumentParser(prog="roadbend.fakes", description=__doc__)
     parser.add_argument("directory", type=Path, help="where the settings files are written")
     arguments = parser.parse_args()
--- a/roadbend/fakes/cloud.py
+++ b/roadbend/fakes/cloud.py
@@ -1,4 +1,4 @@
-"""The cloud's fake: a catalog, capacity, and machines that boot and whose workers then run."""
+"""Fake of the cloud: a catalog, limited capacity, and machines that boot and run workers."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -9,19 +9,19 @@
 
 from roadbend.http.server import Request, Response, decode
 
-# The most machines that one answer lists.
-MOST_PER_PAGE = 500
+# How many machines one answer lists at most.
+MAX_PAGE_SIZE = 500
 
 
 @dataclass
-class Rented:
-    """A machine of the fake cloud, and the scopes that end it or its present incarnation."""
+class CloudMachine:
+    """A machine of the fake cloud, and the scopes that cancel it or its current incarnation."""
 
     id: str
     machine_type: str
     zone: str
     spot: bool
-    since: float
+    created_at: float
     status: str = "booting"
     worker: Any = None
     scope: trio.CancelScope | None = None
@@ -29,36 +29,38 @@
 
 
 class FakeCloud:
-    """The cloud in memory: its catalog, creation and deletion of machines, and their list."""
+    """The cloud in memory: its catalog, and the creation, deletion and list of machines."""
 
     def __init__(
         self,
         nursery: trio.Nursery,
         machine_types: list[dict],
         capacity: int,
-        make: Callable[..., Any],
+        make_worker: Callable[..., Any],
     ):
-        """Make an empty cloud.
+        """Create an empty cloud.
 
-        `capacity`: how many machines there are of each type, zone and kind. `make(machine id, type,
-        zone, spot)` gives a worker with a `run` method and an `address`.
+        `capacity`: how many machines there can be of each type and zone, on demand and spot each.
+        `make_worker(machine id, type, zone, spot)` returns a worker with a `run` method and an
+        `address`.
         """
-        self._nursery, self._machine_types, self._capacity, self._make = (
+        self._nursery, self._machine_types, self._capacity, self._make_worker = (
             nursery,
             machine_types,
             capacity,
-            make,
+            make_worker,
         )
-        self.machines: dict[str, Rented] = {}
-        self._hires: dict[str, list[str]] = {}
+        self.machines: dict[str, CloudMachine] = {}
+        self._created_by_request: dict[str, list[str]] = {}
         self._count = 0
         self.down = False
         self.refuse_deletion = False
-        # Zones in which there is no machine to be had.
+        # Zones in which no machine can be created.
         self.unavailable_zones: set[str] = set()
+        # Ids of all creation requests that were carried out.
         self.creation_ids: list[str] = []
         self.requests = 0
-        # How long a boot takes, whatever the type says; None: as the type says.
+        # How long a boot takes, in seconds; None: as the catalog says.
         self.boot_seconds: float | None = None
 
     def _boot_s(self, machine_type: str) -> float:
@@ -66,23 +68,23 @@
             return self.boot_seconds
         return next(row["startupS"] for row in self._machine_types if row["name"] == machine_type)
 
-    async def _boot(self, machine: Rented) -> None:
+    async def _boot(self, machine: CloudMachine) -> None:
         with trio.CancelScope() as machine.scope:
             await trio.sleep(self._boot_s(machine.machine_type))
             machine.status = "running"
             while True:
-                machine.worker = self._make(
+                machine.worker = self._make_worker(
                     machine.id, machine.machine_type, machine.zone, machine.spot
                 )
                 with trio.CancelScope() as machine.incarnation:
                     await machine.worker.run()
 
     def reboot(self, name: str) -> None:
-        """Stop a machine; it is back at once, holding nothing, and its counts begin anew."""
+        """Restart a machine at once; it loses its tasks, and its counters start again."""
         self.machines[name].incarnation.cancel()
 
     def kill(self, name: str) -> None:
-        """Let a machine die with all that is on it."""
+        """End a machine and all tasks on it; it is listed as failed."""
         machine = self.machines[name]
         machine.status = "failed"
         machine.scope.cancel()
@@ -96,7 +98,7 @@
         if request.path == "/catalog":
             return Response(200, {"rigs": self._machine_types})
         if request.path == "/machines" and request.method == "POST":
-            return self._rent(decode(request.body))
+            return self._create(decode(request.body))
         if request.path == "/machines/delete":
             return self._delete(decode(request.body)["hitches"])
         if request.path == "/machines":
@@ -114,8 +116,8 @@
         return Response(200, {})
 
     def _list(self, after: str) -> Response:
-        """List machines in the order of their names, a page at a time."""
-        rows = [m for name, m in sorted(self.machines.items()) if name > after]
+        """Return a page of machines, sorted by id."""
+        remaining = [m for name, m in sorted(self.machines.items()) if name > after]
         now = trio.current_time()
         listed = [
             {
@@ -125,28 +127,28 @@
                 "yard": m.zone,
                 "loaners": m.spot,
                 "status": m.status,
-                "ageS": now - m.since,
+                "ageS": now - m.created_at,
             }
-            for m in rows[:MOST_PER_PAGE]
+            for m in remaining[:MAX_PAGE_SIZE]
         ]
-        return Response(200, {"hitches": listed, "more": len(rows) > MOST_PER_PAGE})
+        return Response(200, {"hitches": listed, "more": len(remaining) > MAX_PAGE_SIZE})
 
-    def _rent(self, body: dict) -> Response:
-        name = body["hire"]
-        if name in self._hires:
-            return Response(200, {"hitches": self._hires[name]})
-        alike = sum(
+    def _create(self, body: dict) -> Response:
+        creation_id = body["hire"]
+        if creation_id in self._created_by_request:
+            return Response(200, {"hitches": self._created_by_request[creation_id]})
+        existing = sum(
             1
             for m in self.machines.values()
             if (m.machine_type, m.zone, m.spot) == (body["rig"], body["yard"], body["loaners"])
             and m.status != "failed"
         )
-        free = 0 if body["yard"] in self.unavailable_zones else self._capacity - alike
+        free = 0 if body["yard"] in self.unavailable_zones else self._capacity - existing
         if free <= 0:
             return Response(503, {"error": "no capacity"})
-        got = []
+        created = []
         for _ in range(min(free, body["howMany"])):
-            machine = Rented(
+            machine = CloudMachine(
                 f"m-{self._count:06d}",
                 body["rig"],
                 body["yard"],
@@ -156,7 +158,7 @@
             self._count += 1
             self.machines[machine.id] = machine
             self._nursery.start_soon(self._boot, machine)
-            got.append(machine.id)
-        self._hires[name] = got
-        self.creation_ids.append(name)
-        return Response(200, {"hitches": got})
+            created.append(machine.id)
+        self._created_by_request[creation_id] = created
+        self.creation_ids.append(creation_id)
+        return Response(200, {"hitches": created})
--- a/roadbend/fakes/collector.py
+++ b/roadbend/fakes/collector.py
@@ -1,4 +1,4 @@
-"""A collector's fake: takes OTLP over HTTP on loopback, and checks what arrives."""
+"""Fake of a collector: receives OTLP over HTTP on loopback, and validates it."""
 
 from __future__ import annotations
 
@@ -9,7 +9,10 @@
 
 
 class FakeCollector:
-    """Keeps the spans that came; `status` and `hang` make it refuse or never answer."""
+    """Stores received spans. It can be set to refuse requests with `status`.
+
+    Clearing `hang` delays all answers until it is set again.
+    """
 
     def __init__(self) -> None:
         self.spans: list = []
@@ -22,10 +25,10 @@
 
         class Handler(BaseHTTPRequestHandler):
             def do_POST(self) -> None:  # noqa: N802
-                collector._take(self)
+                collector._handle(self)
 
             def log_message(self, *_: object) -> None:
-                """Nothing is printed."""
+                """Suppress the log of requests."""
 
         self._server = ThreadingHTTPServer(("127.0.0.1", 0), Handler)
         self._server.daemon_threads = True
@@ -34,10 +37,10 @@
 
     @property
     def url(self) -> str:
-        """Where spans are to be sent."""
+        """The URL to which spans are to be sent."""
         return f"http://127.0.0.1:{self._server.server_address[1]}/v1/traces"
 
-    def _take(self, handler: BaseHTTPRequestHandler) -> None:
+    def _handle(self, handler: BaseHTTPRequestHandler) -> None:
         body = handler.rfile.read(int(handler.headers["content-length"]))
         self.hang.wait()
         if self.status == 200:
@@ -62,7 +65,7 @@
                 self.problems.append(f"times of {span.name}")
 
     def close(self) -> None:
-        """Vanishes."""
+        """Stop the server."""
         self.hang.set()
         self._server.shutdown()
         self._server.server_close()
--- a/roadbend/fakes/fault_injection.py
+++ b/roadbend/fakes/fault_injection.py
@@ -18,17 +18,17 @@
     from roadbend.fakes.worker import FakeWorker
     from roadbend.settings import PlatformSettings
 
-# How late a direct command or a copy of a report may come at the least, in seconds.
-LATE_AT_LEAST = 2.0
-# The longest time that a direct command is held up.
-LATEST_COMMAND = 16.0
-# Copies kept for the next owner of a partition, and how often it is looked whether there is one.
+# The bounds for the delay of a direct command, in seconds.
+MIN_COMMAND_DELAY_S = 2.0
+MAX_COMMAND_DELAY_S = 16.0
+# How many copies of heartbeats are kept for a partition's next leader, and how often is checked for
+# a new leader, in seconds.
 MAX_COPIES = 400
-OWNER_POLL = 0.05
+LEADER_POLL_INTERVAL_S = 0.05
 
 
 class FaultInjection:
-    """A mixin of `World`."""
+    """A mixin of `World`: each method injects a fault for `length` seconds."""
 
     network: Network
     state: FakeStateService
@@ -38,138 +38,148 @@
     call: Callable[..., Awaitable[tuple]]
     workers: Callable[[], list[FakeWorker]]
     zones: tuple[str, ...]
-    _sample: PlatformSettings
-    # Asked about every direct command, see `FakeWorker.command_delay`.
+    _base_settings: PlatformSettings
+    # Called for every direct command, see `FakeWorker.command_delay`.
     _command_delay: Callable[[], float | None] | None = None
 
     async def outage(self, length: float) -> None:
+        """Take the state store down; every lease is renewed at the end."""
         self.state.down = True
         await trio.sleep(length)
         self.state.end_outage()
 
-    async def refuse(self, at: int, length: float) -> None:
-        """The state service refuses one controller alone; its leases run out."""
-        self.state.refused.add(f"node-{at}")
+    async def refuse(self, index: int, length: float) -> None:
+        """Let the state store refuse one controller, whose leases expire meanwhile."""
+        self.state.refused.add(f"node-{index}")
         await trio.sleep(length)
-        self.state.refused.discard(f"node-{at}")
+        self.state.refused.discard(f"node-{index}")
 
     async def block_pairs(self, pairs: list[tuple[str, str]], length: float) -> None:
+        """Block all traffic between pairs of hosts."""
         for pair in pairs:
             self.network.block(*pair)
         await trio.sleep(length)
         for pair in pairs:
             self.network.unblock(*pair)
 
-    async def isolate_controller(self, at: int, length: float) -> None:
-        """It loses the state service and the other controllers, not its workers or users."""
-        others = [f"node-{n}" for n in range(self.count) if n != at]
-        await self.block_pairs([(f"node-{at}", other) for other in ("state", *others)], length)
+    async def isolate_controller(self, index: int, length: float) -> None:
+        """Partition a controller from the state store and its peers, not from workers and users."""
+        others = [f"node-{n}" for n in range(self.count) if n != index]
+        await self.block_pairs([(f"node-{index}", other) for other in ("state", *others)], length)
 
-    async def isolate_zone(self, at: int, length: float) -> None:
-        inside = [m.id for m in self.cloud.machines.values() if m.zone == self.zones[at]]
-        others = [f"node-{n}" for n in range(self.count) if n != at]
-        pairs = [(f"node-{at}", other) for other in ("state", "cloud", *others)]
+    async def isolate_zone(self, index: int, length: float) -> None:
+        """Partition a zone's controller and machines from everything outside the zone."""
+        inside = [m.id for m in self.cloud.machines.values() if m.zone == self.zones[index]]
+        others = [f"node-{n}" for n in range(self.count) if n != index]
+        pairs = [(f"node-{index}", other) for other in ("state", "cloud", *others)]
         await self.block_pairs(pairs + [(m, o) for m in inside for o in others], length)
 
     async def block_inbound(self, machines: list[str], length: float) -> None:
-        """What they report arrives; answers and direct commands are lost."""
+        """Block traffic to machines: heartbeats arrive; answers and direct commands are lost."""
         self.network.inbound_blocked |= set(machines)
         await trio.sleep(length)
         self.network.inbound_blocked -= set(machines)
 
     async def block_outbound(self, machines: list[str], length: float) -> None:
-        """They reach no controller, while direct commands reach them."""
+        """Keep machines from reaching controllers, while direct commands reach them."""
         for machine in machines:
             self.network.block_outbound(machine)
         await trio.sleep(length)
         self.network.outbound_blocked -= set(machines)
 
-    async def hold(self, ways: list[tuple[str, str]], length: float) -> None:
-        """Packets are held back, and arrive late."""
-        for way in ways:
-            self.network.hold(*way)
+    async def hold(self, directions: list[tuple[str, str]], length: float) -> None:
+        """Hold packets back; they arrive late.
+
+        Each direction is a pair of the sending and the receiving host.
+        """
+        for direction in directions:
+            self.network.hold(*direction)
         await trio.sleep(length)
-        for way in ways:
-            self.network.release(*way)
+        for direction in directions:
+            self.network.release(*direction)
 
     async def hang(self, machines: list[str], length: float) -> None:
+        """Hang machines: they do nothing, and continue afterwards where they were."""
         async with trio.open_nursery() as nursery:
             for worker in self.workers():
                 if worker.machine in machines:
                     nursery.start_soon(worker.hang, length)
 
     async def replay_heartbeats(self, share: float, length: float, rng: random.Random) -> None:
-        """Copies of reports arrive again, from 2 s to well over a lease later, at any
-        controller.
+        """Deliver copies of a share of heartbeats again, at any controller.
+
+        They arrive from 2 s to well over a lease late.
         """
 
-        async def again(body: dict) -> None:
-            await trio.sleep(rng.uniform(2, 2.2 * self._sample.lease.total_seconds()))
+        async def deliver(body: dict) -> None:
+            await trio.sleep(rng.uniform(2, 2.2 * self._base_settings.lease.total_seconds()))
             await self.call(rng.randrange(self.count), "POST", "/hello", body)
 
-        def see(_worker, body: dict) -> None:
+        def copy(_worker, body: dict) -> None:
             if rng.random() < share:
-                self.nursery.start_soon(again, body)
+                self.nursery.start_soon(deliver, body)
 
-        touched = self.workers()
-        for worker in touched:
-            worker.heartbeat_listeners.append(see)
+        workers = self.workers()
+        for worker in workers:
+            worker.heartbeat_listeners.append(copy)
         await trio.sleep(length)
-        for worker in touched:
-            worker.heartbeat_listeners.remove(see)
+        for worker in workers:
+            worker.heartbeat_listeners.remove(copy)
 
     async def delay_commands(self, share: float, length: float, rng: random.Random) -> None:
-        """That share of direct commands is held up on its way, unanswered, and arrives once, 2 to
-        16 s late; also on machines that come up meanwhile.
+        """Delay a share of direct commands by 2 to 16 s; they are not answered, and arrive once.
+
+        This includes commands to machines that are created meanwhile.
         """
 
         def delay() -> float | None:
-            late = rng.random() < share
-            return rng.uniform(LATE_AT_LEAST, LATEST_COMMAND) if late else None
+            is_late = rng.random() < share
+            return rng.uniform(MIN_COMMAND_DELAY_S, MAX_COMMAND_DELAY_S) if is_late else None
 
         self._command_delay = delay
         await trio.sleep(length)
         self._command_delay = None
 
     def command_delay(self) -> float | None:
-        """How long the direct command that just came is held up; None: not at all."""
+        """Return how long the direct command that just arrived is delayed, in seconds, or None."""
         return None if self._command_delay is None else self._command_delay()
 
     async def replay_heartbeats_to_next_leader(
         self, share: float, length: float, rng: random.Random
     ) -> None:
-        """Copies of reports are kept until their zone has its next owner, and then reach every
-        controller, at once and again a moment later.
+        """Deliver copies of a share of heartbeats as soon as their zone has a new leader.
+
+        Every controller receives them, at once and twice more within seconds.
         """
         copies: dict[str, list[dict]] = {zone: [] for zone in self.zones}
 
         def keep(_worker: FakeWorker, body: dict) -> None:
             if rng.random() < share:
-                rows = copies[body["yard"]]
-                rows.append(body)
-                del rows[:-MAX_COPIES]
+                zone_copies = copies[body["yard"]]
+                zone_copies.append(body)
+                del zone_copies[:-MAX_COPIES]
 
-        touched = self.workers()
-        for worker in touched:
+        workers = self.workers()
+        for worker in workers:
             worker.heartbeat_listeners.append(keep)
         terms = {zone: self._term(zone) for zone in self.zones}
         end = trio.current_time() + length
         while trio.current_time() < end:
-            await trio.sleep(OWNER_POLL)
+            await trio.sleep(LEADER_POLL_INTERVAL_S)
             for zone in self.zones:
                 if self._term(zone) != terms[zone]:
-                    terms[zone], rows, copies[zone] = self._term(zone), copies[zone], []
-                    self.nursery.start_soon(self._deliver_copies, rows, rng)
-        for worker in touched:
+                    terms[zone], bodies, copies[zone] = self._term(zone), copies[zone], []
+                    self.nursery.start_soon(self._deliver_copies, bodies, rng)
+        for worker in workers:
             worker.heartbeat_listeners.remove(keep)
 
     def _term(self, zone: str) -> int:
         value = self.state.value(f"r/term/{zone}")
         return 0 if value is None else value["n"]
 
-    async def _deliver_copies(self, rows: list[dict], rng: random.Random) -> None:
+    async def _deliver_copies(self, bodies: list[dict], rng: random.Random) -> None:
         for pause in (0.0, rng.uniform(0.1, 1.0), rng.uniform(1.0, 3.0)):
             await trio.sleep(pause)
-            for body in rows:
-                for at in range(self.count):
-                    self.nursery.start_soon(self.call, at, "POST", "/hello", body)
+            for body in bodies:
+                for index in range(self.count):
+                    self.nursery.start_soon(self.call, index, "POST", "/hello", body)
--- a/roadbend/fakes/gangs.py
+++ b/roadbend/fakes/gangs.py
@@ -1,4 +1,4 @@
-"""What scenario tests of gangs share: teams, small records, and how a gang begins."""
+"""Shared parts of scenario tests of gangs: teams, small records, and starting a gang."""
 
 from http import HTTPStatus
 from typing import Any
@@ -6,15 +6,15 @@
 from roadbend.fakes.world import World
 from roadbend.settings import Team
 
-# The first job that a scenario submits.
+# The id of the first job that a scenario submits.
 NAME = "run-000001"
 TEAMS = {"red": Team("red", 0, 0, 4, 24), "blue": Team("blue", 0, 0, 4, 30)}
-# Records and transactions so small that a wide gang needs several.
+# Limits so small that a large gang needs several records and transactions.
 SMALL = dict(value_bytes=2048, txn_ops=4, state_write_rps=25.0)
 
 
 def running(w: World, name: str) -> list[str]:
-    """Return the tasks of a job that really run, not those that wait for each other."""
+    """Return the tasks of a job that run, without those that still wait for the others."""
     return [
         t.name
         for worker in w.workers()
@@ -24,16 +24,16 @@
 
 
 def attempts(w: World, name: str) -> set[int]:
-    """Return the numbers of a gang's attempts, those before its present one included."""
+    """Return the numbers of all attempts of a gang so far."""
     return {a for j, a in w.board.gangs if j == name}
 
 
 async def start_gang(
     w: World, body: dict[str, Any], length: float | None, at: int = 0, within: float = 60
 ) -> list[str]:
-    """Submit a gang, wait until all of it runs, and return its machines.
+    """Submit a gang, wait until all its tasks run, and return its machines.
 
-    `length`: how long its tasks run, in seconds. `within`: how long it may take to begin, in
+    `length`: how long its tasks run, in seconds. `within`: how long it may take to start, in
     seconds.
     """
     assert await w.submit(at, body, length) == HTTPStatus.CREATED
--- a/roadbend/fakes/loopback.py
+++ b/roadbend/fakes/loopback.py
@@ -1,4 +1,4 @@
-"""The fakes on loopback, for controllers that run as processes of their own."""
+"""The fakes on loopback, for controllers that run as separate processes."""
 
 import socket
 from collections.abc import Sequence
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True)
 class Addresses:
-    """Where everything listens."""
+    """The listen addresses of controllers (for clients and for peers) and fakes."""
 
     listen: Sequence[str]
     back: Sequence[str]
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True)
 class Limits:
-    """What the fakes allow."""
+    """Limits of the fakes."""
 
     gpus: float = 8.0
     machines: int = 8
@@ -62,29 +62,29 @@
 
 
 def free_addresses(count: int) -> list[str]:
-    """Addresses on loopback that nobody uses now."""
+    """Return addresses on loopback that are not in use."""
     sockets = [socket.socket() for _ in range(count)]
     try:
-        for one in sockets:
-            one.bind((HOST, 0))
-        return [f"{HOST}:{one.getsockname()[1]}" for one in sockets]
+        for sock in sockets:
+            sock.bind((HOST, 0))
+        return [f"{HOST}:{sock.getsockname()[1]}" for sock in sockets]
     finally:
-        for one in sockets:
-            one.close()
+        for sock in sockets:
+            sock.close()
 
 
-def settings_text(at: int, addresses: Addresses, limits: Limits) -> str:
-    """A controller's settings, as the platform would hand them over."""
+def settings_text(index: int, addresses: Addresses, limits: Limits) -> str:
+    """Return a controller's settings file, as the platform writes it."""
     others = "".join(
         f'[[others]]\nhost_name = "node-{n}"\ndomain = "{ZONES[n]}"\n'
         f'address = "{addresses.back[n]}"\n'
         for n in range(CONTROLLERS)
-        if n != at
+        if n != index
     )
-    return f"""host_name = "node-{at}"
-domain = "{ZONES[at]}"
-client_listen = "{addresses.listen[at]}"
-back = "{addresses.back[at]}"
+    return f"""host_name = "node-{index}"
+domain = "{ZONES[index]}"
+client_listen = "{addresses.listen[index]}"
+back = "{addresses.back[index]}"
 {others}
 [outside]
 cloud = "{addresses.cloud}"
@@ -115,7 +115,7 @@
 
 
 class Loopback:
-    """State service, cloud, workers and users on loopback, with the rules' judge."""
+    """State store, cloud, workers and users on loopback, with a check of the protocol's rules."""
 
     def __init__(self, nursery: trio.Nursery, addresses: Addresses, limits: Limits) -> None:
         self._nursery, self._addresses, self._limits = nursery, addresses, limits
@@ -128,18 +128,18 @@
         self.controllers = {f"node-{n}": addresses.listen[n] for n in range(CONTROLLERS)}
 
     async def start(self) -> None:
-        """Begins to listen."""
+        """Start listening."""
         for address, handle in (
             (self._addresses.state, self.state.handle),
             (self._addresses.cloud, self.cloud.handle),
-            (self._addresses.lengths, self._take_length),
+            (self._addresses.lengths, self._handle_length),
         ):
             await self._nursery.start(
                 self._net.listen, address, Server(handle, max_connections=512).serve
             )
 
-    async def _take_length(self, request: Request) -> Response:
-        """Users upload what the workers need to know of a job: here, how long a task runs."""
+    async def _handle_length(self, request: Request) -> Response:
+        """Accept what users upload for the workers: here, how long a job's tasks run."""
         body = decode(request.body)
         self.board.lengths[body["id"]] = body["seconds"]
         return Response(200, {})
@@ -156,19 +156,19 @@
         )
 
     def workers(self) -> list[FakeWorker]:
-        """The workers of the machines that work."""
+        """Return the workers of the running machines."""
         return [
             machine.worker
             for machine in self.cloud.machines.values()
             if machine.worker is not None and machine.status == "running"
         ]
 
-    async def call(self, at: int, method: str, path: str, body: Any = None) -> tuple[int, Any]:
-        """A user's request, seen by the judge."""
+    async def call(self, index: int, method: str, path: str, body: Any = None) -> tuple[int, Any]:
+        """Send a request of a user, which the rules' checker observes."""
         began = trio.current_time()
         if path == "/v1/jobs":
             self.rules.record_submission(body)
-        client = Client(self._net, self._addresses.listen[at])
+        client = Client(self._net, self._addresses.listen[index])
         try:
             status, answer = await client.request(method, path, body, within=timedelta(seconds=5))
         except NoAnswerError:
@@ -180,9 +180,9 @@
 
 
 def write_settings(directory: Path, addresses: Addresses, limits: Limits) -> list[Path]:
-    """One settings file for each controller."""
+    """Write one settings file per controller, and return their paths."""
     directory.mkdir(parents=True, exist_ok=True)
-    paths = [directory / f"node-{at}.toml" for at in range(CONTROLLERS)]
-    for at, path in enumerate(paths):
-        path.write_text(settings_text(at, addresses, limits))
+    paths = [directory / f"node-{index}.toml" for index in range(CONTROLLERS)]
+    for index, path in enumerate(paths):
+        path.write_text(settings_text(index, addresses, limits))
     return paths
--- a/roadbend/fakes/network.py
+++ b/roadbend/fakes/network.py
@@ -1,4 +1,4 @@
-"""A network in memory, with cuts. Each host sees it through its own Port."""
+"""A network in memory with injected faults. Each host uses it through its own `Port`."""
 
 from collections.abc import Awaitable, Callable
 
@@ -11,19 +11,19 @@
 
 
 class Network:
-    """Connections between hosts in memory, with cuts, deaf and mute hosts, held packets."""
+    """Connections between hosts in memory, with blocked pairs and hosts, and held packets."""
 
     def __init__(self, nursery: trio.Nursery):
         self._nursery = nursery
         self._listeners: dict[str, tuple[str, Accept]] = {}
         self._streams: list[tuple[str, str, trio.abc.Stream, trio.abc.Stream]] = []
-        self._reachability: set[frozenset[str]] = set()
-        # Hosts that nothing reaches, while what they send arrives.
+        self._blocked_pairs: set[frozenset[str]] = set()
+        # Hosts that receive nothing, while what they send arrives.
         self.inbound_blocked: set[str] = set()
-        # Hosts that can't open connections, while they can be reached.
+        # Hosts that can't open connections, while others can connect to them.
         self.outbound_blocked: set[str] = set()
-        # Ways on which packets are held back, and what is held: it arrives in order once they are
-        # let go, even where the sender has given up and closed meanwhile.
+        # Directions (sender, receiver) in which packets are held back, and the held packets. They
+        # arrive in order once they are released, even if the sender has closed the connection.
         self._holding: set[tuple[str, str]] = set()
         self._holding_requests: set[tuple[str, str]] = set()
         self._held: list[
@@ -37,50 +37,56 @@
         self._listeners[address] = (host, accept)
 
     def unregister(self, host: str) -> None:
-        """The host is gone: its listeners vanish and its connections break."""
+        """Remove a host: its listeners end and its connections break."""
         self._listeners = {a: row for a, row in self._listeners.items() if row[0] != host}
         self._break(lambda a, b: host in (a, b))
 
     def block(self, a: str, b: str) -> None:
-        self._reachability.add(frozenset((a, b)))
+        """Block all traffic between two hosts, and break their connections."""
+        self._blocked_pairs.add(frozenset((a, b)))
         self._break(lambda x, y: frozenset((x, y)) == frozenset((a, b)))
 
     def reset(self, a: str, b: str) -> None:
-        """Connections between two hosts break; new ones can be made."""
+        """Break the connections between two hosts; new ones can be opened."""
         self._break(lambda x, y: frozenset((x, y)) == frozenset((a, b)))
 
     def unblock(self, a: str, b: str) -> None:
-        self._reachability.discard(frozenset((a, b)))
+        """Permit traffic between two hosts again."""
+        self._blocked_pairs.discard(frozenset((a, b)))
 
     def block_outbound(self, host: str) -> None:
-        """The host opens no connections any more, and those that it opened break."""
+        """Keep a host from opening connections, and break those that it opened."""
         self.outbound_blocked.add(host)
         self._break(lambda a, b: a == host)
 
     def hold(self, sender: str, receiver: str, requests: bool = False) -> None:
-        """`requests`: only on connections that the sender opened; its answers go through."""
+        """Hold back packets from one host to another.
+
+        `requests`: only on connections that the sender opened; its answers still arrive.
+        """
         (self._holding_requests if requests else self._holding).add((sender, receiver))
 
     def release(self, sender: str, receiver: str) -> None:
+        """Deliver the held packets, and hold back no more."""
         self._holding.discard((sender, receiver))
         self._holding_requests.discard((sender, receiver))
-        rows, self._held = self._held, []
-        for way, stream, pump in rows:
-            if way == (sender, receiver):
-                pump()
+        held, self._held = self._held, []
+        for direction, stream, deliver in held:
+            if direction == (sender, receiver):
+                deliver()
             else:
-                self._held.append((way, stream, pump))
+                self._held.append((direction, stream, deliver))
 
     def _break(self, match: Callable[[str, str], bool]) -> None:
-        keep = []
-        for a, b, one, other in self._streams:
+        kept = []
+        for a, b, opener_stream, listener_stream in self._streams:
             if match(a, b):
-                for end in (one, other):
+                for end in (opener_stream, listener_stream):
                     end.send_stream.close()
                     end.receive_stream.close()
             else:
-                keep.append((a, b, one, other))
-        self._streams = keep
+                kept.append((a, b, opener_stream, listener_stream))
+        self._streams = kept
 
     async def connect(self, host: str, address: str) -> trio.abc.Stream:
         await trio.sleep(0.001)
@@ -88,60 +94,61 @@
         if target is None:
             raise ConnectionRefusedError(address)
         if (
-            frozenset((host, target[0])) in self._reachability
+            frozenset((host, target[0])) in self._blocked_pairs
             or target[0] in self.inbound_blocked
             or host in self.outbound_blocked
         ):
-            # Behind a cut nothing answers.
+            # A blocked host does not answer at all.
             await trio.sleep(3600)
             raise ConnectionRefusedError(address)
-        one, other = trio.testing.memory_stream_pair()
-        self._filter(one.send_stream, host, target[0], True)
-        self._filter(other.send_stream, target[0], host, False)
-        self._streams.append((host, target[0], one, other))
-        self._nursery.start_soon(self._accept, target, other, host)
-        return one
+        opener_stream, listener_stream = trio.testing.memory_stream_pair()
+        self._filter(opener_stream.send_stream, host, target[0], True)
+        self._filter(listener_stream.send_stream, target[0], host, False)
+        self._streams.append((host, target[0], opener_stream, listener_stream))
+        self._nursery.start_soon(self._accept, target, listener_stream, host)
+        return opener_stream
 
     def _filter(
         self, stream: trio.testing.MemorySendStream, sender: str, receiver: str, opened: bool
     ) -> None:
-        """Lets nothing through to a deaf host, and holds back what is to be held back; the
-        connection stays as it is.
+        """Drop what is sent to a blocked host, and hold back packets of held directions.
+
+        The connection itself stays open.
         """
-        pump, finish, way = stream.send_all_hook, stream.close_hook, (sender, receiver)
+        pump, close_stream, direction = stream.send_all_hook, stream.close_hook, (sender, receiver)
 
-        def waits() -> bool:
-            held = way in self._holding or opened and way in self._holding_requests
+        def is_held() -> bool:
+            held = direction in self._holding or opened and direction in self._holding_requests
             return held or any(row[1] is stream for row in self._held)
 
-        async def hook() -> None:
+        async def send() -> None:
             if receiver in self.inbound_blocked:
                 stream.get_data_nowait()
-            elif waits():
-                self._hold_back(way, stream, finish)
+            elif is_held():
+                self._hold_back(direction, stream, close_stream)
             else:
                 await pump()
 
         def close() -> None:
-            if waits():
-                self._hold_back(way, stream, finish)
+            if is_held():
+                self._hold_back(direction, stream, close_stream)
             else:
-                finish()
+                close_stream()
 
-        stream.send_all_hook, stream.close_hook = hook, close
+        stream.send_all_hook, stream.close_hook = send, close
 
-    def _hold_back(self, way, stream, pump) -> None:
+    def _hold_back(self, direction, stream, pump) -> None:
         if not any(row[1] is stream for row in self._held):
 
             def deliver() -> None:
-                # What was sent, then the end if it was closed meanwhile.
+                # First what was sent, then the end of the stream if it was closed meanwhile.
                 try:
                     pump()
                     pump()
                 except (trio.WouldBlock, trio.ClosedResourceError, trio.BrokenResourceError):
                     pass
 
-            self._held.append((way, stream, deliver))
+            self._held.append((direction, stream, deliver))
 
     async def _accept(
         self, listener: tuple[str, Accept], stream: trio.abc.Stream, host: str
@@ -155,7 +162,7 @@
 
 
 class Port:
-    """What a program on one host sees: the same face as roadbend.http.net.Net."""
+    """The network as one host uses it, with the interface of `roadbend.http.net.Net`."""
 
     def __init__(self, network: Network, host: str):
         self._network, self.host = network, host
--- a/roadbend/fakes/platform.py
+++ b/roadbend/fakes/platform.py
@@ -6,7 +6,7 @@
 from roadbend.settings import Peer, PlatformSettings, Team
 
 ZONES = ("east", "north", "west")
-# The one machine type of the catalog, in the names of the cloud.
+# The one machine type of the catalog, with the field names of the cloud's API.
 MACHINE_TYPE: dict[str, Any] = {
     "name": "g2",
     "vcpus": 24.0,
@@ -21,15 +21,15 @@
 }
 
 
-def settings_for(at: int, count: int, **changes: Any) -> PlatformSettings:
-    """Return the platform settings of one of `count` controllers, with some changed."""
+def settings_for(index: int, count: int, **changes: Any) -> PlatformSettings:
+    """Return the platform settings of one of `count` controllers, with `changes`."""
     names = [f"node-{n}" for n in range(count)]
     values: dict[str, Any] = dict(
-        name=names[at],
-        zone=ZONES[at],
-        listen=f"{names[at]}:80",
-        back=f"{names[at]}:81",
-        peers=tuple(Peer(n, ZONES[i], f"{n}:81") for i, n in enumerate(names) if i != at),
+        name=names[index],
+        zone=ZONES[index],
+        listen=f"{names[index]}:80",
+        back=f"{names[index]}:81",
+        peers=tuple(Peer(n, ZONES[i], f"{n}:81") for i, n in enumerate(names) if i != index),
         cloud="cloud:1",
         state="state:1",
         zones=ZONES[:count],
--- a/roadbend/fakes/previous_cancellations.py
+++ b/roadbend/fakes/previous_cancellations.py
@@ -1,7 +1,7 @@
-"""How versions up to 0.9.0 make sure that users may be told of a cancellation.
+"""Confirmation of cancellations as in versions up to 0.9.0.
 
-They wait until the leaders of all partitions have heard of it, or can start nothing on records as
-old as that, whatever starts they have sent before.
+These versions wait until the leaders of all partitions have received the cancellation, or their
+records are too old to start tasks. They ignore starts that were sent before and are still in doubt.
 """
 
 from collections.abc import Awaitable, Callable
@@ -15,23 +15,23 @@
 from roadbend.store.record_reader import RecordReader
 from roadbend.store.record_view import RecordView
 
-# On records that are older than this no leader starts anything.
-START_FRESHNESS = timedelta(seconds=2)
-# How soon a peer that did not answer is told again.
+# A leader starts nothing if its records are older than this.
+MAX_RECORD_AGE_FOR_STARTS = timedelta(seconds=2)
+# Delay before a cancellation is sent again to a peer that did not answer.
 RETRY_INTERVAL = timedelta(milliseconds=200)
-# How often it is looked at whether all leaders have heard.
-CHECK_INTERVAL = timedelta(milliseconds=10)
+# How often is checked whether all leaders have received the cancellation.
+POLL_INTERVAL = timedelta(milliseconds=10)
 
 
-def confirm_once_told(
+def confirm_after_propagation(
     cancellations: ConfirmedCancellations, propagation: "CancellationPropagation"
 ) -> Callable[[str, timedelta], Awaitable[bool]]:
-    """Return what confirms a cancellation as those versions do."""
+    """Return a function that confirms a cancellation as those versions do."""
 
-    async def confirm(job: str, patience: timedelta) -> bool:
+    async def confirm(job: str, timeout: timedelta) -> bool:
         cancellations.add(job)
-        if patience > clock.ZERO:
-            # A query, or a repeated submission, was answered without it.
+        if timeout > clock.ZERO:
+            # Those versions answered queries and repeated submissions without propagation.
             await propagation.propagate()
         return True
 
@@ -39,7 +39,7 @@
 
 
 class CancellationPropagation:
-    """Tells the leaders of partitions at once of cancellations that are to be confirmed."""
+    """Sends cancellations that are to be confirmed to the leaders of partitions at once."""
 
     def __init__(
         self,
@@ -58,21 +58,21 @@
     async def propagate(self) -> None:
         """Wait until no leader can start tasks of cancelled jobs any more.
 
-        Every controller that leads a partition has then heard all cancellations that we confirm to
-        users, or can start nothing without having read them in the records.
+        Every controller that leads a partition has then received all cancellations that we confirm
+        to users, or can start nothing before it has read them in the records.
         """
         round_ = _PropagationRound(self._controller, self._peers, self._view)
-        timeout = START_FRESHNESS * (1 + 2 * clock.DRIFT)
-        with trio.move_on_after(timeout.total_seconds()):
+        max_wait = MAX_RECORD_AGE_FOR_STARTS * (1 + 2 * clock.DRIFT)
+        with trio.move_on_after(max_wait.total_seconds()):
             async with trio.open_nursery() as nursery:
                 for link in self._peers.links.values():
-                    nursery.start_soon(self._tell, link, round_)
+                    nursery.start_soon(self._send, link, round_)
                 nursery.start_soon(self._read, round_)
                 while not round_.is_complete():
-                    await clock.pause(CHECK_INTERVAL)
+                    await clock.pause(POLL_INTERVAL)
                 nursery.cancel_scope.cancel()
 
-    async def _tell(self, link: Link, round_: "_PropagationRound") -> None:
+    async def _send(self, link: Link, round_: "_PropagationRound") -> None:
         while not await link.exchange_heartbeats(self._exchange):
             await clock.pause(RETRY_INTERVAL)
         round_.informed.add(link.peer.name)
@@ -83,7 +83,7 @@
 
 
 class _PropagationRound:
-    """Who has heard, and who must."""
+    """Which controllers have received the cancellations, and which must."""
 
     def __init__(self, controller: str, peers: Peers, view: RecordView) -> None:
         self.informed = {controller}
@@ -92,9 +92,9 @@
         self._view = view
 
     def is_complete(self) -> bool:
-        """Tell whether all who may lead a partition have heard.
+        """Return whether all potential leaders of partitions have received the cancellations.
 
-        Until the records have been read that may be any controller.
+        Before the records have been read, every controller is a potential leader.
         """
         if not self.leaders_are_known:
             return self._peers.links.keys() <= self.informed
--- a/roadbend/fakes/previous_version.py
+++ b/roadbend/fakes/previous_version.py
@@ -1,6 +1,8 @@
-"""A controller as the version in production is, for scenarios of an upgrade. It speaks and writes
-just what that version does (test_upgrade.py has its bytes): frames and records of the settings'
-present limits only, no word of gangs, and starts ordered by reports alone.
+"""Controllers that behave like older versions, for scenarios of upgrades.
+
+The oldest is the version in production. Its frames and records are those of that version
+(test_upgrade.py has its bytes) and within the current limits of the settings. It does not support
+gangs, and sends starts only in answers to heartbeats.
 """
 
 import random
@@ -10,7 +12,7 @@
 from roadbend.controller import Controller
 from roadbend.controller.cancellations import ConfirmedCancellations
 from roadbend.controller.peer_start_reports import PeerStartReports
-from roadbend.fakes.previous_cancellations import CancellationPropagation, confirm_once_told
+from roadbend.fakes.previous_cancellations import CancellationPropagation, confirm_after_propagation
 from roadbend.http.net import Net
 from roadbend.http.server import MalformedError, Request, Response, decode
 from roadbend.intake.job_states import ConfirmCancellation
@@ -19,20 +21,19 @@
 from roadbend.settings import OperatorSettings, PlatformSettings
 from roadbend.store import records
 
-# The values and transactions that production's settings allow, where the scenarios' settings are
-# those to come.
+# The limits of production's current settings; the scenarios' settings are the planned ones.
 VALUE_BYTES, TXN_OPS = 4096, 8
 
 
 class _NoReports(PeerStartReports):
-    """Versions up to 0.10.0 do not ask for reports of settled starts."""
+    """Requests no reports: versions up to 0.10.0 do not know reports of settled starts."""
 
     async def run(self, link: Link) -> None:
         return
 
 
 class Version0100Controller(Controller):
-    """A controller that, as 0.10.0, reports no starts and goes on from no token of a peer."""
+    """A controller like 0.10.0: it reports no settled starts and relies on no token of a peer."""
 
     EXTENSIONS = frames.STARTS_EXTENSION
 
@@ -43,7 +44,7 @@
 
 
 class Version090Controller(Version0100Controller):
-    """A controller that confirms cancellations as 0.9.0 does and does not answer for its starts."""
+    """A controller like 0.9.0: it confirms cancellations in the old way and reports no starts."""
 
     EXTENSIONS = frames.GANGS_EXTENSION
 
@@ -55,11 +56,11 @@
         propagation = CancellationPropagation(
             self.settings.name, self.peers, self._exchange, self.view, self.reader
         )
-        return confirm_once_told(cancellations, propagation)
+        return confirm_after_propagation(cancellations, propagation)
 
 
 class PreviousVersionController(Version090Controller):
-    """A controller that reads, writes and says only what the version in production does."""
+    """A controller with only the records, frames and features of the version in production."""
 
     EXTENSIONS = ""
 
@@ -71,23 +72,24 @@
         rng: random.Random,
         incarnation: str | None = None,
     ):
-        old = replace(settings, value_bytes=VALUE_BYTES, txn_ops=TXN_OPS, state_write_rps_next=None)
-        super().__init__(old, operator, net, rng, incarnation)
+        old_settings = replace(
+            settings, value_bytes=VALUE_BYTES, txn_ops=TXN_OPS, state_write_rps_next=None
+        )
+        super().__init__(old_settings, operator, net, rng, incarnation)
         for kind in (frames.FrameKind.GANG_REQUEST, frames.FrameKind.GANG_INFORM):
             del self.peers.handlers[kind]
         self.fleet.commands.order_now = None
-        # A job's record is read and written again without what this version does not know, and its
-        # gangs with it.
+        # That version reads and rewrites a job's record without unknown fields, which drops gangs.
         store, put = self.view._store, self.view.put
 
-        def forgetting(key: str, value, mod_revision: int) -> None:
+        def store_without_gangs(key: str, value, mod_revision: int) -> None:
             if key.startswith("r/gang/"):
                 return
             if key.startswith("r/job/") and isinstance(value, dict):
                 value = {k: v for k, v in value.items() if k != "g"}
             store(key, value, mod_revision)
 
-        self.view._store, self.view.put = forgetting, put
+        self.view._store, self.view.put = store_without_gangs, put
 
     async def handle(self, request: Request) -> Response:
         if request.path == "/v1/jobs" and request.method == "POST":
@@ -101,5 +103,5 @@
 
 
 def width() -> int:
-    """How many tasks share a record of that version."""
+    """Return how many tasks one shard holds in the version in production."""
     return records.shard_width(VALUE_BYTES)
--- a/roadbend/fakes/random_failures.py
+++ b/roadbend/fakes/random_failures.py
@@ -1,7 +1,7 @@
-"""Failures drawn at random, for scenarios in which two of them meet.
+"""Faults that are drawn at random, for scenarios that combine two of them.
 
-Each takes a deployment and a generator, lasts for some seconds, and leaves the deployment able to
-go on.
+Each function takes a deployment and a random generator, lasts for some seconds, and leaves the
+deployment able to continue.
 """
 
 import random
@@ -15,7 +15,7 @@
 
 
 async def crash_all_controllers(w: World, rng: random.Random) -> None:
-    """End all controllers and start them again."""
+    """Crash all controllers, and start them again later."""
     for at in range(3):
         w.crash(at)
     await trio.sleep(rng.uniform(0.3, 8))
@@ -24,7 +24,7 @@
 
 
 async def crash_one_controller(w: World, rng: random.Random) -> None:
-    """End one controller and start it again."""
+    """Crash one controller, and start it again later."""
     at = rng.randrange(3)
     w.crash(at)
     await trio.sleep(rng.uniform(0.2, 14))
@@ -32,12 +32,12 @@
 
 
 async def state_store_outage(w: World, rng: random.Random) -> None:
-    """Let the state store answer nobody."""
+    """Take the state store down."""
     await w.outage(rng.uniform(4, 50))
 
 
 async def late_writes(w: World, rng: random.Random) -> None:
-    """Let the state store carry out some transactions after their answer is lost."""
+    """Let the state store commit some transactions late and never answer them."""
     w.state.late_writes(0.3, rng)
     await trio.sleep(20)
     w.state.late_writes(0.0, None)
@@ -50,7 +50,7 @@
 
 
 async def machines_hang(w: World, rng: random.Random) -> None:
-    """Let half of the machines stand still."""
+    """Hang half of the machines."""
     await w.hang(
         [x.machine for x in rng.sample(w.workers(), max(1, len(w.workers()) // 2))],
         rng.uniform(4, 25),
@@ -58,7 +58,7 @@
 
 
 async def machines_are_deaf(w: World, rng: random.Random) -> None:
-    """Let nothing reach a third of the machines."""
+    """Block all inbound traffic of a third of the machines."""
     await w.block_inbound(
         [x.machine for x in rng.sample(w.workers(), max(1, len(w.workers()) // 3))],
         rng.uniform(4, 25),
@@ -66,18 +66,18 @@
 
 
 async def hold_direct_commands(w: World, rng: random.Random) -> None:
-    """Let direct commands arrive long after they were given up."""
-    ways = [(f"node-{at}", x.machine) for at in range(3) for x in w.workers()]
-    await w.hold(rng.sample(ways, len(ways) // 2), rng.uniform(3, 25))
+    """Hold direct commands back until long after their senders have given up."""
+    directions = [(f"node-{at}", x.machine) for at in range(3) for x in w.workers()]
+    await w.hold(rng.sample(directions, len(directions) // 2), rng.uniform(3, 25))
 
 
 async def copies_of_heartbeats(w: World, rng: random.Random) -> None:
-    """Let copies of heartbeats arrive after newer ones."""
+    """Deliver copies of heartbeats after newer heartbeats."""
     await w.replay_heartbeats(0.4, 20, rng)
 
 
 async def reclaim_notices(w: World, rng: random.Random) -> None:
-    """Announce to a third of the machines that the cloud takes them back."""
+    """Send reclaim notices for a third of the machines."""
     for worker in rng.sample(w.workers(), max(1, len(w.workers()) // 3)):
         worker.reclaim_in_s = rng.uniform(6, 15)
 
--- a/roadbend/fakes/scenario.py
+++ b/roadbend/fakes/scenario.py
@@ -1,4 +1,4 @@
-"""A small deployment with work of every kind in it, for scenarios in which troubles meet."""
+"""A small deployment with jobs of every class, for scenarios of combined faults."""
 
 import random
 from collections.abc import Awaitable, Callable
@@ -26,7 +26,7 @@
 }
 TEAMS = {"red": Team("red", 0, 0, 4, 24), "blue": Team("blue", 0, 0, 4, 30)}
 SERVICE = dict(shape="daemon", dueS=None, loaners=False)
-# Services are to start soon, so their orders go out directly as well.
+# Services are to start soon, so their orders are also sent as direct commands.
 OBJECTIVES = (ServiceLevelObjective("wait", "plans", 0.9, 5 * S),)
 OPERATOR = OperatorSettings(reoffer_every=2 * S)
 
@@ -36,8 +36,10 @@
 
 
 class Scenario:
-    """A small deployment with work in every zone: services (1 to 3, the second `apart`), arrays
-    and gangs that run long (10 to 17), and such as come and end (from 20 on).
+    """A small deployment with jobs in every zone.
+
+    Jobs 1 and 2 are services, the second with `apart`. Jobs 10 to 17 are long-running arrays and
+    gangs. Short jobs have numbers from 20 on.
     """
 
     def __init__(self, w: World, rng: random.Random, site: str):
@@ -71,17 +73,18 @@
             await self.submit_more(n)
 
     async def submit_more(self, number: int, **changes) -> None:
-        """An array, or every third time a gang, that begins soon and ends; submitted wherever it
-        is accepted.
+        """Submit a short array, or a gang if `number` is divisible by three.
+
+        It is submitted to one controller after the other until it is accepted.
         """
-        make = gang if number % 3 == 0 else job
-        body = make(number, **{"legs": self.rng.randint(1, 3), "dueS": 40.0, **changes})
+        make_body = gang if number % 3 == 0 else job
+        body = make_body(number, **{"legs": self.rng.randint(1, 3), "dueS": 40.0, **changes})
         for at in self.rng.sample(range(3), 3):
             if await self.w.submit(at, body, self.rng.uniform(4, 20)) in (200, 201):
                 return
 
     async def submit_small_job(self, number: int) -> None:
-        """A small job of one task, submitted again for a minute as users do."""
+        """Submit a small job of one task, repeatedly for a minute, as users do."""
         body = job(number, vcpus=0.5, gpus=0.0, memoryGb=1.0, dueS=None, expectedS=2.0)
         end, length = trio.current_time() + 60, self.rng.uniform(0.5, 4)
         while trio.current_time() < end:
@@ -104,23 +107,25 @@
         await trio.sleep(self.rng.uniform(low, high))
 
     async def cancel(self, names: list[str], low: float = 0.0, high: float = 0.0) -> None:
-        """Called off at controllers in any order, each after its own while, and repeated until it
-        is answered.
+        """Cancel jobs at controllers in any order, each after a random delay.
+
+        Each request is repeated until it is answered.
         """
         async with trio.open_nursery() as nursery:
-            for called in names:
-                nursery.start_soon(self._cancel, called, self.rng.uniform(low, high))
+            for cancelled in names:
+                nursery.start_soon(self._cancel, cancelled, self.rng.uniform(low, high))
 
-    async def _cancel(self, called: str, wait: float) -> None:
-        await trio.sleep(wait)
-        case = self.w.rules.jobs.get(called)
-        if case is not None and case.accepted_at is not None:
-            await self.w.cancel_job(called, 240)
+    async def _cancel(self, cancelled: str, delay: float) -> None:
+        await trio.sleep(delay)
+        observed = self.w.rules.jobs.get(cancelled)
+        if observed is not None and observed.accepted_at is not None:
+            await self.w.cancel_job(cancelled, 240)
 
     async def cancel_around_outage(self, delay: float) -> None:
-        """The state service refuses the leader of the east alone, others confirm cancellations,
-        then it is out for all for longer than a cancellation has, while workers go on reporting to
-        the old leader.
+        """Cancel jobs before an outage of the state store that outlasts the time limit for stops.
+
+        The state store first refuses only the leader of the east while others confirm the
+        cancellations. Then it is down, while workers still send heartbeats to the old leader.
         """
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.w.refuse, 0, delay + 10)
@@ -129,14 +134,16 @@
             nursery.start_soon(self.w.outage, self.cancel_s + self.rng.uniform(4, 14))
 
 
-async def play(meeting: Callable[[Scenario], Awaitable[None]], seed: int, site: str) -> None:
-    """Plays a meeting of troubles in a deployment with work in it, until all is over."""
-    rng = random.Random(f"{meeting.__name__} {seed}")
+async def play(
+    combined_faults: Callable[[Scenario], Awaitable[None]], seed: int, site: str
+) -> None:
+    """Run combined faults on a deployment with jobs, until all jobs are settled."""
+    rng = random.Random(f"{combined_faults.__name__} {seed}")
     async with world(
         capacity=10, operator=OPERATOR, teams=TEAMS, objectives=OBJECTIVES, **SITES[site]
     ) as w:
         scenario = Scenario(w, rng, site)
         await scenario.begin()
-        await meeting(scenario)
+        await combined_faults(scenario)
         assert await w.until_ready()
         await w.finish()
--- a/roadbend/fakes/scheduling.py
+++ b/roadbend/fakes/scheduling.py
@@ -1,4 +1,4 @@
-"""Builds what scheduling policies work on: pending tasks, free capacity, machine types."""
+"""Builders of inputs for scheduling policies: pending tasks, free capacity, machine types."""
 
 from collections.abc import Collection
 from datetime import timedelta
@@ -15,9 +15,9 @@
 from roadbend.placement.queue_order import PendingTasks
 from roadbend.store.records import Job, Resources
 
-# What a machine of type g2 has.
+# The resources of a machine of type g2.
 TOTAL = Resources(24, 2, 144)
-# A type with less of everything, at a lower price.
+# A smaller type at a lower price.
 SMALL: dict[str, Any] = {
     **MACHINE_TYPE,
     "name": "s1",
@@ -35,7 +35,7 @@
 ) -> PendingTasks:
     """Return the first `count` tasks of a job that was submitted `age` seconds ago.
 
-    `changes` are made to the submission, in the names of the users' interface.
+    `changes` are made to the submission, with the field names of the wire.
     """
     name, spec = read_submission(job(number, **changes))
     return PendingTasks(
@@ -52,7 +52,7 @@
     images: Collection[str] = (),
     **more: Any,
 ) -> FreeCapacity:
-    """Return a machine of type g2 in the east with what is free on it; all of it by default."""
+    """Return the free capacity of a machine of type g2 in the east; by default all of it."""
     return FreeCapacity(
         id=name,
         machine_type="g2",
@@ -68,8 +68,8 @@
 
 
 def choices(refused: Collection[MachineKind] = ()) -> list[MachineOption]:
-    """Return the machine types that may be created in the east.
+    """Return the machine options in the east.
 
-    `refused`: those that the cloud has none of, each with whether it is a spot machine.
+    `refused`: the machine kinds, each a type and whether it is spot, that the cloud has none of.
     """
     return machine_options.options(MACHINE_TYPES.values(), "east", set(refused))
--- a/roadbend/fakes/stalls.py
+++ b/roadbend/fakes/stalls.py
@@ -1,34 +1,34 @@
-"""Controllers that stand still: their tasks do not go on while the time of everybody else passes.
+"""Process pauses of controllers: their tasks do not run, while time passes for all other hosts.
 
-A process that is starved of processor time stops wherever it awaits, and finds everything that came
-meanwhile when it goes on. Simulated time alone never shows that. An instrument of trio puts aside
-the tasks of a stalled host as they become ready, and hands them back in that order.
+A process without processor time stops at any await, and later finds everything that arrived
+meanwhile. Simulated time alone never shows that. A trio instrument takes the tasks of a paused host
+out of the run queue as they become ready, and puts them back in that order at the end of the pause.
 """
 
 import contextvars
 
 import trio
 
-# The host that a task runs on; tasks inherit it from the one that started them.
+# The host that a trio task runs on; child tasks inherit it.
 HOST: contextvars.ContextVar[str] = contextvars.ContextVar("host", default="")
 
 
 class Stalls(trio.abc.Instrument):
-    """Which hosts stand still, and their tasks that are ready to go on."""
+    """The paused hosts, and their trio tasks that are ready to run."""
 
     def __init__(self) -> None:
         self._ready: dict[str, list[trio.lowlevel.Task]] = {}
         trio.lowlevel.add_instrument(self)
 
     def task_scheduled(self, task: trio.lowlevel.Task) -> None:
-        """Called by trio for a task that it has just put at the end of the run queue."""
-        waiting = self._ready.get(task.context.get(HOST, ""))
-        if waiting is not None:
+        """Called by trio for a task that it has just appended to the run queue."""
+        held = self._ready.get(task.context.get(HOST, ""))
+        if held is not None:
             run_queue = trio._core._run.GLOBAL_RUN_CONTEXT.runner.runq
-            waiting.append(run_queue.pop())
+            held.append(run_queue.pop())
 
     async def stall(self, host: str, seconds: float) -> None:
-        """The host stands still for so long; a second stall within the first changes nothing."""
+        """Pause a host for some seconds, unless it is paused already."""
         if host in self._ready:
             return
         self._ready[host] = []
--- a/roadbend/fakes/state.py
+++ b/roadbend/fakes/state.py
@@ -1,4 +1,4 @@
-"""The state store's fake: keys, transactions, leases, the log."""
+"""Fake of the state store: keys, transactions, leases, and the change log."""
 
 import json
 import random
@@ -10,13 +10,13 @@
 
 from roadbend.http.server import MalformedError, Request, Response, decode
 
-# The most records that one answer lists.
-MOST_PER_PAGE = 1000
+# How many records one answer lists at most.
+MAX_PAGE_SIZE = 1000
 
 
 @dataclass(frozen=True)
-class StoredCopy:
-    """What the state store held at one instant."""
+class StateSnapshot:
+    """The contents of the state store at one instant."""
 
     keys: dict[str, tuple[Any, int, int | None]]
     revision: int
@@ -26,55 +26,57 @@
 class FakeStateService:
     """The state store in memory.
 
-    Times are in seconds of `clock`; `value_bytes` and `txn_ops` bound values and transactions.
+    Times are in seconds of `clock`; `value_bytes` and `txn_ops` limit values and transactions.
     """
 
     def __init__(self, clock=trio.current_time, value_bytes: int = 32 * 1024, txn_ops: int = 16):
         self._now = clock
-        self._most = (value_bytes, txn_ops)
+        self._limits = (value_bytes, txn_ops)
         self.keys: dict[str, tuple[Any, int, int | None]] = {}
         self.revision = 0
         self.log: list[tuple[str, dict]] = []
         self.leases: dict[int, tuple[float, float]] = {}
         self._next_lease = 0
         self.down = False
-        # Hosts that get 503 while others are served, and hosts whose answers to writes get lost.
+        # Hosts that get 503 while others are served, and hosts whose answers to writes are lost.
         self.refused: set[str] = set()
         self.unanswered_hosts: set[str] = set()
-        # Seconds that every answer takes longer.
+        # Additional delay of every answer, in seconds.
         self.slow = 0.0
-        # Share of transactions that get no answer and are carried out later, and who draws them.
-        self._late: tuple[float, random.Random] | None = None
-        # Share of transactions that are carried out at once and whose answer is lost.
-        self._answer_lost: tuple[float, random.Random] | None = None
+        # Share of transactions that are committed late and never answered, and the generator that
+        # draws them.
+        self._late_writes: tuple[float, random.Random] | None = None
+        # Share of transactions that are committed at once and never answered, and the generator
+        # that draws them.
+        self._lost_answers: tuple[float, random.Random] | None = None
         self.answers_lost = 0
-        self._to_come: list[tuple[float, dict]] = []
+        self._delayed: list[tuple[float, dict]] = []
         self.late_statuses: list[int] = []
         self.requests = 0
 
     def set_limits(self, value_bytes: int, txn_ops: int) -> None:
-        """Set other limits from now on; what is stored stays as it is."""
-        self._most = (value_bytes, txn_ops)
+        """Set other limits; stored records stay as they are."""
+        self._limits = (value_bytes, txn_ops)
 
     def late_writes(self, share: float, rng: random.Random | None) -> None:
-        """From now on, carry this share of transactions out late and never answer them."""
-        self._late = (share, rng) if share and rng is not None else None
+        """Commit this share of transactions late from now on, and never answer them."""
+        self._late_writes = (share, rng) if share and rng is not None else None
 
     def lose_answers(self, share: float, rng: random.Random | None) -> None:
-        """From now on, carry this share of transactions out at once and never answer them."""
-        self._answer_lost = (share, rng) if share and rng is not None else None
+        """Commit this share of transactions at once from now on, and never answer them."""
+        self._lost_answers = (share, rng) if share and rng is not None else None
 
     def _loses_answer(self, request: Request) -> bool:
-        if self._answer_lost is None or request.path != "/multi":
+        if self._lost_answers is None or request.path != "/multi":
             return False
-        share, rng = self._answer_lost
+        share, rng = self._lost_answers
         return rng.random() < share
 
-    def _carry_out_late(self) -> None:
+    def _commit_delayed(self) -> None:
         due = sorted(
-            (row for row in self._to_come if row[0] <= self._now()), key=lambda row: row[0]
+            (row for row in self._delayed if row[0] <= self._now()), key=lambda row: row[0]
         )
-        self._to_come = [row for row in self._to_come if row[0] > self._now()]
+        self._delayed = [row for row in self._delayed if row[0] > self._now()]
         for _, body in due:
             try:
                 self.late_statuses.append(self.compare_and_swap(body).status)
@@ -87,42 +89,44 @@
 
     def _end(self, lease_id: int) -> None:
         del self.leases[lease_id]
-        gone = [key for key, row in self.keys.items() if row[2] == lease_id]
-        if gone:
+        expired = [key for key, row in self.keys.items() if row[2] == lease_id]
+        if expired:
             self.revision += 1
-            for key in gone:
+            for key in expired:
                 del self.keys[key]
                 self.log.append((key, {"delete": key, "stamp": self.revision}))
 
     def end_outage(self) -> None:
-        """End an outage; every lease has its full time again."""
+        """End an outage; every lease is renewed for its full time."""
         self.down = False
         self.leases = {p: (ttl, self._now() + ttl) for p, (ttl, _) in self.leases.items()}
 
     async def handle(self, request: Request, host: str = "") -> Response:
-        """Answer a request of a host, unless a failure that was asked for keeps it from that."""
+        """Answer a request of a host, unless an injected fault prevents that."""
         self.requests += 1
         await trio.sleep(0.003 + self.slow)
-        self._carry_out_late()
+        self._commit_delayed()
         if self.down or host in self.refused:
             return Response(503, {"error": "trouble"})
         self._expire()
         if (
-            self._late is not None
+            self._late_writes is not None
             and request.path == "/multi"
-            and self._late[1].random() < self._late[0]
+            and self._late_writes[1].random() < self._late_writes[0]
         ):
-            # As if on a slow way: nobody hears of it, and newer ones come first.
-            self._to_come.append((self._now() + self._late[1].uniform(2, 12), decode(request.body)))
+            # As on a slow network path: the request gets no answer and is overtaken by newer ones.
+            self._delayed.append(
+                (self._now() + self._late_writes[1].uniform(2, 12), decode(request.body))
+            )
             await trio.sleep(3600)
         try:
             response = self._answer(request)
         except (MalformedError, KeyError, TypeError, ValueError) as error:
             return Response(400, {"error": repr(error)})
-        lost = self._loses_answer(request)
-        if lost or host in self.unanswered_hosts and request.path == "/multi":
-            # Carried out, but nobody hears of it.
-            self.answers_lost += lost
+        answer_lost = self._loses_answer(request)
+        if answer_lost or host in self.unanswered_hosts and request.path == "/multi":
+            # Committed, but never answered.
+            self.answers_lost += answer_lost
             await trio.sleep(3600)
         return response
 
@@ -144,15 +148,18 @@
         return Response(404, {"error": "no such path"})
 
     def _page(self, query: dict[str, str]) -> Response:
-        """List records in the order of their keys, a page at a time."""
-        rows = sorted(
+        """Return a page of records, sorted by key."""
+        matching = sorted(
             k for k in self.keys if k.startswith(query["starts"]) and k > query.get("after", "")
         )
-        most = min(MOST_PER_PAGE, int(query.get("most", MOST_PER_PAGE)))
+        limit = min(MAX_PAGE_SIZE, int(query.get("most", MAX_PAGE_SIZE)))
         page = [
-            {"path": k, "value": self.keys[k][0], "stamp": self.keys[k][1]} for k in rows[:most]
+            {"path": k, "value": self.keys[k][0], "stamp": self.keys[k][1]}
+            for k in matching[:limit]
         ]
-        return Response(200, {"entries": page, "more": len(rows) > most, "ledger": self.revision})
+        return Response(
+            200, {"entries": page, "more": len(matching) > limit, "ledger": self.revision}
+        )
 
     def _read(self, key: str) -> Response:
         if key not in self.keys:
@@ -180,21 +187,21 @@
 
     def _changes_after(self, after: int, prefix: str) -> Response:
         """Return the changes since a revision of the keys that begin with `prefix`."""
-        rows = [e for k, e in self.log if e["stamp"] > after and k.startswith(prefix)]
-        return Response(200, {"ledger": self.revision, "log": rows})
+        entries = [e for k, e in self.log if e["stamp"] > after and k.startswith(prefix)]
+        return Response(200, {"ledger": self.revision, "log": entries})
 
     def compare_and_swap(self, body: dict) -> Response:
-        """Carry out a transaction if its conditions hold.
+        """Commit a transaction if its conditions hold.
 
-        Also called by tests that deliver one late. Raises `ValueError` where it is too large.
+        Tests call this, too, to deliver a transaction late. Raises `ValueError` if it is too large.
         """
         changes = body.get("apply") or []
-        if len(changes) > self._most[1] or len(body.get("when") or []) > 4 * self._most[1]:
+        if len(changes) > self._limits[1] or len(body.get("when") or []) > 4 * self._limits[1]:
             raise ValueError("too many changes or conditions")
         for row in changes:
             if (
                 "write" in row
-                and len(json.dumps(row["value"], separators=(",", ":"))) > self._most[0]
+                and len(json.dumps(row["value"], separators=(",", ":"))) > self._limits[0]
             ):
                 raise ValueError(f"too large: {row['write']}")
             if row.get("permit") is not None and row["permit"] not in self.leases:
@@ -220,22 +227,24 @@
                 self.log.append((row["delete"], {"delete": row["delete"], "stamp": self.revision}))
         return Response(200, {"ledger": self.revision})
 
-    def copy_records(self) -> "StoredCopy":
-        """Return the records as they are, for `restore_records`."""
-        return StoredCopy(dict(self.keys), self.revision, list(self.log))
+    def take_snapshot(self) -> "StateSnapshot":
+        """Return a snapshot of the records, for `restore_records`."""
+        return StateSnapshot(dict(self.keys), self.revision, list(self.log))
 
-    def restore_records(self, copy: "StoredCopy") -> None:
-        """Lose everything written since, as after a restore from a copy.
+    def restore_records(self, snapshot: "StateSnapshot") -> None:
+        """Lose all writes since the snapshot, as after a restore from a backup.
 
-        What hung on a lease that has ended meanwhile is gone all the same.
+        Records under a lease that has ended meanwhile are not restored.
         """
-        self.revision, self.log = copy.revision, list(copy.log)
+        self.revision, self.log = snapshot.revision, list(snapshot.log)
         self.keys = {
-            key: row for key, row in copy.keys.items() if row[2] is None or row[2] in self.leases
+            key: row
+            for key, row in snapshot.keys.items()
+            if row[2] is None or row[2] in self.leases
         }
 
     def value(self, key: str) -> Any:
-        """Return the value of a record, None if there is none."""
+        """Return the value of a record, or None if it is missing."""
         return self.keys[key][0] if key in self.keys else None
 
     def values_with_prefix(self, prefix: str) -> dict[str, Any]:
--- a/roadbend/fakes/submission.py
+++ b/roadbend/fakes/submission.py
@@ -1,10 +1,10 @@
-"""A submission as a user would send it."""
+"""Bodies of submissions, as users send them."""
 
 from typing import Any
 
 
 def job(number: int, **changes) -> dict[str, Any]:
-    """The body of a submission; `changes` by the names of the wire."""
+    """Return the body of a submission; `changes` use the field names of the wire."""
     body = {
         "id": f"run-{number:06d}",
         "lane": "plans",
@@ -31,7 +31,7 @@
 
 
 def gang(number: int, tasks: int = 4, **changes) -> dict[str, Any]:
-    """As `job`, for a gang that may save what it did."""
+    """Return the body of a gang that saves checkpoints; see `job`."""
     body = dict(
         shape="group",
         legs=tasks,
--- a/roadbend/fakes/test_fakes.py
+++ b/roadbend/fakes/test_fakes.py
@@ -1,4 +1,4 @@
-"""The fakes' troubles do what they say, and the judge sees each breach."""
+"""The injected faults have the documented effects, and the checker finds each broken rule."""
 
 import random
 from datetime import timedelta
@@ -22,8 +22,8 @@
 NAME, PATH = "run-000001", "/v1/jobs/run-000001"
 
 
-class Desk:
-    """A judge with one accepted job and a clock to set."""
+class Harness:
+    """A rules' checker with one accepted job and an adjustable clock."""
 
     def __init__(self, **changes):
         self.now = 0.0
@@ -36,10 +36,14 @@
         self.rules.record_submission(body)
         self.rules.check_answer("POST", "/v1/jobs", body, status, {"status": "pending"}, self.now)
 
-    def ask(
-        self, word: str | None, status: int = 200, began: float | None = None, path: str = PATH
+    def query(
+        self,
+        job_status: str | None,
+        status: int = 200,
+        began: float | None = None,
+        path: str = PATH,
     ) -> None:
-        answer = {"status": word} if status == 200 else None
+        answer = {"status": job_status} if status == 200 else None
         began = self.now if began is None else began
         self.rules.check_answer("GET", path, None, status, answer, began)
 
@@ -53,125 +57,125 @@
         return {text.split(" ")[0] for text in self.rules.broken}
 
 
-def look(desk: Desk, at: float, rooms=(), hung=()) -> None:
-    desk.now = at
-    desk.rules.check(set(hung), list(rooms))
+def check(harness: Harness, at: float, machines=(), hung=()) -> None:
+    harness.now = at
+    harness.rules.check(set(hung), list(machines))
 
 
-ROOM = (EAST, (24.0, 2.0, 144.0))
+FREE_MACHINE = (EAST, (24.0, 2.0, 144.0))
 
 
-def breach_twice(d):
-    d.rules.check_start(f"{NAME}/0", EAST)
-    d.rules.check_start(f"{NAME}/0", WEST)
+def breach_twice(h):
+    h.rules.check_start(f"{NAME}/0", EAST)
+    h.rules.check_start(f"{NAME}/0", WEST)
 
 
-def breach_quota(d):
+def breach_quota(h):
     for n in range(2, 9):
-        d.submit(job(n), 201)
-        d.rules.check_start(f"run-{n:06d}/0", Place(f"m-{n}", "g2", "east", False))
+        h.submit(job(n), 201)
+        h.rules.check_start(f"run-{n:06d}/0", Place(f"m-{n}", "g2", "east", False))
 
 
-def breach_place(d):
-    d.submit(job(2, yard="west"), 201)
-    d.rules.check_start("run-000002/0", EAST)
+def breach_place(h):
+    h.submit(job(2, yard="west"), 201)
+    h.rules.check_start("run-000002/0", EAST)
 
 
-def breach_spot(d):
-    d.submit(job(2, loaners=False), 201)
-    d.rules.check_start("run-000002/0", Place("m-1", "g2", "east", True))
+def breach_spot(h):
+    h.submit(job(2, loaners=False), 201)
+    h.rules.check_start("run-000002/0", Place("m-1", "g2", "east", True))
 
 
-def breach_together(d):
-    d.submit(job(2, legs=2, together=True), 201)
-    d.rules.check_start("run-000002/0", EAST)
-    d.rules.check_start("run-000002/1", WEST)
+def breach_together(h):
+    h.submit(job(2, legs=2, together=True), 201)
+    h.rules.check_start("run-000002/0", EAST)
+    h.rules.check_start("run-000002/1", WEST)
 
 
-def breach_apart(d):
-    d.submit(job(2, legs=2, apart=True), 201)
-    d.rules.check_start("run-000002/0", EAST)
-    d.rules.check_start("run-000002/1", Place("m-3", "g2", "east", False))
+def breach_apart(h):
+    h.submit(job(2, legs=2, apart=True), 201)
+    h.rules.check_start("run-000002/0", EAST)
+    h.rules.check_start("run-000002/1", Place("m-3", "g2", "east", False))
 
 
-def breach_cancelled(d):
-    d.rules.check_start(f"{NAME}/0", EAST)
-    d.withdraw()
-    look(d, 37.0)
-    assert d.broken() == set()
-    look(d, 38.5)
+def breach_cancelled(h):
+    h.rules.check_start(f"{NAME}/0", EAST)
+    h.withdraw()
+    check(h, 37.0)
+    assert h.broken() == set()
+    check(h, 38.5)
 
 
-def breach_started_late(d):
-    d.withdraw()
-    d.now = 1.0
-    d.rules.check_start_order(f"{NAME}/0", "m-1")
+def breach_started_late(h):
+    h.withdraw()
+    h.now = 1.0
+    h.rules.check_start_order(f"{NAME}/0", "m-1")
 
 
-def breach_forgotten(d):
-    d.now = 1.0
-    d.ask(None, 404)
+def breach_forgotten(h):
+    h.now = 1.0
+    h.query(None, 404)
 
 
-def breach_repeat_refused(d):
-    d.now = 1.0
-    d.submit({**d.body, "vcpus": -1}, 400)
+def breach_repeat_refused(h):
+    h.now = 1.0
+    h.submit({**h.body, "vcpus": -1}, 400)
 
 
-def breach_unanswered(d):
-    d.rules.mark_faults_ended()
+def breach_unanswered(h):
+    h.rules.mark_faults_ended()
     for at in range(0, 70, 10):
-        d.now = float(at)
-        d.ask(None, 503)
-    look(d, 74.0)
-    assert d.broken() == set()
-    look(d, 76.0)
+        h.now = float(at)
+        h.query(None, 503)
+    check(h, 74.0)
+    assert h.broken() == set()
+    check(h, 76.0)
 
 
-def breach_invented(d):
-    d.ask("pending", path="/v1/jobs/run-000777")
+def breach_invented(h):
+    h.query("pending", path="/v1/jobs/run-000777")
 
 
-def breach_not_done(d):
-    d.ask("done")
+def breach_not_done(h):
+    h.query("done")
 
 
-def breach_back(d):
-    d.rules.record_completion(f"{NAME}/0")
-    d.ask("done")
-    d.now = 1.0
-    d.ask("running")
+def breach_back(h):
+    h.rules.record_completion(f"{NAME}/0")
+    h.query("done")
+    h.now = 1.0
+    h.query("running")
 
 
-def breach_cancelled_by_nobody(d):
-    d.ask("aborted")
+def breach_cancelled_by_nobody(h):
+    h.query("aborted")
 
 
-def breach_both(d):
-    d.rules.record_completion(f"{NAME}/0")
-    d.withdraw()
-    d.now = 1.0
-    d.ask("done")
+def breach_both(h):
+    h.rules.record_completion(f"{NAME}/0")
+    h.withdraw()
+    h.now = 1.0
+    h.query("done")
 
 
-def breach_waiting(d):
-    d.rules.mark_faults_ended()
+def breach_waiting(h):
+    h.rules.mark_faults_ended()
     for at in range(0, 90, 5):
-        d.ask("pending")
-        look(d, float(at), [ROOM])
-        assert d.broken() == set()
-    d.ask("pending")
-    look(d, 92.0, [ROOM])
+        h.query("pending")
+        check(h, float(at), [FREE_MACHINE])
+        assert h.broken() == set()
+    h.query("pending")
+    check(h, 92.0, [FREE_MACHINE])
 
 
-def breach_unfit(d):
-    d.submit(job(2, vcpus=25.0), 201)
+def breach_unfit(h):
+    h.submit(job(2, vcpus=25.0), 201)
 
 
-def breach_lacking(d):
+def breach_lacking(h):
     body = job(2)
     del body["loaners"]
-    d.submit(body, 201)
+    h.submit(body, 201)
 
 
 @pytest.mark.parametrize(
@@ -199,37 +203,37 @@
     ],
 )
 def test_the_judge_sees_each_breach(breach, rule):
-    desk = Desk()
-    breach(desk)
-    assert desk.broken() == {rule}
+    harness = Harness()
+    breach(harness)
+    assert harness.broken() == {rule}
 
 
 def test_the_judge_lets_pass_what_the_page_permits():
-    d = Desk(legs=2)
-    # A question that began before the answer may bring an older one; an old machine's task leaves
-    # before the next.
-    d.rules.check_start(f"{NAME}/0", EAST)
-    d.rules.record_removal(f"{NAME}/0", "m-1")
-    d.rules.check_start(f"{NAME}/0", WEST)
-    d.now = 5.0
-    d.withdraw()
-    d.now = 6.0
-    d.ask("running", began=4.0)
-    # On a machine that hangs it does nothing; nothing waits where the team is at its limit or no
-    # machine has room.
-    look(d, 60.0, hung=["m-2"])
-    d.rules.record_removal(f"{NAME}/0", "m-2")
+    h = Harness(legs=2)
+    # A query that began before the cancellation was confirmed may return an older state. A task is
+    # removed from its old machine before it starts on the next.
+    h.rules.check_start(f"{NAME}/0", EAST)
+    h.rules.record_removal(f"{NAME}/0", "m-1")
+    h.rules.check_start(f"{NAME}/0", WEST)
+    h.now = 5.0
+    h.withdraw()
+    h.now = 6.0
+    h.query("running", began=4.0)
+    # A task on a hung machine does nothing. No job counts as left waiting if its team is at its
+    # limit or no machine has free capacity for it.
+    check(h, 60.0, hung=["m-2"])
+    h.rules.record_removal(f"{NAME}/0", "m-2")
     for n in range(2, 9):
-        d.submit(job(n), 201)
+        h.submit(job(n), 201)
     for n in range(2, 8):
-        d.rules.check_start(f"run-{n:06d}/0", Place(f"m-{n}", "g2", "east", False))
-    d.rules.mark_faults_ended()
+        h.rules.check_start(f"run-{n:06d}/0", Place(f"m-{n}", "g2", "east", False))
+    h.rules.mark_faults_ended()
     for at in range(60, 200, 5):
-        d.now = float(at)
+        h.now = float(at)
         for n in range(2, 9):
-            d.ask("pending", path=f"/v1/jobs/run-{n:06d}")
-        look(d, float(at), [ROOM])
-    assert d.rules.broken == []
+            h.query("pending", path=f"/v1/jobs/run-{n:06d}")
+        check(h, float(at), [FREE_MACHINE])
+    assert h.rules.broken == []
 
 
 async def test_a_late_transaction_comes_after_newer_ones_and_fails_on_its_conditions():
@@ -255,7 +259,7 @@
 
 
 class Serving:
-    """A service on a network, and a user's way to it."""
+    """A service on a network, and a client for it."""
 
     def __init__(self, network: Network, service):
         from roadbend.http.server import Server
@@ -293,7 +297,7 @@
 
 
 async def started(w: World, **changes) -> tuple[str, object]:
-    """A service's machine and its worker."""
+    """Start a service; return its machine and worker."""
     assert await w.submit(0, job(1, shape="daemon", dueS=None, **changes), None) == 201
     assert await w.until(lambda: w.board.running(NAME), 60)
     machine = next(iter(w.board.machines_by_task[f"{NAME}/0"]))
@@ -301,13 +305,13 @@
     return machine, w.cloud.machines[machine].worker
 
 
-@pytest.mark.parametrize("trouble", ["deaf", "mute", "hang", "held"])
-async def test_troubles_of_a_machine(trouble):
-    """What still gets through, and what does not, by the page."""
+@pytest.mark.parametrize("fault", ["deaf", "mute", "hang", "held"])
+async def test_troubles_of_a_machine(fault):
+    """Guards against faults that let through more or less traffic than the page says."""
     async with world(count=1) as w:
         w.cloud.refuse_deletion = True
         machine, worker = await started(w)
-        epoch, sequence, heard = (
+        epoch, sequence, machine_state = (
             worker.epoch,
             worker.sequence,
             w.controllers["node-0"].leaders["east"].machines[machine],
@@ -317,26 +321,26 @@
             "mute": lambda: w.block_outbound([machine], 16),
             "hang": lambda: w.hang([machine], 16),
             "held": lambda: w.hold([(machine, "node-0")], 16),
-        }[trouble]
+        }[fault]
         client = Client(w.network.port("node-0"), worker.address)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(run)
-            before = heard.contact.position
+            before = machine_state.contact.position
             await trio.sleep(8)
-            # Reports arrive from the deaf only; commands reach the mute and those whose reports are
-            # held back.
-            assert (heard.contact.position > before) == (trouble == "deaf")
-            got = True
+            # With inbound traffic blocked, heartbeats still arrive. With outbound connections
+            # blocked, commands still arrive.
+            assert (machine_state.contact.position > before) == (fault == "deaf")
+            answered = True
             try:
                 await client.request("GET", "/inspect", within=timedelta(seconds=1))
             except NoAnswerError:
-                got = False
-            assert got == (trouble in ("mute",))
-            assert w.board.running(NAME) == [f"{NAME}/0"] and worker.hung == (trouble == "hang")
+                answered = False
+            assert answered == (fault in ("mute",))
+            assert w.board.running(NAME) == [f"{NAME}/0"] and worker.hung == (fault == "hang")
         await client.close()
         await trio.sleep(0.2)
-        if trouble != "held":
-            # A lease that has not run out goes on.
+        if fault != "held":
+            # A lease that has not expired continues.
             assert worker.epoch == epoch and worker.sequence > sequence
         await trio.sleep(30)
 
@@ -356,18 +360,18 @@
 async def test_copies_of_reports_arrive_again_and_are_nobodys_news():
     async with world(count=1) as w:
         machine, worker = await started(w)
-        seen, real = [], w.controllers["node-0"].fleet.handle_heartbeat
+        statuses, original_handle = [], w.controllers["node-0"].fleet.handle_heartbeat
 
         async def handle_heartbeat(request):
-            answer = await real(request)
-            seen.append(answer.status)
+            answer = await original_handle(request)
+            statuses.append(answer.status)
             return answer
 
         w.controllers["node-0"].fleet.handle_heartbeat = handle_heartbeat
         await w.replay_heartbeats(1.0, 20, random.Random(2))
         await trio.sleep(45)
         assert (
-            seen.count(503) >= 5
+            statuses.count(503) >= 5
             and w.board.running(NAME) == [f"{NAME}/0"]
             and len(w.board.starts) == 1
         )
@@ -389,15 +393,17 @@
             assert trio.current_time() - began > 5.9
             await w.send_malformed_requests(20, random.Random(3))
         assert w.rules.jobs["run-000004"].has_ended and not ended
-        odd = [case for name, case in w.rules.jobs.items() if name >= "run-900000"]
-        assert odd and all(case.accepted_at is None for case in odd)
+        malformed = [job for job_id, job in w.rules.jobs.items() if job_id >= "run-900000"]
+        assert malformed and all(job.accepted_at is None for job in malformed)
         await w.finish()
 
 
 async def test_a_controller_that_runs_is_not_started_a_second_time():
-    """Two failures ended one controller and each started it again: two processes of one name ran,
-    which DEPLOY rules out, and took their partition from each other for ever (pairs of troubles,
-    seed 2, in a third of the orders of tasks: `left_waiting`).
+    """Guards against two processes of one controller, which DEPLOY rules out.
+
+    Two combined faults crashed the same controller, and each started it again. The two processes
+    then acquired their partition from each other forever (pairs of faults, seed 2, in a third of
+    the task orders: `left_waiting`).
     """
     async with world() as w:
         w.crash(1)
@@ -409,8 +415,9 @@
 
 
 async def test_a_task_that_is_stopped_in_the_instant_of_its_start_stays_ended():
-    """As its machine goes on after it hung, the start and the stop that it holds are carried out
-    in one instant. The task of a gang was shown as ended and then as waiting for the others.
+    """Guards against a gang's task that is first reported as ended and then as waiting.
+
+    When a machine continues after a hang, it executes a held start and stop at one instant.
     """
     async with world(caches_images=True) as w:
         w.rules.record_submission(gang(1, 2))
@@ -424,14 +431,19 @@
 
 
 def tasks_of_a_worker(board: Board, place: Place, nursery: trio.Nursery) -> WorkerTasks:
-    """What a worker that never hangs carries out, and nobody hears of."""
+    """Return the tasks of a worker that never hangs and reports to nobody."""
 
-    async def never() -> None:
+    async def never_hung() -> None:
         pass
 
     settings = WorkerSettings(caches_images=True)
     tasks = WorkerTasks(
-        board, place, settings, wait_while_hung=never, hung=lambda: False, changed=lambda: None
+        board,
+        place,
+        settings,
+        wait_while_hung=never_hung,
+        is_hung=lambda: False,
+        on_change=lambda: None,
     )
     tasks.nursery = nursery
     return tasks
@@ -439,11 +451,12 @@
 
 @pytest.mark.parametrize("first, second", [(EAST, EAST), (EAST, WEST)], ids=["there", "elsewhere"])
 async def test_a_completed_task_that_is_started_again_exits_once_it_has_its_image(first, second):
-    """Its worker had lost it with its lease, and it ran for its whole length a second time: the
-    team's limit was passed once a heartbeat that was held back had shown its first end (search,
-    seed 60).
+    """Guards against a second full run of a completed task, which broke its team's limit.
+
+    The worker had lost the completed task with its lease, and the task was started again. The limit
+    was exceeded once a delayed heartbeat had reported the first completion (search, seed 60).
     """
-    board, task, key = Board(Desk(legs=2).rules), f"{NAME}/0", (f"{NAME}/0", 7)
+    board, task, key = Board(Harness(legs=2).rules), f"{NAME}/0", (f"{NAME}/0", 7)
     board.lengths[NAME] = 20.0
     run = [{"verb": "run", "leg": task, "try": 7}]
     async with trio.open_nursery() as nursery:
@@ -460,13 +473,13 @@
         assert again is worker or again.tasks[key].state == "fetching"
         await trio.sleep(0.2)
         assert again.tasks[key].cause == "done" and not board.running(NAME)
-        # Its start counts all the same.
+        # The second start is still recorded.
         assert [machine for _, _, machine in board.starts] == [first.machine, second.machine]
         assert board.rules.broken == []
 
 
 async def test_a_task_that_has_not_completed_runs_for_its_whole_length_when_it_is_started_again():
-    board, key = Board(Desk(legs=2).rules), (f"{NAME}/1", 8)
+    board, key = Board(Harness(legs=2).rules), (f"{NAME}/1", 8)
     board.lengths[NAME] = 20.0
     async with trio.open_nursery() as nursery:
         worker = tasks_of_a_worker(board, EAST, nursery)
@@ -483,7 +496,7 @@
 
 
 async def test_no_task_of_a_gang_gathers_once_one_of_them_has_completed():
-    board, key = Board(Desk(shape="group", legs=2).rules), (f"{NAME}/1", 8)
+    board, key = Board(Harness(shape="group", legs=2).rules), (f"{NAME}/1", 8)
     board.record_completion(f"{NAME}/0")
     async with trio.open_nursery() as nursery:
         worker = tasks_of_a_worker(board, EAST, nursery)
--- a/roadbend/fakes/user.py
+++ b/roadbend/fakes/user.py
@@ -1,4 +1,4 @@
-"""A user's commands for trying roadbend out.
+"""Command line of a user, to try roadbend out.
 
 Run as `python3 -m roadbend.fakes.user ADDRESS submit ID`.
 """
@@ -14,8 +14,7 @@
 from roadbend.http.client import Client, NoAnswerError
 from roadbend.http.net import Net
 
-# Users wait this long for an answer.
-ANSWER_WAIT = timedelta(seconds=5)
+ANSWER_TIMEOUT = timedelta(seconds=5)
 ACCEPTED_STATUSES = (200, 201)
 
 
@@ -43,24 +42,24 @@
     }
 
 
-async def act(arguments: argparse.Namespace) -> int:
-    """Carry out one command, print the answer and return the exit status."""
+async def run_command(arguments: argparse.Namespace) -> int:
+    """Run one command, print the answer and return the exit status."""
     client, net = Client(Net(), arguments.address), Net()
     path = f"/v1/jobs/{arguments.id}"
     try:
         if arguments.verb == "submit":
-            length = None if arguments.service else arguments.seconds
+            task_seconds = None if arguments.service else arguments.seconds
             await Client(net, ADDRESSES.lengths).request(
-                "POST", "/", {"id": arguments.id, "seconds": length}, within=ANSWER_WAIT
+                "POST", "/", {"id": arguments.id, "seconds": task_seconds}, within=ANSWER_TIMEOUT
             )
             status, answer = await client.request(
-                "POST", "/v1/jobs", submission(arguments), within=ANSWER_WAIT
+                "POST", "/v1/jobs", submission(arguments), within=ANSWER_TIMEOUT
             )
         elif arguments.verb == "query":
-            status, answer = await client.request("GET", path, within=ANSWER_WAIT)
+            status, answer = await client.request("GET", path, within=ANSWER_TIMEOUT)
         else:
             status, answer = await client.request(
-                "POST", f"{path}/withdraw", {}, within=ANSWER_WAIT
+                "POST", f"{path}/withdraw", {}, within=ANSWER_TIMEOUT
             )
     except NoAnswerError as error:
         print(f"no answer: {error}", file=sys.stderr)
@@ -70,21 +69,21 @@
 
 
 def parser() -> argparse.ArgumentParser:
-    """Describe the command line."""
-    out = argparse.ArgumentParser(prog="roadbend.fakes.user", description=__doc__)
-    out.add_argument("address", help="a controller, host:port")
-    out.add_argument("verb", choices=["submit", "query", "withdraw"])
-    out.add_argument("id", help="run- and digits")
-    out.add_argument("--tasks", type=int, default=1)
-    out.add_argument("--seconds", type=float, default=10.0)
-    out.add_argument("--service", action="store_true")
-    out.add_argument("--team", default="red")
-    return out
+    """Return the parser of the command line."""
+    argument_parser = argparse.ArgumentParser(prog="roadbend.fakes.user", description=__doc__)
+    argument_parser.add_argument("address", help="a controller, host:port")
+    argument_parser.add_argument("verb", choices=["submit", "query", "withdraw"])
+    argument_parser.add_argument("id", help="run- and digits")
+    argument_parser.add_argument("--tasks", type=int, default=1)
+    argument_parser.add_argument("--seconds", type=float, default=10.0)
+    argument_parser.add_argument("--service", action="store_true")
+    argument_parser.add_argument("--team", default="red")
+    return argument_parser
 
 
 def main() -> int:
-    """Run one command from the process's arguments."""
-    return trio.run(act, parser().parse_args())
+    """Run the command of the process's arguments."""
+    return trio.run(run_command, parser().parse_args())
 
 
 if __name__ == "__main__":
--- a/roadbend/fakes/worker.py
+++ b/roadbend/fakes/worker.py
@@ -1,4 +1,4 @@
-"""A worker's fake, by the protocol: its heartbeats, its lease, its token and its HTTP side."""
+"""Fake of a worker, by the protocol: heartbeats, lease, fencing token, and HTTP server."""
 
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
@@ -14,21 +14,22 @@
 from roadbend.http.client import Client, NoAnswerError
 from roadbend.http.server import Request, Response, Server, decode
 
-# An answer that comes later is dropped; in seconds.
-ANSWER_WITHIN_S = 4
-# Heartbeats do not follow each other faster, whatever changes; in seconds.
-SHORTEST_PAUSE_S = 0.5
-# Pauses before a heartbeat goes to the controller that was named, or to the next one; in seconds.
+# A later answer to a heartbeat is dropped; in seconds.
+ANSWER_TIMEOUT_S = 4
+# Minimum time between heartbeats, in seconds.
+MIN_HEARTBEAT_PAUSE_S = 0.5
+# Pauses before a heartbeat is sent to the controller that the answer named, or to the next one; in
+# seconds.
 REDIRECT_PAUSE_S, RETRY_PAUSE_S = 0.2, 1
-# How often the lease is looked at, in seconds.
-LEASE_CHECK_S = 0.25
-# For so long an answer that is lost is not given, in seconds.
+# How often the lease is checked, in seconds.
+LEASE_CHECK_INTERVAL_S = 0.25
+# Delay of an answer that counts as lost, in seconds.
 NEVER_S = 3600
 
 
 @dataclass
 class Lease:
-    """A worker's lease: the epoch that it is in, and when it was last renewed, in seconds."""
+    """A worker's lease: its epoch, and when it was last renewed, in seconds."""
 
     epoch: int = 1
     sequence: int = 0
@@ -53,27 +54,26 @@
         self.place, self.address = place, address
         self.settings = settings or WorkerSettings()
         self.lease = Lease()
-        # In how many seconds the cloud takes the machine back.
+        # In how many seconds the cloud reclaims the machine; None: no notice.
         self.reclaim_in_s: float | None = None
         self._changed = trio.Event()
         self._controller = min(controllers) if controllers else ""
-        # Set while the machine runs; while it hangs it does nothing at all, and goes on where it
-        # stood.
-        self._awake = trio.Event()
-        self._awake.set()
+        # Set unless the machine hangs. A hung machine does nothing, and continues where it was.
+        self._running = trio.Event()
+        self._running.set()
         self._work = WorkerTasks(
             board,
             self.place,
             self.settings,
             wait_while_hung=self._wait_while_hung,
-            hung=lambda: self.hung,
-            changed=self._note_change,
+            is_hung=lambda: self.hung,
+            on_change=self._request_heartbeat,
         )
-        # Called with every heartbeat that was sent, by those who copy some.
+        # Called with every heartbeat that is sent.
         self.heartbeat_listeners: list[Callable[[FakeWorker, dict[str, Any]], None]] = []
-        # Asked about every direct command: by how many seconds it is held up, None: not at all.
+        # Called for every direct command: its delay in seconds; None: it is not delayed.
         self.command_delay: Callable[[], float | None] = lambda: None
-        # Results of held commands as they arrived: executed or refused.
+        # Whether each delayed command was executed, in the order of their arrival.
         self.late_command_results: list[bool] = []
 
     @property
@@ -88,12 +88,12 @@
 
     @property
     def epoch(self) -> int:
-        """Return how many leases the worker has had, the present one included."""
+        """Return how many leases the worker has had, including the current one."""
         return self.lease.epoch
 
     @property
     def sequence(self) -> int:
-        """Return how many heartbeats the worker has sent, or counted, in this incarnation."""
+        """Return how many heartbeats the worker has made in this incarnation."""
         return self.lease.sequence
 
     @property
@@ -103,12 +103,12 @@
 
     @property
     def tasks(self) -> dict[tuple[str, int], WorkerTask]:
-        """Return the tasks that the worker knows, by name and attempt."""
+        """Return the worker's tasks, by name and attempt."""
         return self._work.tasks
 
     @property
     def orders(self) -> list[dict[str, Any]]:
-        """Return all orders that reached the worker."""
+        """Return all orders that the worker received."""
         return self._work.orders
 
     def execute(self, orders: list[dict[str, Any]]) -> None:
@@ -121,38 +121,38 @@
 
     @property
     def hung(self) -> bool:
-        """Whether the machine stands still."""
-        return not self._awake.is_set()
+        """Whether the machine hangs."""
+        return not self._running.is_set()
 
     async def hang(self, length: float) -> None:
-        """Let the machine stand still for some seconds, unless it does already."""
+        """Hang the machine for some seconds, unless it hangs already."""
         if self.hung:
             return
-        self._awake = trio.Event()
+        self._running = trio.Event()
         await trio.sleep(length)
-        self._awake.set()
+        self._running.set()
 
-    def _note_change(self) -> None:
-        """Let the next heartbeat go out soon."""
+    def _request_heartbeat(self) -> None:
+        """Let the next heartbeat be sent soon."""
         self._changed.set()
 
     async def _wait_while_hung(self) -> None:
-        """Go on when the machine does; the first thing that it does then is look at its lease."""
+        """Wait until the machine no longer hangs; then check the lease before anything else."""
         if self.hung:
-            await self._awake.wait()
+            await self._running.wait()
             self._check_lease()
 
     def heartbeat(self) -> dict[str, Any]:
         """Return the next heartbeat."""
         self.lease.sequence += 1
-        rows = []
+        tasks = []
         for task in self.tasks.values():
-            row: dict[str, Any] = {"leg": task.name, "try": task.attempt, "status": task.state}
+            entry: dict[str, Any] = {"leg": task.name, "try": task.attempt, "status": task.state}
             if task.cause:
-                row["cause"] = task.cause
+                entry["cause"] = task.cause
             if task.saved:
-                row["saved"] = True
-            rows.append(row)
+                entry["saved"] = True
+            tasks.append(entry)
         return {
             "hitch": self.machine,
             "address": self.address,
@@ -163,18 +163,18 @@
             "tick": self.lease.sequence,
             "baton": self.lease.token,
             "recallS": self.reclaim_in_s,
-            "legs": rows,
+            "legs": tasks,
         }
 
     def handle_answer(self, answer: dict[str, Any], sent: float, epoch: int) -> bool:
-        """Take a heartbeat's answer; False if its token or epoch do not count any more.
+        """Handle the answer to a heartbeat; return False if it is late or its token or epoch stale.
 
         `sent`, `epoch`: when the heartbeat was sent, in seconds, and in which epoch.
         """
         if (
             epoch != self.lease.epoch
             or answer.get("baton", -1) < self.lease.token
-            or trio.current_time() - sent > ANSWER_WITHIN_S
+            or trio.current_time() - sent > ANSWER_TIMEOUT_S
         ):
             return False
         if answer["baton"] > self.lease.token:
@@ -185,7 +185,7 @@
         return True
 
     async def handle(self, request: Request) -> Response:
-        """Answer a question for the worker's state, or a direct command."""
+        """Answer a query for the worker's state, or a direct command."""
         await self._wait_while_hung()
         if request.path == "/inspect":
             return Response(200, self.heartbeat())
@@ -193,21 +193,21 @@
         delay = self.command_delay()
         if delay is not None:
             assert self._work.nursery is not None
-            self._work.nursery.start_soon(self._command_late, body, delay)
-            # The sender never hears of it.
+            self._work.nursery.start_soon(self._handle_late_command, body, delay)
+            # The sender gets no answer.
             await trio.sleep(NEVER_S)
-        if not self._command(body):
+        if not self._handle_command(body):
             return Response(409, self.heartbeat())
         return Response(200, self.heartbeat())
 
-    async def _command_late(self, body: dict[str, Any], delay: float) -> None:
-        """Take a direct command that was held up; it counts if token and epoch still match."""
+    async def _handle_late_command(self, body: dict[str, Any], delay: float) -> None:
+        """Handle a delayed command; it is executed if its token and epoch are still valid."""
         await trio.sleep(delay)
         await self._wait_while_hung()
-        self.late_command_results.append(self._command(body))
+        self.late_command_results.append(self._handle_command(body))
 
-    def _command(self, body: dict[str, Any]) -> bool:
-        """Carry out a direct command; False where token or epoch refuse it."""
+    def _handle_command(self, body: dict[str, Any]) -> bool:
+        """Execute a direct command; return False if its token or epoch is stale."""
         if body["baton"] < self.lease.token or body["stint"] != self.lease.epoch:
             return False
         self.lease.token = max(self.lease.token, body["baton"])
@@ -223,21 +223,23 @@
                 server = Server(self.handle, max_connections=32)
                 await nursery.start(self._net.listen, self.address, server.serve)
                 nursery.start_soon(self._watch_lease)
-                clients = {name: Client(self._net, at) for name, at in self._controllers.items()}
+                clients = {
+                    name: Client(self._net, address) for name, address in self._controllers.items()
+                }
                 while True:
                     await self._send_heartbeat(clients)
         finally:
-            self._work.leave_board()
+            self._work.record_machine_end()
 
     async def _watch_lease(self) -> None:
         while True:
-            # Also while it hangs: it may go on within its lease only, and finds the rest gone when
-            # it does.
-            await trio.sleep(LEASE_CHECK_S)
+            # A hung machine's lease is checked as well: if it expires, the tasks are gone when the
+            # machine continues.
+            await trio.sleep(LEASE_CHECK_INTERVAL_S)
             self._check_lease()
 
     def _check_lease(self) -> None:
-        """Begin a new epoch without tasks once the lease has expired."""
+        """Begin a new epoch without tasks if the lease has expired."""
         if trio.current_time() - self.lease.renewed_at > self.settings.lease_s:
             self._work.wipe()
             self.lease.epoch += 1
@@ -245,23 +247,23 @@
             self._changed.set()
 
     async def _send_heartbeat(self, clients: dict[str, Client]) -> None:
-        """Send a heartbeat, take its answer, and wait until the next one is due."""
+        """Send a heartbeat, handle its answer, and wait until the next one is due."""
         await self._wait_while_hung()
         self._changed = trio.Event()
         sent, epoch, body = trio.current_time(), self.lease.epoch, self.heartbeat()
-        for see in self.heartbeat_listeners:
-            see(self, body)
+        for listener in self.heartbeat_listeners:
+            listener(self, body)
         try:
             status, answer = await clients[self._controller].request(
-                "POST", "/hello", body, within=timedelta(seconds=ANSWER_WITHIN_S)
+                "POST", "/hello", body, within=timedelta(seconds=ANSWER_TIMEOUT_S)
             )
         except NoAnswerError:
             status, answer = 0, None
         await self._wait_while_hung()
         if status == HTTPStatus.OK and isinstance(answer, dict):
             self.handle_answer(answer, sent, epoch)
-            await trio.sleep(SHORTEST_PAUSE_S)
-            with trio.move_on_after(self.settings.heartbeat_s - SHORTEST_PAUSE_S):
+            await trio.sleep(MIN_HEARTBEAT_PAUSE_S)
+            with trio.move_on_after(self.settings.heartbeat_s - MIN_HEARTBEAT_PAUSE_S):
                 await self._changed.wait()
             return
         named = (
--- a/roadbend/fakes/worker_tasks.py
+++ b/roadbend/fakes/worker_tasks.py
@@ -1,4 +1,4 @@
-"""The tasks of one fake worker: they fetch their image, run, gather in gangs, save and end."""
+"""The tasks of one fake worker: they fetch images, run, gather in gangs, save and end."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
@@ -9,12 +9,12 @@
 from roadbend.checkers.observed_jobs import Place
 from roadbend.fakes.board import Board, Gang, ReceivedOrder, WorkerTask
 
-# How often a gang's task looks at the others, in seconds.
-GANG_STEP_S = 0.05
-# After how long a task on a broken machine fails, in seconds.
-FAILS_AFTER_S = 0.5
-# After which share of the time that a gang's tasks have to notice a loss they notice it.
-NOTICES_AFTER = 0.6
+# How often a gang's task checks the others, in seconds.
+GANG_POLL_INTERVAL_S = 0.05
+# How long a task runs on a broken machine before it fails, in seconds.
+FAILURE_DELAY_S = 0.5
+# A gang's tasks notice a lost one after this share of the time that they have for it.
+LOSS_DETECTION_SHARE = 0.6
 
 
 @dataclass
@@ -24,19 +24,19 @@
     heartbeat_s: float = 2.5
     lease_s: float = 18.0
     fetch_s: float = 1.0
-    # Every task fails on it.
+    # Whether every task fails on the machine.
     broken: bool = False
     gang_wait_s: float = 30.0
     gang_peer_s: float = 5.0
-    # Images that were fetched once are there for the next task that needs them.
+    # Whether fetched images are kept for later tasks.
     caches_images: bool = False
 
 
 class WorkerTasks:
-    """Carries out the orders that reach a worker.
+    """Executes the orders that a worker receives.
 
-    `wait_while_hung` returns when the machine runs; `hung` says whether it stands still. `changed`
-    is called with every change of a task's state.
+    `wait_while_hung` returns when the machine does not hang; `is_hung` returns whether it does.
+    `on_change` is called on every change of a task's state.
     """
 
     def __init__(
@@ -46,39 +46,39 @@
         settings: WorkerSettings,
         *,
         wait_while_hung: Callable[[], Awaitable[None]],
-        hung: Callable[[], bool],
-        changed: Callable[[], None],
+        is_hung: Callable[[], bool],
+        on_change: Callable[[], None],
     ) -> None:
         self.tasks: dict[tuple[str, int], WorkerTask] = {}
         self.orders: list[dict[str, Any]] = []
         self.nursery: trio.Nursery | None = None
         self._board, self._place, self._settings = board, place, settings
-        self._wait_while_hung, self._hung, self._changed = wait_while_hung, hung, changed
+        self._wait_while_hung, self._is_hung, self._on_change = wait_while_hung, is_hung, on_change
         self._images: set[str] = set()
 
     def execute(self, orders: list[dict[str, Any]]) -> None:
-        """Carry out orders, as a heartbeat's answer or a direct command brings them."""
+        """Execute orders from a heartbeat's answer or a direct command."""
         for order in orders:
             self.orders.append(order)
             key = (order["leg"], order["try"])
             task = self.tasks.get(key)
-            self._note_received(order, task)
+            self._record_received(order, task)
             if order["verb"] == "run" and task is None:
                 self._start(key)
             elif order["verb"] == "kill" and task is not None and not task.ended:
                 self._kill(task, order["windDownS"])
             elif order["verb"] == "forget" and task is not None and task.ended:
                 del self.tasks[key]
-                self._changed()
+                self._on_change()
 
     def _start(self, key: tuple[str, int]) -> None:
-        assert self.nursery is not None, "orders come to a worker that runs"
+        assert self.nursery is not None, "a worker receives orders only while it runs"
         self._board.record_start_order(key[0], self._place.machine)
-        task = self.tasks[key] = WorkerTask(*key, hangs=self._hung)
-        self.nursery.start_soon(self._live, task)
-        self._changed()
+        task = self.tasks[key] = WorkerTask(*key, is_hung=self._is_hung)
+        self.nursery.start_soon(self._run_task, task)
+        self._on_change()
 
-    def _note_received(self, order: dict[str, Any], task: WorkerTask | None) -> None:
+    def _record_received(self, order: dict[str, Any], task: WorkerTask | None) -> None:
         effective = {
             "run": task is None,
             "kill": task is not None and not task.ended,
@@ -105,47 +105,47 @@
         if cause == "done":
             self._board.record_completion(task.name)
         task.state, task.cause = "ended", cause
-        self._changed()
+        self._on_change()
 
     def wipe(self) -> None:
-        """Stop and forget all tasks, as a worker does whose lease has expired."""
+        """Stop and remove all tasks, as a worker does whose lease has expired."""
         for task in self.tasks.values():
             self.end(task, "stopped")
         self.tasks.clear()
 
-    def leave_board(self) -> None:
-        """Note that nothing is on the machine any more: it has ended."""
+    def record_machine_end(self) -> None:
+        """Record that the machine has ended, so that none of its tasks is on it any more."""
         for task in self.tasks.values():
             if task.began is not None:
                 self._board.record_removal(task.name, self._place.machine)
 
     async def _fetch(self, task: WorkerTask) -> None:
-        """Fetch a task's image, unless it is on the machine."""
+        """Fetch a task's image, unless it is cached on the machine."""
         image = self._board.body(task.job).get("bundle", "")
         if image not in self._images:
             await trio.sleep(self._settings.fetch_s)
             if self._settings.caches_images:
                 self._images.add(image)
 
-    async def _live(self, task: WorkerTask) -> None:
+    async def _run_task(self, task: WorkerTask) -> None:
         if task.ended:
-            # Stopped in the instant of its start.
+            # Stopped at the same instant as it was started.
             return
         with trio.CancelScope() as task.scope:
             await self._fetch(task)
             await self._wait_while_hung()
             if task.name in self._board.completed:
-                self._end_again(task)
+                self._end_completed(task)
                 return
             gang = self._board.gang(task)
             if gang is not None:
-                await self._live_in_gang(gang, task)
+                await self._run_in_gang(gang, task)
                 return
             task.state, task.began = "running", trio.current_time()
             self._board.record_start(task.name, self._place)
-            self._changed()
+            self._on_change()
             if self._settings.broken:
-                await trio.sleep(FAILS_AFTER_S)
+                await trio.sleep(FAILURE_DELAY_S)
                 self.end(task, "error")
                 return
             length = self._board.length(task)
@@ -153,106 +153,113 @@
             await self._wait_while_hung()
             self.end(task, "done")
 
-    def _end_again(self, task: WorkerTask) -> None:
-        """End a task that had completed before: its result is kept, whatever became of its worker.
+    def _end_completed(self, task: WorkerTask) -> None:
+        """End a task that had completed before; its result is kept independently of its worker.
 
-        It begins and ends in the same instant, so that its start is judged like any other.
+        It starts and ends at the same instant, so that its start is checked like any other.
         """
         task.began = trio.current_time()
         self._board.record_start(task.name, self._place)
         self.end(task, "done")
 
-    async def _live_in_gang(self, gang: Gang, task: WorkerTask) -> None:
-        """Wait for a gang's other tasks, run, save and complete with them.
+    async def _run_in_gang(self, gang: Gang, task: WorkerTask) -> None:
+        """Wait for the gang's other tasks, and run, save and complete together with them.
 
-        The task ends, too, when it notices that another one is lost.
+        The task also ends when it notices that another one is lost.
         """
         if not await self._gather(gang, task):
             self.end(task, "alone")
             return
         task.state = "running"
-        self._changed()
+        self._on_change()
         length = self._board.lengths.get(task.job)
-        missing: float | None = None
+        lost_since: float | None = None
         while not task.ended:
-            await trio.sleep(GANG_STEP_S)
+            await trio.sleep(GANG_POLL_INTERVAL_S)
             await self._wait_while_hung()
             now = trio.current_time()
-            if gang.stopping is None and missing is None and not gang.over:
-                self._work(gang, task, now, length)
-            if gang.over:
+            if gang.stopping_since is None and lost_since is None and not gang.done:
+                self._advance(gang, task, now, length)
+            if gang.done:
                 self.end(task, "done")
                 return
             if not any(member.lost for member in gang.members.values()):
-                # A machine that hung goes on before the others noticed.
-                missing = None
+                # A hung machine continued before the others noticed.
+                lost_since = None
             else:
-                missing = now if missing is None else missing
-                if now - missing > self._settings.gang_peer_s * NOTICES_AFTER:
+                lost_since = now if lost_since is None else lost_since
+                if now - lost_since > self._settings.gang_peer_s * LOSS_DETECTION_SHARE:
                     self.end(task, "peers")
                     return
             self._stop_with_others(gang, task, now)
 
     async def _gather(self, gang: Gang, task: WorkerTask) -> bool:
-        """Wait until all tasks of a gang are there; False if that takes too long."""
-        since = trio.current_time()
-        task.state, task.began = "gathering", since
+        """Wait until all tasks of a gang have started; return False if that takes too long."""
+        waiting_since = trio.current_time()
+        task.state, task.began = "gathering", waiting_since
         self._board.record_start(task.name, self._place)
         gang.members[task.name] = task
-        self._changed()
+        self._on_change()
         while gang.began is None:
             gathered = [m for m in gang.members.values() if m.state == "gathering"]
             if len(gathered) == gang.size:
                 gang.began = trio.current_time()
-                gang.base = self._board.progress.get(task.job, 0.0)
+                gang.initial_progress = self._board.progress.get(task.job, 0.0)
                 break
-            if trio.current_time() - since > self._settings.gang_wait_s:
+            if trio.current_time() - waiting_since > self._settings.gang_wait_s:
                 return False
-            await trio.sleep(GANG_STEP_S)
+            await trio.sleep(GANG_POLL_INTERVAL_S)
             await self._wait_while_hung()
         return True
 
-    def _work(self, gang: Gang, task: WorkerTask, now: float, length: float | None) -> None:
-        """Note what a gang that runs undisturbed has done, its checkpoints and its end."""
+    def _advance(self, gang: Gang, task: WorkerTask, now: float, length: float | None) -> None:
+        """Record the checkpoints and the completion of a gang that runs undisturbed."""
         assert gang.began is not None
-        made = gang.base + now - gang.began
-        step = self._board.body(task.job)["milestoneS"]
-        if step:
-            self._board.record_checkpoint(task.job, made // step * step)
-        if length is not None and made >= length:
-            gang.over = True
+        progress = gang.initial_progress + now - gang.began
+        interval = self._board.body(task.job)["milestoneS"]
+        if interval:
+            self._board.record_checkpoint(task.job, progress // interval * interval)
+        if length is not None and progress >= length:
+            gang.done = True
 
     def _stop_with_others(self, gang: Gang, task: WorkerTask, now: float) -> None:
-        """Save if the task was told to stop; end if another one was, and this one not in time."""
+        """Save if the task was ordered to stop; end if another was, and this one not in time."""
         if task.grace is not None:
             self._save_with_others(gang, task, now)
-        elif gang.stopping is not None and now - gang.stopping > self._settings.gang_peer_s:
+        elif (
+            gang.stopping_since is not None
+            and now - gang.stopping_since > self._settings.gang_peer_s
+        ):
             self.end(task, "peers")
 
     def _save_with_others(self, gang: Gang, task: WorkerTask, now: float) -> None:
-        """Save, and wait a little until the others have saved, too; progress stands meanwhile."""
-        assert gang.stopping is not None
+        """Save, and wait for a limited time until the others have saved, too."""
+        assert gang.stopping_since is not None
         if task.state == "running":
             task.state = "flushing"
-            self._changed()
+            self._on_change()
         save_s = self._board.body(task.job)["stowS"]
-        if now - gang.stopping >= save_s:
+        if now - gang.stopping_since >= save_s:
             gang.saved.add(task.name)
         if len(gang.saved) == gang.size:
-            self._board.record_checkpoint(task.job, gang.base + gang.stopping - (gang.began or now))
+            self._board.record_checkpoint(
+                task.job, gang.initial_progress + gang.stopping_since - (gang.began or now)
+            )
             task.saved = True
             self.end(task, "stopped")
-        elif now - gang.stopping > self._settings.gang_peer_s + save_s:
+        elif now - gang.stopping_since > self._settings.gang_peer_s + save_s:
             self.end(task, "peers")
 
     def _kill(self, task: WorkerTask, grace: float) -> None:
-        """Stop a task; a gang's saves if it has enough time for that."""
+        """Stop a task; a gang's task saves first if the grace time is enough for that."""
         gang, body = self._board.gang(task), self._board.body(task.job)
         if gang is None:
             self.end(task, "stopped")
             return
         if task.state == "running" and body["milestoneS"] > 0 and grace >= body["stowS"]:
-            gang.stopping = trio.current_time() if gang.stopping is None else gang.stopping
+            gang.stopping_since = (
+                trio.current_time() if gang.stopping_since is None else gang.stopping_since
+            )
             task.grace = grace
         elif not (task.state == "flushing" and grace > 0):
             self.end(task, "stopped")
--- a/roadbend/fakes/world.py
+++ b/roadbend/fakes/world.py
@@ -1,4 +1,4 @@
-"""A whole deployment in memory: controllers, fakes and a user, for scenarios on a mock clock."""
+"""A whole deployment in memory: controllers, fakes and users, for scenarios on a mock clock."""
 
 import random
 from collections.abc import AsyncIterator, Callable
@@ -29,7 +29,7 @@
 
 
 class World(FaultInjection, UserBehaviour):
-    """A deployment in memory, its judge, and its troubles."""
+    """A deployment in memory, with fault injection and a check of the protocol's rules."""
 
     def __init__(
         self,
@@ -42,40 +42,42 @@
         equip: Callable[[Controller], None] | None = None,
     ):
         self._caches_images = caches_images
-        # Switches on what a controller of today's version has beside its core.
+        # Installs the optional parts of a controller of the current version.
         self._equip = equip
         self.nursery, self.count, self.operator, self._changes = nursery, count, operator, changes
         self.network = Network(nursery)
         self.stalls = Stalls()
         self.zones = ZONES[:count]
-        sample = settings_for(0, count, **changes)
-        self.state = FakeStateService(value_bytes=sample.value_bytes, txn_ops=sample.txn_ops)
+        base_settings = settings_for(0, count, **changes)
+        self.state = FakeStateService(
+            value_bytes=base_settings.value_bytes, txn_ops=base_settings.txn_ops
+        )
         self.rules = Rules(
             [MACHINE_TYPE],
-            sample.teams.values(),
-            sample.cancel_within.total_seconds(),
+            base_settings.teams.values(),
+            base_settings.cancel_within.total_seconds(),
             trio.current_time,
         )
         self.board = Board(self.rules)
-        self._sample = sample
+        self._base_settings = base_settings
         self.broken_machines: set[str] = set()
         self.cloud = FakeCloud(nursery, [MACHINE_TYPE], capacity, self._worker)
         self.controllers: dict[str, Controller] = {}
         self._scopes: dict[str, trio.CancelScope] = {}
         self.addresses = {f"node-{n}": f"node-{n}:80" for n in range(count)}
-        self._boots = 0
+        self._start_count = 0
         for host, service in (("state", self.state), ("cloud", self.cloud)):
             self._serve(host, service)
-        nursery.start_soon(self._look)
+        nursery.start_soon(self._check_rules)
 
-    async def _look(self) -> None:
+    async def _check_rules(self) -> None:
         while True:
             await trio.sleep(0.5)
             self.rules.check(*self.machines())
 
     def machines(self) -> tuple[set[str], list]:
-        """Machines that hang, and those that work with what is free on them."""
-        hung, rooms = set(), []
+        """Return the machines that hang, and the running ones with their free capacity."""
+        hung, with_capacity = set(), []
         for machine in self.cloud.machines.values():
             worker = machine.worker
             if worker is None or machine.status != "running":
@@ -85,12 +87,12 @@
                 continue
             free = [MACHINE_TYPE["vcpus"], MACHINE_TYPE["gpus"], MACHINE_TYPE["memoryGb"]]
             for task in worker.tasks.values():
-                case = self.rules.jobs.get(task.name.rpartition("/")[0])
-                if task.state != "ended" and case is not None:
-                    free = [f - n for f, n in zip(free, case.resources, strict=True)]
+                job = self.rules.jobs.get(task.name.rpartition("/")[0])
+                if task.state != "ended" and job is not None:
+                    free = [f - n for f, n in zip(free, job.resources, strict=True)]
             if worker.place.machine not in self.broken_machines:
-                rooms.append((worker.place, tuple(free)))
-        return hung, rooms
+                with_capacity.append((worker.place, tuple(free)))
+        return hung, with_capacity
 
     def workers(self) -> list[FakeWorker]:
         return [
@@ -100,34 +102,35 @@
         ]
 
     async def finish(self, within: float = 240) -> None:
-        """All troubles are over: users ask after every job until it is done, and the judge's clocks
-        for what is forgotten or left waiting run.
+        """Let users query every job until it is done, after the last fault has ended.
+
+        From now on, the rules also check for jobs that are forgotten or left waiting.
         """
         self.rules.mark_faults_ended()
 
         async def settled() -> bool:
             open_jobs = [
-                case
-                for case in self.rules.jobs.values()
-                if case.accepted_at is not None and not case.has_ended
+                job
+                for job in self.rules.jobs.values()
+                if job.accepted_at is not None and not job.has_ended
             ]
-            for case in open_jobs:
-                await self.status(int(case.name[4:]) % self.count, case.name)
+            for job in open_jobs:
+                await self.status(int(job.id[4:]) % self.count, job.id)
             return all(
-                self.board.lengths.get(c.name, 0) is None
-                and len(self.board.running(c.name)) == c.body["legs"]
-                for c in self.rules.jobs.values()
-                if c.accepted_at is not None and not c.has_ended
+                self.board.lengths.get(job.id, 0) is None
+                and len(self.board.running(job.id)) == job.body["legs"]
+                for job in self.rules.jobs.values()
+                if job.accepted_at is not None and not job.has_ended
             )
 
-        ended = await self.until(settled, within, 5.0)
+        all_settled = await self.until(settled, within, 5.0)
         assert self.rules.broken == [], self.rules.broken
         open_jobs = [
-            c.name
-            for c in self.rules.jobs.values()
-            if c.accepted_at is not None and not c.has_ended
+            job.id
+            for job in self.rules.jobs.values()
+            if job.accepted_at is not None and not job.has_ended
         ]
-        assert ended, open_jobs
+        assert all_settled, open_jobs
 
     def _serve(self, host: str, service) -> None:
         async def accept(stream, source):
@@ -145,34 +148,39 @@
             place=Place(machine, machine_type, zone, spot),
             address=f"{machine}:1",
             settings=WorkerSettings(
-                heartbeat_s=self._sample.heartbeat_interval.total_seconds(),
-                lease_s=self._sample.lease.total_seconds(),
+                heartbeat_s=self._base_settings.heartbeat_interval.total_seconds(),
+                lease_s=self._base_settings.lease.total_seconds(),
                 broken=machine in self.broken_machines,
-                gang_wait_s=self._sample.gang_wait.total_seconds(),
-                gang_peer_s=self._sample.gang_peer.total_seconds(),
+                gang_wait_s=self._base_settings.gang_wait.total_seconds(),
+                gang_peer_s=self._base_settings.gang_peer.total_seconds(),
                 caches_images=self._caches_images,
             ),
         )
         worker.command_delay = self.command_delay
         return worker
 
-    def start(self, at: int, previous_version: bool | type[Controller] = False) -> Controller:
-        """Start a controller, unless it runs: each is one process.
+    def start(self, index: int, previous_version: bool | type[Controller] = False) -> Controller:
+        """Start a controller, unless it is running: each has one process.
 
-        `previous_version`: whether, or in which version, it runs an older program.
+        `previous_version`: whether it runs the version in production, or the class of an older
+        version.
         """
-        name = f"node-{at}"
+        name = f"node-{index}"
         if name in self.controllers:
             return self.controllers[name]
-        settings = settings_for(at, self.count, **self._changes)
-        self._boots += 1
-        boot = f"boot-{self._boots}"
+        settings = settings_for(index, self.count, **self._changes)
+        self._start_count += 1
+        incarnation = f"boot-{self._start_count}"
         if isinstance(previous_version, bool):
-            make = PreviousVersionController if previous_version else Controller
+            controller_class = PreviousVersionController if previous_version else Controller
         else:
-            make = previous_version
-        controller = make(
-            settings, self.operator, self.network.port(name), random.Random(self._boots), boot
+            controller_class = previous_version
+        controller = controller_class(
+            settings,
+            self.operator,
+            self.network.port(name),
+            random.Random(self._start_count),
+            incarnation,
         )
         if self._equip is not None and not previous_version:
             self._equip(controller)
@@ -187,17 +195,17 @@
         self.nursery.start_soon(run)
         return controller
 
-    def crash(self, at: int) -> None:
-        """Ends without a word: no cleaning up reaches anyone."""
-        name = f"node-{at}"
+    def crash(self, index: int) -> None:
+        """Crash a controller: it sends nothing more, and its connections break."""
+        name = f"node-{index}"
         self.network.unregister(name)
         self._scopes[name].cancel()
         self.controllers.pop(name, None)
 
     async def call(
-        self, at: int, method: str, path: str, body: Any = None, within: float = 5
+        self, index: int, method: str, path: str, body: Any = None, within: float = 5
     ) -> tuple[int, Any]:
-        client, began = Client(self.network.port("user"), f"node-{at}:80"), trio.current_time()
+        client, began = Client(self.network.port("user"), f"node-{index}:80"), trio.current_time()
         if path == "/v1/jobs":
             self.rules.record_submission(body)
         elif path.endswith("/withdraw"):
@@ -213,16 +221,16 @@
         self.rules.check_answer(method, path, body, status, answer, began)
         return status, answer
 
-    async def submit(self, at: int, body: dict, length: float | None = 20.0) -> int:
+    async def submit(self, index: int, body: dict, length: float | None = 20.0) -> int:
         self.board.lengths[body["id"]] = length
-        return (await self.call(at, "POST", "/v1/jobs", body))[0]
+        return (await self.call(index, "POST", "/v1/jobs", body))[0]
 
-    async def status(self, at: int, name: str) -> str | None:
-        status, answer = await self.call(at, "GET", f"/v1/jobs/{name}", within=2)
+    async def status(self, index: int, name: str) -> str | None:
+        status, answer = await self.call(index, "GET", f"/v1/jobs/{name}", within=2)
         return answer["status"] if status == 200 else None
 
     async def until(self, check, within: float, step: float = 0.25) -> bool:
-        """Waits for something that is seen from outside; says whether it came in time."""
+        """Wait until `check`, which may be asynchronous, returns true; return whether it did."""
         end = trio.current_time() + within
         while trio.current_time() < end:
             result = check()
@@ -234,14 +242,16 @@
         return False
 
     def leader_of(self, partition: str) -> str | None:
-        held = [
+        """Return the controller that leads a partition; None if none or several do."""
+        leaders = [
             name
             for name, controller in self.controllers.items()
             if controller.election.leadership(partition)
         ]
-        return held[0] if len(held) == 1 else None
+        return leaders[0] if len(leaders) == 1 else None
 
     async def until_ready(self) -> bool:
+        """Wait until each partition has a leader and all controllers are up; return whether so."""
         return await self.until(
             lambda: (
                 all(self.leader_of(zone) for zone in self.zones)
@@ -262,21 +272,23 @@
     equip: Callable[[Controller], None] | None = None,
     **changes,
 ) -> AsyncIterator[World]:
-    """`judge` gets the broken rules at the end; without it, one broken rule fails. With
-    `caches_images` a task whose image is on its machine begins at once. `equip` is called with
-    every controller of today's version before it starts.
+    """Run a deployment of `count` controllers; `changes` are made to the platform settings.
+
+    `on_broken_rules` is called with the broken rules at the end; without it, a broken rule fails an
+    assertion. With `caches_images`, a task whose image is on its machine starts at once. `equip` is
+    called with every controller of the current version before it starts.
     """
     async with trio.open_nursery() as nursery:
-        made = World(
+        deployment = World(
             nursery, count, operator or OperatorSettings(), capacity, changes, caches_images, equip
         )
-        for at in range(count):
-            made.start(at, previous_version)
-        assert await made.until_ready()
-        yield made
-        made.rules.check(*made.machines())
+        for index in range(count):
+            deployment.start(index, previous_version)
+        assert await deployment.until_ready()
+        yield deployment
+        deployment.rules.check(*deployment.machines())
         if on_broken_rules is not None:
-            on_broken_rules(made.rules.broken)
+            on_broken_rules(deployment.rules.broken)
         else:
-            assert made.rules.broken == [], made.rules.broken
+            assert deployment.rules.broken == [], deployment.rules.broken
         nursery.cancel_scope.cancel()
--- a/roadbend/rehearsal/__init__.py
+++ b/roadbend/rehearsal/__init__.py
@@ -1,1 +1,1 @@
-"""Rehearsals: failures played on a whole deployment in memory, from a seed, with a verdict."""
+"""Rehearsals: fault scenarios, drawn from a seed, run on a deployment in memory and judged."""
--- a/roadbend/rehearsal/__main__.py
+++ b/roadbend/rehearsal/__main__.py
@@ -23,7 +23,7 @@
 from roadbend.rehearsal import cold_restart, real_processes
 from roadbend.rehearsal.report import Report
 from roadbend.rehearsal.runner import play
-from roadbend.rehearsal.scenario import FEWEST_WORKERS, MOST_WORKERS, Scenario
+from roadbend.rehearsal.scenario import MAX_WORKERS, MIN_WORKERS, Scenario
 from roadbend.rehearsal.script import ScriptError, read
 
 if TYPE_CHECKING:
@@ -34,14 +34,14 @@
 
 
 def equip(controller: Controller) -> None:
-    """Switch on in a controller what every one of today's version has switched on."""
+    """Install recovery in a controller, as every controller of the current version has it."""
     install(controller, RECOVERY)
 
 
 def _workers(text: str) -> int:
     count = int(text)
-    if not FEWEST_WORKERS <= count <= MOST_WORKERS:
-        raise argparse.ArgumentTypeError(f"must be from {FEWEST_WORKERS} to {MOST_WORKERS}")
+    if not MIN_WORKERS <= count <= MAX_WORKERS:
+        raise argparse.ArgumentTypeError(f"must be from {MIN_WORKERS} to {MAX_WORKERS}")
     return count
 
 
@@ -60,10 +60,10 @@
 
 def parser() -> argparse.ArgumentParser:
     """Return the parser of the command line."""
-    out = argparse.ArgumentParser(
+    argument_parser = argparse.ArgumentParser(
         prog="roadbend.rehearsal", description="Plays a failure in memory and judges the outcome."
     )
-    commands = out.add_subparsers(dest="command", required=True)
+    commands = argument_parser.add_subparsers(dest="command", required=True)
     common = argparse.ArgumentParser(add_help=False)
     common.add_argument("--workers", type=_workers, default=200)
     common.add_argument(
@@ -87,11 +87,11 @@
     command = commands.add_parser("script", help="a scenario of your own")
     command.add_argument("file", type=Path)
     command.add_argument("--json", action="store_true")
-    return out
+    return argument_parser
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Carry out one command and return the exit status."""
+    """Run one command and return the exit status."""
     arguments = parser().parse_args(argv)
     if arguments.command == "search":
         return _search(arguments)
@@ -108,8 +108,10 @@
 def _scenario(arguments: argparse.Namespace) -> Scenario:
     if arguments.command == "script":
         return read(arguments.file)
-    make = SCENARIOS[arguments.command]
-    return make(arguments.seed, arguments.workers, not arguments.without_recovery, arguments.cases)
+    make_scenario = SCENARIOS[arguments.command]
+    return make_scenario(
+        arguments.seed, arguments.workers, not arguments.without_recovery, arguments.cases
+    )
 
 
 def _play_real_processes(arguments: argparse.Namespace) -> int:
@@ -127,9 +129,11 @@
     # Only a search needs the library for sketches.
     from roadbend.rehearsal.search import outcome_of  # noqa: PLC0415 -- an optional dependency
 
-    make = SCENARIOS[arguments.scenario]
+    make_scenario = SCENARIOS[arguments.scenario]
     recovery = not arguments.without_recovery
-    return outcome_of(play(make(seed, arguments.workers, recovery, arguments.cases), equip))
+    return outcome_of(
+        play(make_scenario(seed, arguments.workers, recovery, arguments.cases), equip)
+    )
 
 
 def _search(arguments: argparse.Namespace) -> int:
--- a/roadbend/rehearsal/actions/__init__.py
+++ b/roadbend/rehearsal/actions/__init__.py
@@ -1,4 +1,4 @@
-"""What can happen in a scenario: actions on jobs, on controllers, and faults of the rest."""
+"""Actions of scenarios: on jobs, on controllers, and faults of everything else."""
 
 from roadbend.rehearsal.actions.controllers import (
     CutWorkers,
--- a/roadbend/rehearsal/actions/controllers.py
+++ b/roadbend/rehearsal/actions/controllers.py
@@ -1,4 +1,4 @@
-"""Actions on controllers: they stop, are cut off, and return."""
+"""Actions on controllers: to stop, partition and start them."""
 
 from __future__ import annotations
 
@@ -7,89 +7,89 @@
 
 import trio
 
-from roadbend.rehearsal.measurement import Restart
+from roadbend.rehearsal.measurement import RestartMeasurement
 from roadbend.rehearsal.stage import Stage
 
 
 @dataclass(frozen=True)
 class CutWorkers:
-    """Controllers and workers can't reach each other until the controllers have ended.
+    """Partition all workers from all controllers until `StopControllers`.
 
-    What is decided meanwhile is recorded, and no worker hears of it.
+    What is decided meanwhile is recorded but reaches no worker.
     """
 
     async def play(self, stage: Stage) -> None:
-        """Cut the network between each worker and each controller."""
+        """Block the network between every worker and every controller."""
         for worker in stage.world.workers():
             for controller in stage.controller_names():
                 stage.world.network.block(worker.machine, controller)
-        stage.note("workers cut off from the controllers")
+        stage.record_event("workers cut off from the controllers")
 
 
 @dataclass(frozen=True)
 class StopControllers:
-    """All controllers end at once, without a word."""
+    """Crash all controllers at once, without a clean shutdown."""
 
     async def play(self, stage: Stage) -> None:
-        """Stop all controllers, and heal what `CutWorkers` cut."""
-        for at in range(stage.world.count):
-            stage.world.crash(at)
+        """Crash all controllers, and end the network partition of `CutWorkers`."""
+        for index in range(stage.world.count):
+            stage.world.crash(index)
         for worker in stage.world.workers():
             for controller in stage.controller_names():
                 stage.world.network.unblock(worker.machine, controller)
-        stage.note("all controllers ended")
+        stage.record_event("all controllers ended")
 
 
 @dataclass(frozen=True)
 class StopController:
-    """One controller ends."""
+    """Crash one controller."""
 
     at: int
 
     async def play(self, stage: Stage) -> None:
-        """Stop the controller."""
+        """Crash the controller."""
         stage.world.crash(self.at)
-        stage.note(f"controller {self.at} ended")
+        stage.record_event(f"controller {self.at} ended")
 
 
 @dataclass(frozen=True)
 class ReturnControllers:
-    """All controllers start, one after the other, with a pause in between.
+    """Start all stopped controllers, one after the other, with a pause in between.
 
-    The first one starts the measurement, unless one is under way.
+    The first start begins the measurement, unless it has begun already.
     """
 
     pause: timedelta = timedelta()
     previous_version_first: bool = False
-    # How long the first one is alone.
+    # How long the first controller runs alone.
     first_alone: timedelta = timedelta()
 
     async def play(self, stage: Stage) -> None:
-        """Start the controllers that are not up."""
+        """Start the controllers that are not running."""
         if stage.restart is None:
-            stage.restart = Restart(stage.world, stage.faulted)
+            stage.restart = RestartMeasurement(stage.world, stage.faulted)
             stage.world.nursery.start_soon(stage.restart.watch)
-            stage.note(
-                f"differences at the return: {_format_counts(stage.restart.before.counts())}"
+            stage.record_event(
+                f"differences at the return: {_format_counts(stage.restart.initial.counts())}"
             )
-        for at, name in enumerate(stage.controller_names()):
+        for index, name in enumerate(stage.controller_names()):
             if name not in stage.world.controllers:
-                stage.world.start(at, self.previous_version_first and at == 0)
-                stage.note(f"controller {at} started")
+                stage.world.start(index, self.previous_version_first and index == 0)
+                stage.record_event(f"controller {index} started")
                 pause = self.pause if len(stage.world.controllers) > 1 else self.first_alone
                 await trio.sleep(max(pause, self.pause).total_seconds())
 
 
 @dataclass(frozen=True)
 class ReturnController:
-    """One controller starts."""
+    """Start one controller."""
 
     at: int
 
     async def play(self, stage: Stage) -> None:
         """Start the controller."""
         stage.world.start(self.at)
-        stage.note(f"controller {self.at} started")
+        stage.record_event(f"controller {self.at} started")
 
 
 def _format_counts(counts: dict[str, int]) -> str:
--- a/roadbend/rehearsal/actions/jobs.py
+++ b/roadbend/rehearsal/actions/jobs.py
@@ -1,4 +1,4 @@
-"""Actions of users: jobs are submitted and cancelled, and time passes."""
+"""Actions of users, who submit and cancel jobs, and waiting."""
 
 from __future__ import annotations
 
@@ -10,33 +10,33 @@
 from roadbend.rehearsal import messages
 from roadbend.rehearsal.stage import Stage
 
-# Tasks that one machine of the fake cloud holds at a time, by its GPUs.
+# Number of tasks that fit on one machine of the fake cloud; its GPUs are the limit.
 TASKS_PER_MACHINE = 2
-# How many tasks services, arrays and gangs have together, as shares of what all machines hold.
+# Tasks of all services, all arrays and all gangs, as shares of the tasks that fit on all machines.
 SERVICE_SHARE = 0.5
 ARRAY_SHARE = 0.35
 GANG_SHARE = 0.15
-JOBS_OF_A_KIND = 6
-GANG_WIDTH = 4
-# One array for so many workers is a wave that finds no free capacity.
-WAVE_SHARE = 12
-# Its deadline in seconds: so short that machines are created at once.
-WAVE_DEADLINE = 40.0
-USUAL_TEAM = "red"
+JOBS_PER_KIND = 6
+GANG_SIZE = 4
+# A wave has one array per so many workers, which is more than the free capacity.
+WORKERS_PER_WAVE_ARRAY = 12
+# Deadline of a wave's arrays, in seconds; so short that machines are created at once.
+WAVE_DEADLINE_S = 40.0
+UNLIMITED_TEAM = "red"
 LIMITED_TEAM = "blue"
-# How long tasks of the first work run, in seconds; the first end while no controller is up.
-FIRST_SHORTEST = 45.0
-FIRST_LONGEST = 110.0
-# How long tasks of later work run, in seconds.
-LATER_SHORTEST = 30
-LATER_LONGEST = 60
+# How long tasks of the initial jobs run, in seconds. The shortest end while no controller runs.
+INITIAL_MIN_LENGTH_S = 45.0
+INITIAL_MAX_LENGTH_S = 110.0
+# How long tasks of later jobs run, in seconds.
+LATER_MIN_LENGTH_S = 30
+LATER_MAX_LENGTH_S = 60
 # How long users wait for the confirmation of a cancellation, in seconds.
-CANCELLED_WITHIN = 60
+CANCELLATION_TIMEOUT_S = 60
 
 
 @dataclass(frozen=True)
 class Wait:
-    """Nothing but time passes."""
+    """Let time pass."""
 
     length: timedelta
 
@@ -47,106 +47,110 @@
 
 @dataclass(frozen=True)
 class StartWork:
-    """Services, arrays and gangs fill most of the machines."""
+    """Submit services, arrays and gangs that use most of the machines."""
 
     within: timedelta = timedelta(seconds=120)
 
     async def play(self, stage: Stage) -> None:
-        """Submit the jobs, and return once all of their tasks have begun."""
+        """Submit the jobs; return once all their tasks have started."""
         capacity = stage.workers * TASKS_PER_MACHINE
-        service_tasks = max(1, round(capacity * SERVICE_SHARE / JOBS_OF_A_KIND))
-        array_tasks = max(1, round(capacity * ARRAY_SHARE / JOBS_OF_A_KIND))
-        for _ in range(JOBS_OF_A_KIND):
+        service_tasks = max(1, round(capacity * SERVICE_SHARE / JOBS_PER_KIND))
+        array_tasks = max(1, round(capacity * ARRAY_SHARE / JOBS_PER_KIND))
+        for _ in range(JOBS_PER_KIND):
             service = messages.service(stage.next_number(), service_tasks)
-            await _submit_first(stage, service, None, stage.services)
+            await _submit_initial(stage, service, None, stage.services)
             array = messages.long_array(stage.next_number(), array_tasks)
-            await _submit_first(stage, array, _draw_first_length(stage), stage.arrays)
-        for _ in range(max(1, round(capacity * GANG_SHARE / GANG_WIDTH))):
-            gang = messages.gpu_gang(stage.next_number(), GANG_WIDTH)
-            await _submit_first(stage, gang, _draw_first_length(stage), stage.gangs)
-        begun = await stage.world.until(lambda: _all_begun(stage), self.within.total_seconds(), 1.0)
-        assert begun, "the first work did not begin in time"
-        stage.note(f"{len(stage.world.workers())} machines work")
+            await _submit_initial(stage, array, _draw_initial_length(stage), stage.arrays)
+        for _ in range(max(1, round(capacity * GANG_SHARE / GANG_SIZE))):
+            gang = messages.gpu_gang(stage.next_number(), GANG_SIZE)
+            await _submit_initial(stage, gang, _draw_initial_length(stage), stage.gangs)
+        started = await stage.world.until(
+            lambda: _all_started(stage), self.within.total_seconds(), 1.0
+        )
+        assert started, "the initial jobs did not start in time"
+        stage.record_event(f"{len(stage.world.workers())} machines work")
 
 
-def _draw_first_length(stage: Stage) -> float:
-    return stage.rng.uniform(FIRST_SHORTEST, FIRST_LONGEST)
+def _draw_initial_length(stage: Stage) -> float:
+    return stage.rng.uniform(INITIAL_MIN_LENGTH_S, INITIAL_MAX_LENGTH_S)
 
 
 def _draw_later_length(stage: Stage) -> float:
-    return stage.rng.uniform(LATER_SHORTEST, LATER_LONGEST)
+    return stage.rng.uniform(LATER_MIN_LENGTH_S, LATER_MAX_LENGTH_S)
 
 
-async def _submit_first(
+async def _submit_initial(
     stage: Stage, body: messages.Body, length: float | None, jobs: list[str]
 ) -> None:
-    job = messages.job_of(body)
+    job = messages.job_id_of(body)
     accepted = await stage.submit(body, length)
     assert accepted, job
     jobs.append(job)
 
 
-def _all_begun(stage: Stage) -> bool:
-    begun: dict[str, set[str]] = {}
+def _all_started(stage: Stage) -> bool:
+    started: dict[str, set[str]] = {}
     for _, task, _ in stage.world.board.starts:
-        begun.setdefault(task.rpartition("/")[0], set()).add(task)
-    cases = stage.world.rules.jobs
+        started.setdefault(task.rpartition("/")[0], set()).add(task)
+    jobs = stage.world.rules.jobs
     return all(
-        len(begun.get(job, ())) == messages.task_count(cases[job].body)
+        len(started.get(job, ())) == messages.task_count(jobs[job].body)
         for job in (*stage.services, *stage.arrays, *stage.gangs)
     )
 
 
 @dataclass(frozen=True)
 class SubmitArrays:
-    """More arrays come, a few tasks each."""
+    """Submit more arrays of a few tasks each."""
 
     count: int
     tasks: int = 3
-    # So many that machines must be created for them.
+    # Submit so many that machines must be created for them.
     wave: bool = False
-    # Of the team that has a quota, and more than that allows.
+    # Submit them for the team with a quota, and more than the quota permits.
     limited: bool = False
 
     async def play(self, stage: Stage) -> None:
-        """Submit the arrays, and return as soon as they are accepted."""
-        count = max(self.count, stage.workers // WAVE_SHARE) if self.wave else self.count
-        deadline = WAVE_DEADLINE if self.wave else None
-        team = LIMITED_TEAM if self.limited else USUAL_TEAM
+        """Submit the arrays; return once they are accepted."""
+        count = (
+            max(self.count, stage.workers // WORKERS_PER_WAVE_ARRAY) if self.wave else self.count
+        )
+        deadline = WAVE_DEADLINE_S if self.wave else None
+        team = LIMITED_TEAM if self.limited else UNLIMITED_TEAM
         for _ in range(count):
             body = messages.array(stage.next_number(), self.tasks, deadline, team)
             if await stage.submit(body, _draw_later_length(stage)):
-                stage.arrays.append(messages.job_of(body))
-        stage.note(f"{count} more arrays accepted")
+                stage.arrays.append(messages.job_id_of(body))
+        stage.record_event(f"{count} more arrays accepted")
 
 
 @dataclass(frozen=True)
 class SubmitGangs:
-    """More gangs come, which fit beside what runs."""
+    """Submit more gangs, which fit into the free capacity."""
 
     count: int
 
     async def play(self, stage: Stage) -> None:
-        """Submit the gangs, and return as soon as they are accepted."""
+        """Submit the gangs; return once they are accepted."""
         for _ in range(self.count):
-            body = messages.gang(stage.next_number(), GANG_WIDTH)
+            body = messages.gang(stage.next_number(), GANG_SIZE)
             if await stage.submit(body, _draw_later_length(stage)):
-                stage.gangs.append(messages.job_of(body))
-        stage.note(f"{self.count} more gangs accepted")
+                stage.gangs.append(messages.job_id_of(body))
+        stage.record_event(f"{self.count} more gangs accepted")
 
 
 @dataclass(frozen=True)
 class Cancel:
-    """Users cancel services and arrays that run, and are told so."""
+    """Cancel running services and arrays, and wait for the confirmations."""
 
     count: int
 
     async def play(self, stage: Stage) -> None:
-        """Draw the jobs and cancel them; the first service runs on."""
+        """Draw the jobs and cancel them; the first service is never drawn."""
         jobs = stage.services[1:] + stage.arrays
         drawn = stage.rng.sample(jobs, min(self.count, len(jobs)))
         for job in drawn:
-            await stage.world.cancel_job(job, CANCELLED_WITHIN)
+            await stage.world.cancel_job(job, CANCELLATION_TIMEOUT_S)
         for kind in (stage.services, stage.arrays):
             kind[:] = [job for job in kind if job not in drawn]
-        stage.note(f"cancelled: {', '.join(drawn)}")
+        stage.record_event(f"cancelled: {', '.join(drawn)}")
