--- a/roadbend/rehearsal/cold_restart.py
+++ b/roadbend/rehearsal/cold_restart.py
@@ -1,4 +1,4 @@
-"""Cold restart: every controller ends at once, the workers run on, and the controllers return."""
+"""Cold restart: all controllers crash at once, the workers keep running, the controllers return."""
 
 import random
 from collections.abc import Callable
@@ -29,11 +29,12 @@
 
 NAME = "cold-restart"
 SUMMARY = "All controllers end at once under running work, and return."
-# How long no controller is up, in seconds: less than a worker's lease leaves for the return.
-SHORTEST_AWAY = 2.0
-LONGEST_AWAY = 8.0
-# How long is watched after the return, in seconds.
-WATCHED = 40.0
+# How long no controller runs, in seconds. Shorter than a worker's lease, so that the controllers
+# return before the workers' leases expire.
+MIN_DOWNTIME_S = 2.0
+MAX_DOWNTIME_S = 8.0
+# How long the deployment is observed after the restart, in seconds.
+OBSERVATION_S = 40.0
 
 
 def _seconds(value: float) -> timedelta:
@@ -41,66 +42,65 @@
 
 
 class _Plan:
-    """The actions of a seed.
+    """The actions of one scenario: before, during and after the downtime of the controllers.
 
-    They come before the end of the controllers, while they are away, at their return, and after
-    it. Each method adds one hard case.
+    Each method adds the actions of one hard case.
     """
 
     def __init__(self, rng: random.Random, workers: int) -> None:
         self.rng = rng
-        self.few = max(1, workers // 40)
+        self.machine_count = max(1, workers // 40)
         self.before: list[Action] = []
-        # What happens while the controllers reach no worker any more, right before they end.
-        self.cut_first: list[Action] = []
-        self.away: list[Action] = []
+        # Actions right before the crash, while all workers are partitioned from the controllers.
+        self.while_partitioned: list[Action] = []
+        self.during_downtime: list[Action] = []
         self.after: list[Action] = []
         self.pause = timedelta()
         self.first_alone = timedelta()
         self.previous_version_first = False
 
     def cancelled(self) -> None:
-        """Cancel jobs and tell users; the controllers end before workers hear."""
-        self.cut_first.append(Cancel(2))
+        """Confirm cancellations; the controllers crash before the workers receive the stops."""
+        self.while_partitioned.append(Cancel(2))
 
     def starts_on_their_way(self) -> None:
-        """Record starts; the controllers end before all orders are out."""
+        """Record starts; the controllers crash before all orders are sent."""
         self.before += [Cancel(1), Wait(_seconds(3.0))]
-        self.cut_first += [SubmitArrays(4), Wait(_seconds(self.rng.uniform(0.8, 1.6)))]
+        self.while_partitioned += [SubmitArrays(4), Wait(_seconds(self.rng.uniform(0.8, 1.6)))]
 
     def gangs_gathering(self) -> None:
-        """Record gangs; the controllers end before all of their tasks are ordered."""
-        self.cut_first += [SubmitGangs(2), Wait(_seconds(self.rng.uniform(0.8, 1.6)))]
+        """Record gangs; the controllers crash before the starts of all tasks are sent."""
+        self.while_partitioned += [SubmitGangs(2), Wait(_seconds(self.rng.uniform(0.8, 1.6)))]
 
     def team_at_limit(self) -> None:
-        """Give a team more to do than its quota allows."""
+        """Submit more tasks for a team than its quota permits."""
         self.before += [SubmitArrays(5, 4, limited=True), Wait(_seconds(8.0))]
 
     def boots_on_their_way(self) -> None:
-        """End the controllers while machines that they created boot."""
+        """Crash the controllers while machines that they created are booting."""
         self.before += [
             SubmitArrays(4, wave=True),
             Wait(_seconds(self.rng.uniform(2.0, 5.0))),
         ]
 
     def one_alone(self) -> None:
-        """Return one controller alone, which leads all partitions until the others follow."""
+        """Start one controller first, which leads all partitions until the others start."""
         self.first_alone = _seconds(self.rng.uniform(10.0, 16.0))
 
     def lost_writes(self) -> None:
-        """Begin work, and let the state store lose the records of that."""
+        """Start tasks, and let the state store lose their records."""
         self.before += [
             SubmitArrays(4, wave=True),
             Wait(_seconds(self.rng.uniform(0.0, 1.0))),
             RememberRecords(),
             Wait(_seconds(self.rng.uniform(9.0, 12.0))),
         ]
-        self.away.append(LoseNewestWrites())
+        self.during_downtime.append(LoseNewestWrites())
 
     def lost_term(self) -> None:
-        """Restart a controller, and let the state store lose the records of that.
+        """Restart a controller, and let the state store lose the records of its new terms.
 
-        Workers have then seen higher terms than it holds.
+        Workers have then seen higher terms than those in the state store.
         """
         self.before += [
             RememberRecords(),
@@ -109,26 +109,30 @@
             ReturnController(0),
             Wait(_seconds(self.rng.uniform(8.0, 10.0))),
         ]
-        self.away.append(LoseNewestWrites())
+        self.during_downtime.append(LoseNewestWrites())
 
     def machines_end(self) -> None:
-        """End machines while no controller is up."""
-        self.away.append(EndMachines(self.few))
+        """End machines while no controller runs."""
+        self.during_downtime.append(EndMachines(self.machine_count))
 
     def machines_begin_anew(self) -> None:
-        """Restart machines while no controller is up."""
-        self.away.append(RebootMachines(self.few))
+        """Restart machines while no controller runs."""
+        self.during_downtime.append(RebootMachines(self.machine_count))
 
     def machines_hang(self) -> None:
-        """Hang machines over the return; they go on within their lease."""
-        self.away.append(HangMachines(self.few, _seconds(self.rng.uniform(3, 9))))
+        """Hang machines while the controllers return; they continue before their leases expire."""
+        self.during_downtime.append(
+            HangMachines(self.machine_count, _seconds(self.rng.uniform(3, 9)))
+        )
 
     def machines_cut_off(self) -> None:
-        """Cut machines off for a while after the return."""
-        self.away.append(CutMachines(self.few, _seconds(self.rng.uniform(4, 12))))
+        """Partition machines from the controllers for a while after the restart."""
+        self.during_downtime.append(
+            CutMachines(self.machine_count, _seconds(self.rng.uniform(4, 12)))
+        )
 
     def ends_again(self) -> None:
-        """End the controllers once more while they recover."""
+        """Crash the controllers again while they recover."""
         self.after += [
             Wait(_seconds(self.rng.uniform(0.2, 4.0))),
             StopControllers(),
@@ -137,11 +141,11 @@
         ]
 
     def one_by_one(self) -> None:
-        """Return the controllers one after the other."""
+        """Start the controllers one after the other, with a pause in between."""
         self.pause = _seconds(self.rng.uniform(0.5, 3.0))
 
     def older_version_first(self) -> None:
-        """Return a controller of the version in production first; replace it later."""
+        """Start a controller of the version in production first; replace it later."""
         self.previous_version_first = True
         self.after += [
             Wait(_seconds(self.rng.uniform(5.0, 9.0))),
@@ -151,19 +155,19 @@
         ]
 
     def state_down(self) -> None:
-        """Take the state store down as the controllers return."""
-        self.away.append(StateOutage(_seconds(self.rng.uniform(2.0, 6.0))))
+        """Take the state store down while the controllers return."""
+        self.during_downtime.append(StateOutage(_seconds(self.rng.uniform(2.0, 6.0))))
 
     def state_slow(self) -> None:
-        """Slow the state store down as the controllers return."""
-        self.away.append(SlowState(_seconds(self.rng.uniform(0.05, 0.3))))
+        """Slow the state store down from the downtime on."""
+        self.during_downtime.append(SlowState(_seconds(self.rng.uniform(0.05, 0.3))))
 
     def cloud_down(self) -> None:
-        """Take the cloud's interface down as the controllers return."""
-        self.away.append(CloudOutage(_seconds(self.rng.uniform(5.0, 15.0))))
+        """Take the cloud's API down while the controllers return."""
+        self.during_downtime.append(CloudOutage(_seconds(self.rng.uniform(5.0, 15.0))))
 
     def new_work(self) -> None:
-        """Submit new work as the controllers return."""
+        """Submit new jobs after the controllers have returned."""
         self.after.append(SubmitArrays(3))
 
 
@@ -188,8 +192,8 @@
     "cloud-down": _Plan.cloud_down,
     "new-work": _Plan.new_work,
 }
-# The state store can lose its newest writes once, and what it lost holds no cancellation: those
-# nobody can know of any more.
+# Hard cases that are not combined. The state store loses writes only once, and never those of a
+# cancellation: nothing else knows of it, so it could not be recovered.
 EXCLUDED = (
     {"lost-writes", "lost-term"},
     {"lost-writes", "cancelled"},
@@ -198,17 +202,17 @@
     {"lost-writes", "starts-on-their-way"},
     {"lost-writes", "gangs-gathering"},
     {"lost-term", "gangs-gathering"},
-    # The version in production knows no way out of lost writes.
+    # The version in production can't recover from lost writes.
     {"lost-writes", "older-version-first"},
     {"lost-term", "older-version-first"},
 )
-MOST_CASES = 4
+MAX_CASES = 4
 
 
 def draw_cases(rng: random.Random) -> tuple[str, ...]:
-    """Draw none to four hard cases that can meet."""
+    """Draw zero to `MAX_CASES` hard cases that may be combined."""
     drawn: list[str] = []
-    for name in rng.sample(sorted(HARD_CASES), rng.randint(0, MOST_CASES)):
+    for name in rng.sample(sorted(HARD_CASES), rng.randint(0, MAX_CASES)):
         if not any(name in pair and pair & set(drawn) for pair in EXCLUDED):
             drawn.append(name)
     return tuple(drawn)
@@ -222,27 +226,27 @@
 ) -> Scenario:
     """Return the scenario of a seed.
 
-    `cases` names hard cases to have in place of drawn ones.
+    `cases` names the hard cases to use instead of drawn ones.
     """
     rng = random.Random(f"{NAME} {seed}")
     drawn = draw_cases(rng) if cases is None else cases
     plan = _Plan(rng, workers)
-    # What loses writes comes last before the end, so that nothing else is lost with them.
+    # Lost writes come last before the crash, so that the writes of other hard cases are not lost.
     for name in sorted(drawn, key=lambda name: name.startswith("lost")):
         HARD_CASES[name](plan)
-    away = _seconds(rng.uniform(SHORTEST_AWAY, LONGEST_AWAY))
+    downtime = _seconds(rng.uniform(MIN_DOWNTIME_S, MAX_DOWNTIME_S))
     actions = (
         StartWork(),
         Wait(_seconds(rng.uniform(3, 8))),
         *plan.before,
-        *([CutWorkers(), *plan.cut_first] if plan.cut_first else ()),
+        *([CutWorkers(), *plan.while_partitioned] if plan.while_partitioned else ()),
         StopControllers(),
-        Wait(away / 2),
-        *plan.away,
-        Wait(away / 2),
+        Wait(downtime / 2),
+        *plan.during_downtime,
+        Wait(downtime / 2),
         ReturnControllers(plan.pause, plan.previous_version_first, plan.first_alone),
         *plan.after,
-        Wait(_seconds(WATCHED)),
+        Wait(_seconds(OBSERVATION_S)),
     )
     summary = f"{SUMMARY} Hard cases: {', '.join(drawn) or 'none'}."
     return Scenario(
--- a/roadbend/rehearsal/events.py
+++ b/roadbend/rehearsal/events.py
@@ -1,10 +1,10 @@
-"""What happened in a rehearsal, for its report."""
+"""Events of a rehearsal, for its report."""
 
 from typing import NamedTuple
 
 
 class Event(NamedTuple):
-    """Something that happened in a rehearsal, in seconds since its begin."""
+    """An event, with its time in seconds since the rehearsal began."""
 
     at: float
     text: str
--- a/roadbend/rehearsal/measurement.py
+++ b/roadbend/rehearsal/measurement.py
@@ -1,4 +1,4 @@
-"""What a restart of all controllers cost, judged by what reached the workers."""
+"""Measures a restart of all controllers by the orders that reach the workers."""
 
 from __future__ import annotations
 
@@ -8,7 +8,12 @@
 
 import trio
 
-from roadbend.checkers.differences import ATTEMPT_BITS, Placed, TrueDifferences, true_differences
+from roadbend.checkers.differences import (
+    ATTEMPT_BITS,
+    PlacedAttempt,
+    TrueDifferences,
+    true_differences,
+)
 from roadbend.checkers.protocol_rules import Rules
 from roadbend.fakes.board import Board, ReceivedOrder
 from roadbend.fakes.cloud import FakeCloud
@@ -16,30 +21,31 @@
 from roadbend.fakes.worker import FakeWorker
 from roadbend.rehearsal.messages import is_gang, priority
 
-# How often the records and the workers are compared, in seconds.
-COMPARE_EVERY = 0.5
-# A stop made room for a task that begins on the machine within so many seconds.
-MAKES_ROOM_FOR = 15.0
-# Verbs of orders to workers.
+# How often records and workers are compared, in seconds.
+COMPARE_INTERVAL_S = 0.5
+# A stop counts as preemption if a task of higher priority starts on the machine within this time,
+# in seconds.
+PREEMPTION_WINDOW_S = 15.0
+# Verbs of orders to workers, as on the wire.
 RUN = "run"
 KILL = "kill"
 FORGET = "forget"
 
 
 @dataclass(frozen=True)
-class Measured:
-    """The figures of one restart."""
+class Measurement:
+    """The figures of one restart, as they are printed in the report."""
 
     differences: dict[str, int]
     machines: int
     matching: int
-    # Orders about attempts from before the restart: all that came, and those that were needed.
+    # Orders about attempts from before the restart: all received, and the needed ones.
     orders: int
     needed: int
     repeated: dict[str, int]
     needless_stops: tuple[str, ...]
     needless_restarts: tuple[str, ...]
-    # Unrecorded attempts of jobs that live: kept running, or stopped.
+    # Unrecorded attempts of live jobs: kept running, or stopped.
     unrecorded_kept: int
     unrecorded_stopped: int
     settled_after: float | None
@@ -50,13 +56,13 @@
 
     @property
     def excess(self) -> float:
-        """Orders beyond those needed, as a share of these."""
-        extra = self.orders - self.needed
-        return extra / self.needed if self.needed else float(extra)
+        """Orders in excess of the needed ones, as a share of the latter."""
+        surplus = self.orders - self.needed
+        return surplus / self.needed if self.needed else float(surplus)
 
 
 class Deployment(Protocol):
-    """What is watched: a deployment in memory or on loopback."""
+    """The deployment that is measured, in memory or on loopback."""
 
     state: FakeStateService
     cloud: FakeCloud
@@ -64,83 +70,98 @@
     rules: Rules
 
     def workers(self) -> list[FakeWorker]:
-        """Return the workers of the machines that work."""
+        """Return the workers of the running machines."""
 
 
 @dataclass
-class Restart:
-    """Watches a deployment from the moment at which the first controller returns."""
+class RestartMeasurement:
+    """Measures a deployment from the moment at which the first controller starts again."""
 
     world: Deployment
     faulted: set[str]
     began: float = field(default_factory=trio.current_time)
     settled_after: float | None = None
-    # What the state store lost and machines still run counts as needless when it is stopped.
-    _kept: frozenset[Placed] = frozenset()
-    _open: set[Placed] = field(default_factory=set)
+    # Attempts that run when the first controller starts, including those whose records the state
+    # store lost: to stop one of them is needless.
+    _running_attempts: frozenset[PlacedAttempt] = frozenset()
+    _unsettled: set[PlacedAttempt] = field(default_factory=set)
 
     def __post_init__(self) -> None:
         world = self.world
-        self.before = true_differences(world.state, world.workers())
-        self._received = len(world.board.received)
-        self._state_requests, self._revision = world.state.requests, world.state.revision
-        self._cloud_requests, self._rented = world.cloud.requests, len(world.cloud.creation_ids)
-        self._starts = len(world.board.starts)
+        self.initial = true_differences(world.state, world.workers())
+        self._orders_before = len(world.board.received)
+        self._state_requests_before, self._revision_before = (
+            world.state.requests,
+            world.state.revision,
+        )
+        self._cloud_requests_before, self._creations_before = (
+            world.cloud.requests,
+            len(world.cloud.creation_ids),
+        )
+        self._starts_before = len(world.board.starts)
         recorded_term = max(
             (value["n"] for value in world.state.values_with_prefix("r/term/").values()), default=0
         )
-        highest = max((placed.attempt for placed in self._all_attempts()), default=0)
-        self._last_term = max(recorded_term, highest >> ATTEMPT_BITS)
-        self._open = set(self._differing(self.before))
-        self._kept = self.before.matching | self.before.unrecorded
-        self.excuse(self.faulted)
+        max_attempt = max((placed.attempt for placed in self._all_attempts()), default=0)
+        self._last_term = max(recorded_term, max_attempt >> ATTEMPT_BITS)
+        self._unsettled = set(self._differing(self.initial))
+        self._running_attempts = self.initial.matching | self.initial.unrecorded
+        self.exclude_machines(self.faulted)
 
-    def _all_attempts(self) -> Iterable[Placed]:
-        before = self.before
-        return before.matching | before.missing | before.unrecorded | before.cancelled
+    def _all_attempts(self) -> Iterable[PlacedAttempt]:
+        initial = self.initial
+        return initial.matching | initial.missing | initial.unrecorded | initial.cancelled
 
     @staticmethod
-    def _differing(found: TrueDifferences) -> Iterable[Placed]:
-        return found.missing | found.ended | found.cancelled | found.unrecorded | found.leftovers
+    def _differing(differences: TrueDifferences) -> Iterable[PlacedAttempt]:
+        return (
+            differences.missing
+            | differences.ended
+            | differences.cancelled
+            | differences.unrecorded
+            | differences.leftovers
+        )
 
-    def excuse(self, machines: Iterable[str]) -> None:
-        """Leave out machines that something was done to.
+    def exclude_machines(self, machines: Iterable[str]) -> None:
+        """Exclude machines with an injected fault.
 
-        What becomes of their tasks is no fault of the restart.
+        What becomes of their tasks is not due to the restart.
         """
-        names = set(machines)
-        cases = self.world.rules.jobs
-        rows = self._kept | self.before.silent | self.before.missing
-        touched = {row.job for row in rows if row.machine in names}
-        # A gang that lost one of its tasks is to be stopped whole.
-        gangs = {name for name in touched if is_gang(cases[name].body)}
-        self._kept = frozenset(
-            row for row in self._kept if row.machine not in names and row.job not in gangs
+        machine_ids = set(machines)
+        jobs = self.world.rules.jobs
+        attempts = self._running_attempts | self.initial.silent | self.initial.missing
+        affected = {attempt.job for attempt in attempts if attempt.machine in machine_ids}
+        # A gang that has lost one task has to be stopped as a whole.
+        gangs = {job_id for job_id in affected if is_gang(jobs[job_id].body)}
+        self._running_attempts = frozenset(
+            attempt
+            for attempt in self._running_attempts
+            if attempt.machine not in machine_ids and attempt.job not in gangs
         )
 
     async def watch(self) -> None:
-        """Compare again and again until all that differed at the return is settled."""
+        """Compare periodically until every initial difference is settled."""
         while self.settled_after is None:
-            await trio.sleep(COMPARE_EVERY)
-            now = true_differences(self.world.state, self.world.workers())
-            working = {worker.machine for worker in self.world.workers()}
-            self._open &= set(self._differing(now))
-            if not any(row.machine in working for row in self._open):
+            await trio.sleep(COMPARE_INTERVAL_S)
+            current = true_differences(self.world.state, self.world.workers())
+            running = {worker.machine for worker in self.world.workers()}
+            self._unsettled &= set(self._differing(current))
+            if not any(attempt.machine in running for attempt in self._unsettled):
                 self.settled_after = trio.current_time() - self.began
 
-    def measured(self) -> Measured:
+    def measure(self) -> Measurement:
         """Return the figures up to now."""
         world, rules = self.world, self.world.rules
         received = [
             order
-            for order in world.board.received[self._received :]
+            for order in world.board.received[self._orders_before :]
             if order.attempt >> ATTEMPT_BITS <= self._last_term
-            and not self._ends_gang(order, rules)
+            and not self._stops_completed_gang(order, rules)
         ]
-        needless = self._needless_stops(received, rules)
-        unrecorded = self.before.unrecorded
+        needless_stops = self._needless_stops(received, rules)
+        unrecorded = self.initial.unrecorded
         stopped = {
-            Placed(order.task, order.attempt, order.machine)
+            PlacedAttempt(order.task, order.attempt, order.machine)
             for order in received
             if order.verb == KILL and order.effective
         }
@@ -148,75 +169,81 @@
             verb: sum(1 for order in received if order.verb == verb and not order.effective)
             for verb in (RUN, KILL, FORGET)
         }
-        return Measured(
-            differences=self.before.counts(),
-            machines=self.before.machines,
-            matching=len(self.before.matching),
+        return Measurement(
+            differences=self.initial.counts(),
+            machines=self.initial.machines,
+            matching=len(self.initial.matching),
             orders=len(received),
-            needed=sum(1 for order in received if order.effective) - len(needless),
+            needed=sum(1 for order in received if order.effective) - len(needless_stops),
             repeated=repeated,
-            needless_stops=tuple(sorted(f"{row.task} on {row.machine}" for row in needless)),
+            needless_stops=tuple(
+                sorted(f"{order.task} on {order.machine}" for order in needless_stops)
+            ),
             needless_restarts=tuple(sorted(self._needless_restarts(received, rules))),
             unrecorded_kept=len(unrecorded - stopped),
             unrecorded_stopped=len(unrecorded & stopped),
             settled_after=self.settled_after,
-            state_requests=world.state.requests - self._state_requests,
-            state_changes=max(0, world.state.revision - self._revision),
-            cloud_requests=world.cloud.requests - self._cloud_requests,
-            rented=len(world.cloud.creation_ids) - self._rented,
+            state_requests=world.state.requests - self._state_requests_before,
+            state_changes=max(0, world.state.revision - self._revision_before),
+            cloud_requests=world.cloud.requests - self._cloud_requests_before,
+            rented=len(world.cloud.creation_ids) - self._creations_before,
         )
 
     @staticmethod
-    def _ends_gang(order: ReceivedOrder, rules: Rules) -> bool:
-        """Whether an order stops a gang that is done.
+    def _stops_completed_gang(order: ReceivedOrder, rules: Rules) -> bool:
+        """Return whether an order stops a task of a gang that is done.
 
-        The first task of a gang that is done ends its job, and the others are told to stop,
-        though they end by themselves. That is not due to a restart.
+        The first task of a gang that is done ends the job. The other tasks are then ordered to
+        stop, although they end by themselves. That is not due to the restart.
         """
-        case = rules.jobs[_job_of(order.task)]
-        return order.verb == KILL and is_gang(case.body) and case.is_complete
+        job = rules.jobs[_job_id_of(order.task)]
+        return order.verb == KILL and is_gang(job.body) and job.is_complete
 
     def _needless_stops(self, received: list[ReceivedOrder], rules: Rules) -> list[ReceivedOrder]:
-        """Return stops that nothing asked for.
+        """Return the stops that had no reason.
 
-        These are of tasks that worked when the controllers returned, whose users had not cancelled
-        them, and whose capacity no task of a higher priority took.
+        Their tasks ran when the controllers returned, were not cancelled by a user, and were not
+        preempted by a task of higher priority.
         """
         return [
             order
             for order in received
             if order.verb == KILL
             and order.effective
-            and Placed(order.task, order.attempt, order.machine) in self._kept
-            and rules.jobs[_job_of(order.task)].cancel_requested_at is None
-            and not self._made_room(order, rules)
+            and PlacedAttempt(order.task, order.attempt, order.machine) in self._running_attempts
+            and rules.jobs[_job_id_of(order.task)].cancel_requested_at is None
+            and not self._is_preemption(order, rules)
         ]
 
-    def _made_room(self, stop: ReceivedOrder, rules: Rules) -> bool:
-        """Whether a task of a higher priority began on the machine right after the stop."""
-        stopped = priority(rules.jobs[_job_of(stop.task)].body)
+    def _is_preemption(self, stop: ReceivedOrder, rules: Rules) -> bool:
+        """Return whether a higher-priority task started on the machine right after the stop."""
+        stopped_priority = priority(rules.jobs[_job_id_of(stop.task)].body)
         return any(
             machine == stop.machine
-            and 0 <= at - stop.at < MAKES_ROOM_FOR
-            and priority(rules.jobs[_job_of(task)].body) > stopped
-            for at, task, machine in self.world.board.starts[self._starts :]
+            and 0 <= started_at - stop.at < PREEMPTION_WINDOW_S
+            and priority(rules.jobs[_job_id_of(task)].body) > stopped_priority
+            for started_at, task, machine in self.world.board.starts[self._starts_before :]
         )
 
     def _needless_restarts(self, received: list[ReceivedOrder], rules: Rules) -> list[str]:
-        """Return the tasks that worked when the controllers returned and have begun again since."""
-        made_room = {
+        """Return the tasks that ran when the controllers returned and were started again."""
+        preempted = {
             order.task
             for order in received
-            if order.verb == KILL and order.effective and self._made_room(order, rules)
+            if order.verb == KILL and order.effective and self._is_preemption(order, rules)
+        }
+        running = {
+            attempt.task: attempt
+            for attempt in self._running_attempts
+            if attempt.task not in preempted
         }
-        running = {row.task: row for row in self._kept if row.task not in made_room}
-        again = []
-        for _, task, machine in self.world.board.starts[self._starts :]:
-            row = running.get(task)
-            if row is not None and rules.jobs[row.job].cancel_requested_at is None:
-                again.append(f"{task} from {row.machine} to {machine}")
-        return again
+        restarts = []
+        for _, task, machine in self.world.board.starts[self._starts_before :]:
+            attempt = running.get(task)
+            if attempt is not None and rules.jobs[attempt.job].cancel_requested_at is None:
+                restarts.append(f"{task} from {attempt.machine} to {machine}")
+        return restarts
 
 
-def _job_of(task: str) -> str:
+def _job_id_of(task: str) -> str:
     return task.rpartition("/")[0]
--- a/roadbend/rehearsal/messages.py
+++ b/roadbend/rehearsal/messages.py
@@ -1,4 +1,4 @@
-"""Submissions of a rehearsal's users, in the words of the wire."""
+"""Submissions of a rehearsal's users, with the field names of the wire."""
 
 from __future__ import annotations
 
@@ -6,27 +6,27 @@
 
 from roadbend.fakes import submission
 
-# A submission's body, as it is on the wire.
+# A submission's body, with the field names of the wire.
 Body = dict[str, Any]
 
-# Priorities by their names on the wire: a higher one may take the capacity of a lower one.
+# Priorities by their names on the wire: a job of a higher one may preempt a lower one's tasks.
 PRIORITIES = {"production": 3, "high": 2, "normal": 1, "best_effort": 0}
 
 
 def service(number: int, tasks: int) -> Body:
-    """Return the body of a service, which does not run on spot machines."""
+    """Return the body of a service that may not run on spot machines."""
     return submission.job(
         number, legs=tasks, shape="daemon", dueS=None, loaners=False, rank="production"
     )
 
 
 def long_array(number: int, tasks: int) -> Body:
-    """Return the body of a job array without a deadline that is expected to take a minute."""
+    """Return the body of a job array without a deadline; its tasks are to take one minute."""
     return submission.job(number, legs=tasks, dueS=None, expectedS=60.0, loaners=False)
 
 
 def array(number: int, tasks: int, deadline_s: float | None, team: str) -> Body:
-    """Return the body of a team's job array; `deadline_s` is in seconds."""
+    """Return the body of a team's job array that is to be done within `deadline_s` seconds."""
     return submission.job(number, legs=tasks, dueS=deadline_s, loaners=False, crew=team)
 
 
@@ -36,18 +36,18 @@
 
 
 def gpu_gang(number: int, tasks: int) -> Body:
-    """Return the body of a gang of which each task takes a GPU."""
+    """Return the body of a gang whose tasks need one GPU each."""
     return submission.gang(number, tasks, vcpus=8.0, gpus=1.0)
 
 
-def job_of(body: Body) -> str:
+def job_id_of(body: Body) -> str:
     """Return the job's id."""
     job: str = body["id"]
     return job
 
 
 def task_count(body: Body) -> int:
-    """Return how many tasks the job has."""
+    """Return the number of the job's tasks."""
     count: int = body["legs"]
     return count
 
@@ -58,5 +58,5 @@
 
 
 def priority(body: Body) -> int:
-    """Return the job's priority as a number that grows with it."""
+    """Return the job's priority; a larger number is a higher priority."""
     return PRIORITIES[body["rank"]]
--- a/roadbend/rehearsal/real_processes.py
+++ b/roadbend/rehearsal/real_processes.py
@@ -1,6 +1,6 @@
-"""A cold restart of real controller processes on loopback, ended with SIGKILL.
+"""A cold restart of real controller processes on loopback, which are killed with SIGKILL.
 
-It takes some minutes of real time, and is no part of CI.
+It takes some minutes of real time and is not part of CI.
 """
 
 from __future__ import annotations
@@ -29,32 +29,32 @@
 from roadbend.rehearsal import messages, scenario
 from roadbend.rehearsal.actions.jobs import TASKS_PER_MACHINE
 from roadbend.rehearsal.events import Event
-from roadbend.rehearsal.measurement import Restart
+from roadbend.rehearsal.measurement import RestartMeasurement
 from roadbend.rehearsal.report import Report
 from roadbend.rehearsal.verdict import judge
 
 ROOT = Path(__file__).resolve().parent.parent.parent
 NAME = "real-cold-restart"
 SUMMARY = "Three controller processes are killed at once under running work, and start again."
-JOBS = 8
-CONTROLLERS = 3
-# How long work may take to begin, in seconds.
-BEGIN_WITHIN = 180.0
-# How long work runs before the controllers are killed, in seconds.
-UNDISTURBED = 5
-# How long no controller is up, in seconds.
-AWAY = 4.0
-# How long is watched after the return, in seconds.
-WATCHED = 40.0
-# How often is asked whether work has begun, in seconds.
-ASK_EVERY = 0.5
-# One machine in so many restarts while no controller is up.
-REBOOT_SHARE = 40
+JOB_COUNT = 8
+CONTROLLER_COUNT = 3
+# How long the jobs may take to start, in seconds.
+START_TIMEOUT_S = 180.0
+# How long the jobs run before the controllers are killed, in seconds.
+RUN_BEFORE_KILL_S = 5
+# How long no controller runs, in seconds.
+DOWNTIME_S = 4.0
+# How long the deployment is observed after the restart, in seconds.
+OBSERVATION_S = 40.0
+# How often a pending condition is checked, in seconds.
+POLL_INTERVAL_S = 0.5
+# One machine per so many workers restarts while no controller runs.
+WORKERS_PER_REBOOT = 40
 
 
 @dataclass
 class Controllers:
-    """Processes of the program as it is started in production."""
+    """Controller processes, started with the command line that production uses."""
 
     paths: list[Path]
     recovery: bool
@@ -86,15 +86,15 @@
 
 
 class _Events:
-    """What happened, with the seconds since the rehearsal began."""
+    """Events, with their times in seconds since the rehearsal began."""
 
     def __init__(self) -> None:
-        self.noted: list[Event] = []
+        self.recorded: list[Event] = []
         self._began = time.monotonic()
 
-    def note(self, text: str) -> None:
-        """Add an event that happened now."""
-        self.noted.append(Event(round(time.monotonic() - self._began, 1), text))
+    def record(self, text: str) -> None:
+        """Add an event with the current time."""
+        self.recorded.append(Event(round(time.monotonic() - self._began, 1), text))
 
 
 @dataclass(frozen=True)
@@ -106,37 +106,39 @@
     events: _Events
 
     async def run_until_killed(self) -> None:
-        """Start controllers and work, and kill the controllers once it runs."""
+        """Start the controllers and jobs; kill the controllers once the jobs have run a while."""
         self.controllers.start()
-        await _start_work(self.fakes, self.workers, self.rng)
-        self.events.note(f"{len(self.fakes.workers())} machines work")
-        await trio.sleep(UNDISTURBED)
+        await _start_jobs(self.fakes, self.workers, self.rng)
+        self.events.record(f"{len(self.fakes.workers())} machines work")
+        await trio.sleep(RUN_BEFORE_KILL_S)
         self.controllers.kill()
-        self.events.note("all controllers killed")
+        self.events.record("all controllers killed")
 
-    async def stay_away(self) -> set[str]:
-        """Let time pass without controllers; return the machines that restarted meanwhile."""
-        await trio.sleep(AWAY / 2)
+    async def wait_while_down(self) -> set[str]:
+        """Let time pass without controllers; reboot some machines meanwhile, and return them."""
+        await trio.sleep(DOWNTIME_S / 2)
         machines = sorted(worker.machine for worker in self.fakes.workers())
-        faulted = set(self.rng.sample(machines, max(1, self.workers // REBOOT_SHARE)))
+        faulted = set(self.rng.sample(machines, max(1, self.workers // WORKERS_PER_REBOOT)))
         for machine in sorted(faulted):
             self.fakes.cloud.reboot(machine)
-        self.events.note(f"machines began anew: {', '.join(sorted(faulted))}")
-        await trio.sleep(AWAY / 2)
+        self.events.record(f"machines restarted: {', '.join(sorted(faulted))}")
+        await trio.sleep(DOWNTIME_S / 2)
         return faulted
 
-    async def watch_return(self, nursery: trio.Nursery, faulted: set[str]) -> Restart:
-        """Start the controllers again, and return the measurement of that."""
-        restart = Restart(self.fakes, faulted)
+    async def restart_controllers(
+        self, nursery: trio.Nursery, faulted: set[str]
+    ) -> RestartMeasurement:
+        """Start the controllers again and observe the deployment; return the measurement."""
+        restart = RestartMeasurement(self.fakes, faulted)
         nursery.start_soon(restart.watch)
         self.controllers.start()
-        self.events.note(f"started again, {restart.before.total} differences")
-        await trio.sleep(WATCHED)
+        self.events.record(f"started again, {restart.initial.total} differences")
+        await trio.sleep(OBSERVATION_S)
         return restart
 
 
 def play(workers: int, seed: int, recovery: bool, log: Path) -> Report:
-    """Play the rehearsal in real time; the controllers' log is appended to `log`."""
+    """Run the rehearsal in real time; the log of the controllers is appended to `log`."""
     with tempfile.TemporaryDirectory() as directory:
         return trio.run(_play, workers, seed, recovery, Path(directory), log)
 
@@ -153,13 +155,13 @@
         rehearsal = _Rehearsal(workers, rng, fakes, controllers, events)
         try:
             await rehearsal.run_until_killed()
-            faulted = await rehearsal.stay_away()
-            restart = await rehearsal.watch_return(nursery, faulted)
-            measured = restart.measured()
+            faulted = await rehearsal.wait_while_down()
+            restart = await rehearsal.restart_controllers(nursery, faulted)
+            measured = restart.measure()
             open_jobs = await _open_jobs(fakes)
         finally:
             controllers.kill()
-        events.note("end")
+        events.record("end")
         verdict = judge(measured, fakes.rules.broken, open_jobs, scenario.Limits())
         nursery.cancel_scope.cancel()
     return Report(
@@ -168,7 +170,7 @@
         seed=seed,
         workers=workers,
         recovery=recovery,
-        events=tuple(events.noted),
+        events=tuple(events.recorded),
         measured=measured,
         verdict=verdict,
         simulated=False,
@@ -176,12 +178,12 @@
 
 
 def _free_addresses() -> Addresses:
-    # Two for each controller, and those of the state store, the cloud and the tasks' lengths.
-    free = free_addresses(2 * CONTROLLERS + 3)
-    state, cloud, lengths = free[2 * CONTROLLERS :]
+    # Two per controller, and one each for the state store, the cloud and the lengths of tasks.
+    unused = free_addresses(2 * CONTROLLER_COUNT + 3)
+    state, cloud, lengths = unused[2 * CONTROLLER_COUNT :]
     return Addresses(
-        listen=free[:CONTROLLERS],
-        back=free[CONTROLLERS : 2 * CONTROLLERS],
+        listen=unused[:CONTROLLER_COUNT],
+        back=unused[CONTROLLER_COUNT : 2 * CONTROLLER_COUNT],
         state=state,
         cloud=cloud,
         lengths=lengths,
@@ -198,39 +200,39 @@
     )
 
 
-async def _start_work(fakes: Loopback, workers: int, rng: random.Random) -> None:
-    tasks = max(1, workers * TASKS_PER_MACHINE // JOBS)
-    bodies = [messages.service(number, tasks) for number in range(1, JOBS + 1)]
-    with trio.fail_after(BEGIN_WITHIN):
+async def _start_jobs(fakes: Loopback, workers: int, rng: random.Random) -> None:
+    tasks = max(1, workers * TASKS_PER_MACHINE // JOB_COUNT)
+    bodies = [messages.service(number, tasks) for number in range(1, JOB_COUNT + 1)]
+    with trio.fail_after(START_TIMEOUT_S):
         for body in bodies:
-            fakes.board.lengths[messages.job_of(body)] = None
+            fakes.board.lengths[messages.job_id_of(body)] = None
             await _until_true(partial(_is_accepted, fakes, rng, body))
         await _until_true(partial(_all_run, fakes, bodies, tasks))
 
 
 async def _until_true(check: Callable[[], Awaitable[bool]]) -> None:
-    """Check again and again; the caller sets the time limit."""
+    """Check periodically until the condition holds; the caller sets the timeout."""
     done = False
     while not done:
         done = await check()
         if not done:
-            await trio.sleep(ASK_EVERY)
+            await trio.sleep(POLL_INTERVAL_S)
 
 
 async def _is_accepted(fakes: Loopback, rng: random.Random, body: messages.Body) -> bool:
-    status, _ = await fakes.call(rng.randrange(CONTROLLERS), "POST", "/v1/jobs", body)
+    status, _ = await fakes.call(rng.randrange(CONTROLLER_COUNT), "POST", "/v1/jobs", body)
     return status in (HTTPStatus.OK, HTTPStatus.CREATED)
 
 
 async def _all_run(fakes: Loopback, bodies: list[messages.Body], tasks: int) -> bool:
-    return all(len(fakes.board.running(messages.job_of(body))) >= tasks for body in bodies)
+    return all(len(fakes.board.running(messages.job_id_of(body))) >= tasks for body in bodies)
 
 
 async def _open_jobs(fakes: Loopback) -> list[str]:
-    """Ask after every job, and return those that do not run whole."""
+    """Query every job; return those that do not run with all their tasks."""
     open_jobs = []
-    for number, case in enumerate(fakes.rules.jobs.values()):
-        await fakes.call(number % CONTROLLERS, "GET", f"/v1/jobs/{case.name}")
-        if len(fakes.board.running(case.name)) != messages.task_count(case.body):
-            open_jobs.append(case.name)
+    for number, job in enumerate(fakes.rules.jobs.values()):
+        await fakes.call(number % CONTROLLER_COUNT, "GET", f"/v1/jobs/{job.id}")
+        if len(fakes.board.running(job.id)) != messages.task_count(job.body):
+            open_jobs.append(job.id)
     return open_jobs
--- a/roadbend/rehearsal/report.py
+++ b/roadbend/rehearsal/report.py
@@ -1,10 +1,10 @@
-"""What a rehearsal shows, as text for a duty officer and as JSON."""
+"""Report of a rehearsal, as text for the operator on call and as JSON."""
 
 import json
 from dataclasses import asdict, dataclass
 
 from roadbend.rehearsal.events import Event
-from roadbend.rehearsal.measurement import Measured
+from roadbend.rehearsal.measurement import Measurement
 from roadbend.rehearsal.verdict import Verdict
 
 
@@ -18,13 +18,13 @@
     workers: int
     recovery: bool
     events: tuple[Event, ...]
-    measured: Measured
+    measured: Measurement
     verdict: Verdict
-    # Whether its times are those of a simulated clock.
+    # Whether times are from a simulated clock.
     simulated: bool = True
 
     def text(self) -> str:
-        """Return the report as text that can be read without knowing the code."""
+        """Return the report as text for readers who do not know the code."""
         measured = self.measured
         lines = [
             f"Rehearsal {self.scenario}, seed {self.seed}, {self.workers} workers, "
@@ -56,7 +56,7 @@
         return "\n".join(lines)
 
     def as_json(self) -> str:
-        """Return the report as JSON, for programs."""
+        """Return the report as JSON."""
         return json.dumps({**asdict(self), "passed": self.verdict.passed}, indent=2, sort_keys=True)
 
 
--- a/roadbend/rehearsal/runner.py
+++ b/roadbend/rehearsal/runner.py
@@ -1,4 +1,4 @@
-"""Plays a scenario in memory. The same scenario gives the same report on every run."""
+"""Runs a scenario in memory. The same scenario gives the same report on every run."""
 
 import random
 from collections.abc import Callable
@@ -11,7 +11,7 @@
 from roadbend.controller import Controller
 from roadbend.fakes.world import World, world
 from roadbend.rehearsal.events import Event
-from roadbend.rehearsal.measurement import Measured
+from roadbend.rehearsal.measurement import Measurement
 from roadbend.rehearsal.messages import task_count
 from roadbend.rehearsal.report import Report
 from roadbend.rehearsal.scenario import Scenario
@@ -19,38 +19,41 @@
 from roadbend.rehearsal.verdict import judge
 from roadbend.settings import Team
 
-# The fake deployment: teams without quotas but for a small one, so that quotas take part.
+# The teams of the deployment: one without a quota, and one with a small quota, so that quotas are
+# exercised as well.
 TEAMS = {"red": Team("red", 0, 0, 0, 0), "blue": Team("blue", 0, 0, 4, 12)}
-# How long the end may take in which every job must run or get its final answer.
-END_WITHIN = timedelta(seconds=180)
-# How often users ask then, in seconds.
-ASK_EVERY = 5.0
-# Spare machines a zone, over its share of the workers: one for so many, and at least some.
-SPARE_SHARE = 10
-SPARE_LEAST = 4
-# How long a machine of the fake cloud boots, in seconds.
-BOOT_SECONDS = 5.0
+# How long it may take at the end until every job runs or has a final state.
+SETTLE_TIMEOUT = timedelta(seconds=180)
+# How often users query their jobs meanwhile, in seconds.
+POLL_INTERVAL_S = 5.0
+# Spare machines per zone in addition to its share of the workers: one per so many workers, and at
+# least this number.
+WORKERS_PER_SPARE = 10
+MIN_SPARES = 4
+# Boot time of a machine of the fake cloud, in seconds.
+BOOT_TIME_S = 5.0
 
 Equip = Callable[[Controller], None]
 
 
 def play(scenario: Scenario, equip: Equip | None = None) -> Report:
-    """Play a scenario on a clock of its own, in an order that its seed draws.
+    """Run a scenario on a mock clock, with a task order that its seed determines.
 
-    `equip` switches on further parts of each controller.
+    `equip` is called with each new controller of the current version and installs optional parts,
+    such as recovery.
     """
     use_simulated_time_of_day()
-    trio._core._run._ALLOW_DETERMINISTIC_SCHEDULING = True  # type: ignore[misc]  # trio has no other way
+    trio._core._run._ALLOW_DETERMINISTIC_SCHEDULING = True  # type: ignore[misc]  # trio has no other interface for it
     trio._core._run._r.seed(f"rehearsal {scenario.name} {scenario.seed}")
-    mock = trio.testing.MockClock(autojump_threshold=0)
-    return trio.run(play_here, scenario, equip, clock=mock)
+    mock_clock = trio.testing.MockClock(autojump_threshold=0)
+    return trio.run(play_here, scenario, equip, clock=mock_clock)
 
 
 async def play_here(scenario: Scenario, equip: Equip | None = None) -> Report:
-    """Play a scenario on the clock that runs."""
+    """Run a scenario on the clock of the running event loop."""
     broken: list[str] = []
     async with world(
-        capacity=scenario.workers // 3 + max(SPARE_LEAST, scenario.workers // SPARE_SHARE),
+        capacity=scenario.workers // 3 + max(MIN_SPARES, scenario.workers // WORKERS_PER_SPARE),
         on_broken_rules=broken.extend,
         caches_images=True,
         previous_version=scenario.previous_version,
@@ -60,14 +63,14 @@
         state_rps=500.0,
         state_write_rps=200.0,
     ) as deployment:
-        deployment.cloud.boot_seconds = BOOT_SECONDS
+        deployment.cloud.boot_seconds = BOOT_TIME_S
         stage = Stage(deployment, random.Random(f"rehearsal {scenario.seed}"), scenario.workers)
         for action in scenario.actions:
             await action.play(stage)
-        measured = _measured(stage)
-        open_jobs = await _end(deployment)
+        measured = _measure(stage)
+        open_jobs = await _find_open_jobs(deployment)
         broken.extend(deployment.rules.broken)
-        stage.note("end")
+        stage.record_event("end")
         verdict = judge(measured, sorted(set(broken)), open_jobs, scenario.limits)
         events = tuple(Event(round(event.at, 2), event.text) for event in stage.events)
     return Report(
@@ -82,36 +85,37 @@
     )
 
 
-def _measured(stage: Stage) -> Measured:
-    assert stage.restart is not None, "the controllers never returned"
-    return stage.restart.measured()
+def _measure(stage: Stage) -> Measurement:
+    assert stage.restart is not None, "the scenario did not restart the controllers"
+    return stage.restart.measure()
 
 
-async def _end(deployment: World) -> list[str]:
-    """Let users ask after every job, now that all troubles are over.
+async def _find_open_jobs(deployment: World) -> list[str]:
+    """Let users query every job after the last fault has ended.
 
-    Return those that at the end neither run whole nor have their final answer.
+    Return the jobs that, after `SETTLE_TIMEOUT`, neither run with all their tasks nor have a final
+    state.
     """
     deployment.rules.mark_faults_ended()
-    end = trio.current_time() + END_WITHIN.total_seconds()
+    end = trio.current_time() + SETTLE_TIMEOUT.total_seconds()
     while trio.current_time() < end:
         open_jobs = [
-            case
-            for case in deployment.rules.jobs.values()
-            if case.accepted_at is not None and not case.has_ended
+            job
+            for job in deployment.rules.jobs.values()
+            if job.accepted_at is not None and not job.has_ended
         ]
-        for number, case in enumerate(open_jobs):
-            await deployment.status(number % deployment.count, case.name)
-        waiting = [case.name for case in open_jobs if not _is_settled(deployment, case.name)]
-        if not waiting:
+        for number, job in enumerate(open_jobs):
+            await deployment.status(number % deployment.count, job.id)
+        unsettled = [job.id for job in open_jobs if not _is_settled(deployment, job.id)]
+        if not unsettled:
             return []
-        await trio.sleep(ASK_EVERY)
-    return waiting
+        await trio.sleep(POLL_INTERVAL_S)
+    return unsettled
 
 
-def _is_settled(deployment: World, job: str) -> bool:
-    case = deployment.rules.jobs[job]
-    if case.has_ended:
+def _is_settled(deployment: World, job_id: str) -> bool:
+    job = deployment.rules.jobs[job_id]
+    if job.has_ended:
         return True
-    runs_on = deployment.board.lengths.get(job, 0) is None
-    return runs_on and len(deployment.board.running(job)) == task_count(case.body)
+    runs_until_stopped = deployment.board.lengths.get(job_id, 0) is None
+    return runs_until_stopped and len(deployment.board.running(job_id)) == task_count(job.body)
--- a/roadbend/rehearsal/scenario.py
+++ b/roadbend/rehearsal/scenario.py
@@ -1,4 +1,4 @@
-"""What is rehearsed: a scenario is a value, and the runner knows none by name."""
+"""Scenarios of rehearsals. A scenario is a plain value, so the runner depends on none by name."""
 
 from __future__ import annotations
 
@@ -9,33 +9,33 @@
 if TYPE_CHECKING:
     from roadbend.rehearsal.stage import Stage
 
-# What a rehearsal may be asked for; more than this does not fit one ordinary machine.
-FEWEST_WORKERS = 6
-MOST_WORKERS = 4000
+# Permitted numbers of workers; more do not fit on one ordinary machine.
+MIN_WORKERS = 6
+MAX_WORKERS = 4000
 
 
 class Action(Protocol):
-    """Something that happens in a scenario. Actions are frozen dataclasses."""
+    """One step of a scenario. Actions are frozen dataclasses."""
 
     async def play(self, stage: Stage) -> None:
-        """Make it happen, and return once it has."""
+        """Carry out the action; return when it has been carried out."""
 
 
 @dataclass(frozen=True)
 class Limits:
-    """What a rehearsal must keep to pass."""
+    """The limits that a rehearsal must stay within to pass."""
 
-    # Orders received beyond those that the differences need, as a share of these.
+    # Orders received in excess of those needed to settle the differences, as a share of the latter.
     order_excess: float = 0.03
-    # Running tasks that were stopped or started again without need.
+    # Running tasks that were stopped or restarted needlessly.
     needless_restarts: int = 0
-    # How long settling may take, from the return of the first controller.
+    # How long settling may take from the restart of the first controller.
     settled_within: timedelta = timedelta(seconds=60)
 
 
 @dataclass(frozen=True)
 class Scenario:
-    """A deployment, what happens to it in order, and what it must keep."""
+    """A deployment, the actions on it in order, and the limits that it must stay within."""
 
     name: str
     summary: str
@@ -43,7 +43,7 @@
     workers: int
     actions: tuple[Action, ...]
     limits: Limits = Limits()
-    # Whether the controllers have recovery switched on.
+    # Whether recovery is enabled on the controllers.
     recovery: bool = True
-    # The version in production takes part until it is replaced.
+    # Whether controllers of the version in production take part until they are replaced.
     previous_version: bool = False
--- a/roadbend/rehearsal/script.py
+++ b/roadbend/rehearsal/script.py
@@ -1,4 +1,4 @@
-"""Scenarios written by operators: one S-expression a line.
+"""Scenarios written by operators, with one S-expression per line.
 
     (scenario "two ends in a row")
     (seed 7)
@@ -10,7 +10,8 @@
     (return-controllers)
     (wait 40)
 
-An action has the name of its class and takes its values in order; durations are in seconds.
+The name of an action is that of its class in kebab case. Its values are those of the class's
+fields, in order; durations are in seconds.
 """
 
 import math
@@ -23,18 +24,16 @@
 
 from roadbend.errors import PermanentError
 from roadbend.rehearsal import actions
-from roadbend.rehearsal.scenario import FEWEST_WORKERS, MOST_WORKERS, Action, Scenario
+from roadbend.rehearsal.scenario import MAX_WORKERS, MIN_WORKERS, Action, Scenario
 
-# What stands once at the most, with the type of its value.
+# Settings that a script has at most once, with the types of their values.
 HEADINGS = {"scenario": str, "seed": int, "workers": int}
-# The longest script, in lines.
-MOST_LINES = 500
-# The longest duration in a script.
-LONGEST = timedelta(hours=2)
+MAX_LINES = 500
+MAX_DURATION = timedelta(hours=2)
 
 
 class ScriptError(PermanentError):
-    """A script can't be played; the message names the line."""
+    """A script is invalid; the message names the line."""
 
 
 def _kebab(name: str) -> str:
@@ -49,12 +48,12 @@
     scenario: str = "script"
     seed: int = 0
     workers: int = 60
-    # Names of the headings that the script has.
-    given: set[str] = field(default_factory=set)
+    # Names of the settings that the script has.
+    names: set[str] = field(default_factory=set)
 
 
 def read(path: Path) -> Scenario:
-    """Return the scenario in a file; raise `ScriptError` if it can't be read or played."""
+    """Return the scenario in a file; raise `ScriptError` if it is unreadable or invalid."""
     try:
         text = path.read_text()
     except (OSError, UnicodeDecodeError) as error:
@@ -63,62 +62,64 @@
 
 
 def parse(text: str) -> Scenario:
-    """Return the scenario in a text; raise `ScriptError`, which names the line."""
+    """Return the scenario in a text; raise `ScriptError` if it is invalid."""
     lines = text.splitlines()
-    if len(lines) > MOST_LINES:
-        raise ScriptError(f"line {MOST_LINES + 1}: a script has at most {MOST_LINES} lines")
+    if len(lines) > MAX_LINES:
+        raise ScriptError(f"line {MAX_LINES + 1}: a script has at most {MAX_LINES} lines")
     headings = _Headings()
-    found: list[Action] = []
+    parsed_actions: list[Action] = []
     for number, line in enumerate(lines, 1):
         content = line.partition(";")[0].strip()
         if not content:
             continue
-        name, values = _form(number, content)
+        name, values = _parse_form(number, content)
         if name in HEADINGS:
-            _take_heading(number, name, values, headings)
+            _set_heading(number, name, values, headings)
         else:
-            found.append(_action(number, name, values))
-    return _scenario(headings, found)
+            parsed_actions.append(_parse_action(number, name, values))
+    return _build_scenario(headings, parsed_actions)
 
 
-def _form(number: int, content: str) -> tuple[str, list[Any]]:
+def _parse_form(number: int, content: str) -> tuple[str, list[Any]]:
     try:
         tree = sexpdata.loads(content)
-    except Exception as error:  # sexpdata raises several unrelated kinds
+    except Exception as error:  # sexpdata raises several unrelated exception types
         raise ScriptError(f"line {number}: not an S-expression: {type(error).__name__}") from None
     if not isinstance(tree, list) or not tree or not isinstance(tree[0], sexpdata.Symbol):
         raise ScriptError(f"line {number}: expected (name value ...)")
     return tree[0].value(), tree[1:]
 
 
-def _take_heading(number: int, name: str, values: list[Any], headings: _Headings) -> None:
-    if name in headings.given:
+def _set_heading(number: int, name: str, values: list[Any], headings: _Headings) -> None:
+    if name in headings.names:
         raise ScriptError(f"line {number}: given twice: {name}")
     if len(values) != 1 or type(values[0]) is not HEADINGS[name]:
         raise ScriptError(f"line {number}: {name} takes one {HEADINGS[name].__name__}")
     (value,) = values
-    if name == "workers" and not FEWEST_WORKERS <= value <= MOST_WORKERS:
-        raise ScriptError(f"line {number}: workers must be from {FEWEST_WORKERS} to {MOST_WORKERS}")
-    headings.given.add(name)
+    if name == "workers" and not MIN_WORKERS <= value <= MAX_WORKERS:
+        raise ScriptError(f"line {number}: workers must be from {MIN_WORKERS} to {MAX_WORKERS}")
+    headings.names.add(name)
     setattr(headings, name, value)
 
 
-def _action(number: int, name: str, values: list[Any]) -> Action:
-    kind = ACTIONS.get(name)
-    if kind is None:
+def _parse_action(number: int, name: str, values: list[Any]) -> Action:
+    action_type = ACTIONS.get(name)
+    if action_type is None:
         raise ScriptError(f"line {number}: unknown action: {name}")
-    specs = fields(kind)
+    specs = fields(action_type)
     if len(values) > len(specs):
         raise ScriptError(f"line {number}: {name} takes at most {len(specs)} values")
-    least = sum(1 for spec in specs if spec.default is MISSING)
-    if len(values) < least:
-        raise ScriptError(f"line {number}: {name} takes at least {least} values")
-    taken = zip(specs, values, strict=False)
-    action: Action = kind(**{spec.name: _value(number, spec, value) for spec, value in taken})
+    min_values = sum(1 for spec in specs if spec.default is MISSING)
+    if len(values) < min_values:
+        raise ScriptError(f"line {number}: {name} takes at least {min_values} values")
+    pairs = zip(specs, values, strict=False)
+    action: Action = action_type(
+        **{spec.name: _parse_value(number, spec, value) for spec, value in pairs}
+    )
     return action
 
 
-def _value(number: int, spec: Field[Any], value: Any) -> bool | int | timedelta:
+def _parse_value(number: int, spec: Field[Any], value: Any) -> bool | int | timedelta:
     where = f"line {number}: {spec.name.replace('_', '-')}"
     if spec.type == "bool":
         if value not in (0, 1):
@@ -127,27 +128,27 @@
     if isinstance(value, bool) or not isinstance(value, int | float) or _is_nan(value):
         raise ScriptError(f"{where} must be a number")
     if spec.type == "timedelta":
-        if not 0 <= value <= LONGEST.total_seconds():
-            raise ScriptError(f"{where} must be from 0 to {LONGEST.total_seconds():g}")
+        if not 0 <= value <= MAX_DURATION.total_seconds():
+            raise ScriptError(f"{where} must be from 0 to {MAX_DURATION.total_seconds():g}")
         return timedelta(seconds=value)
-    if not isinstance(value, int) or not 0 <= value <= MOST_WORKERS:
-        raise ScriptError(f"{where} must be a whole number from 0 to {MOST_WORKERS}")
+    if not isinstance(value, int) or not 0 <= value <= MAX_WORKERS:
+        raise ScriptError(f"{where} must be a whole number from 0 to {MAX_WORKERS}")
     return value
 
 
 def _is_nan(value: float) -> bool:
-    # Whole numbers may be too large for `math.isnan`.
+    # Integers may be too large for `math.isnan`.
     return isinstance(value, float) and math.isnan(value)
 
 
-def _scenario(headings: _Headings, found: list[Action]) -> Scenario:
-    kinds = [type(action) for action in found]
-    if actions.StartWork not in kinds or actions.ReturnControllers not in kinds:
+def _build_scenario(headings: _Headings, parsed_actions: list[Action]) -> Scenario:
+    action_types = [type(action) for action in parsed_actions]
+    if actions.StartWork not in action_types or actions.ReturnControllers not in action_types:
         raise ScriptError("a script needs (start-work) and (return-controllers)")
     return Scenario(
         headings.scenario,
         "An operator's own scenario.",
         headings.seed,
         headings.workers,
-        tuple(found),
+        tuple(parsed_actions),
     )
--- a/roadbend/rehearsal/search.py
+++ b/roadbend/rehearsal/search.py
@@ -1,4 +1,4 @@
-"""Many rehearsals of one scenario, by seeds: which fail, and how long settling takes."""
+"""Runs one scenario for many seeds: which rehearsals fail, and how long settling takes."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 from roadbend.rehearsal.report import Report
 
-# The accuracy of the sketch of settlement times: a rank error of about 1.3%.
-SKETCH_SIZE = 200
+# Parameter k of the sketch of settling times; 200 gives a rank error of about 1.3%.
+SKETCH_K = 200
 
 
 @dataclass(frozen=True)
 class Outcome:
-    """What is kept of one rehearsal."""
+    """The summary of one rehearsal."""
 
     seed: int
     passed: bool
@@ -29,7 +29,7 @@
 
 
 def outcome_of(report: Report) -> Outcome:
-    """Return what is kept of a report."""
+    """Return the summary of a report."""
     return Outcome(
         seed=report.seed,
         passed=report.verdict.passed,
@@ -47,23 +47,23 @@
 
 
 def play_all(play_one: Callable[[int], Outcome], seeds: range, processes: int) -> Iterator[Outcome]:
-    """Play all seeds in several processes; yield outcomes as they come."""
+    """Run all seeds in several processes; yield outcomes as rehearsals end."""
     with multiprocessing.Pool(processes) as pool:
         yield from pool.imap_unordered(play_one, seeds)
 
 
 class Totals:
-    """All outcomes together.
+    """Totals of all outcomes.
 
-    Settlement times are a sketch, so that totals of several runs can be merged.
+    Settling times are kept in a sketch, so that totals of several searches can be merged.
     """
 
     def __init__(self) -> None:
         self.runs = self.failed = self.orders = self.needed = self.differences = 0
-        self.times = kll_floats_sketch(SKETCH_SIZE)
+        self.times = kll_floats_sketch(SKETCH_K)
 
     def add(self, outcome: Outcome) -> None:
-        """Add one outcome."""
+        """Add an outcome."""
         self.runs += 1
         self.failed += not outcome.passed
         self.orders += outcome.orders
@@ -73,7 +73,7 @@
             self.times.update(outcome.settled_after)
 
     def merge(self, other: Totals) -> None:
-        """Add the totals of other runs."""
+        """Add the totals of another search."""
         self.runs += other.runs
         self.failed += other.failed
         self.orders += other.orders
@@ -87,8 +87,8 @@
             times = "none settled"
         else:
             median = self.times.get_quantile(0.5)
-            worst = self.times.get_quantile(0.99)
-            times = f"settled after {median:.1f} s (99%: {worst:.1f} s)"
+            p99 = self.times.get_quantile(0.99)
+            times = f"settled after {median:.1f} s (99%: {p99:.1f} s)"
         return (
             f"{self.runs} rehearsals, {self.failed} failed; {self.differences} differences, "
             f"{self.orders} orders received, {self.needed} needed; {times}"
--- a/roadbend/rehearsal/stage.py
+++ b/roadbend/rehearsal/stage.py
@@ -1,4 +1,4 @@
-"""What actions act on: the deployment of one rehearsal, its random draws and its measurement."""
+"""The state of one rehearsal that actions work on: deployment, random draws, measurement."""
 
 from __future__ import annotations
 
@@ -9,68 +9,68 @@
 
 import trio
 
-from roadbend.fakes.state import StoredCopy
+from roadbend.fakes.state import StateSnapshot
 from roadbend.fakes.world import World
 from roadbend.rehearsal.events import Event
-from roadbend.rehearsal.measurement import Restart
+from roadbend.rehearsal.measurement import RestartMeasurement
 from roadbend.rehearsal.messages import Body
 
-# How long users wait before they repeat a submission that was not accepted.
-RETRY_EVERY = timedelta(seconds=2)
-# How often they try at the most.
-MOST_TRIES = 30
-# Answers to a submission that is accepted: known already, or new.
-ACCEPTED = (HTTPStatus.OK, HTTPStatus.CREATED)
+# Delay before a user repeats a submission that was not accepted.
+RETRY_INTERVAL = timedelta(seconds=2)
+# How often a user submits a job at most.
+MAX_TRIES = 30
+# Statuses of an accepted submission: a known job, or a new one.
+ACCEPTED_STATUSES = (HTTPStatus.OK, HTTPStatus.CREATED)
 
 
 @dataclass
 class Stage:
-    """One rehearsal under way: the deployment, the draws, and what is kept of what happened."""
+    """One running rehearsal: its deployment, its random draws, and what is recorded of it."""
 
     world: World
     rng: random.Random
     workers: int
-    # Jobs in the order in which they were accepted, by kind.
+    # Ids of jobs in the order in which they were accepted, by kind.
     services: list[str] = field(default_factory=list)
     arrays: list[str] = field(default_factory=list)
     gangs: list[str] = field(default_factory=list)
-    stored: StoredCopy | None = None
-    # Machines that something was done to: what becomes of their tasks is no fault of controllers.
+    snapshot: StateSnapshot | None = None
+    # Machines with an injected fault: controllers are not blamed for what becomes of their tasks.
     faulted: set[str] = field(default_factory=set)
-    restart: Restart | None = None
-    # What happened, with the time, for the report.
+    restart: RestartMeasurement | None = None
+    # For the report.
     events: list[Event] = field(default_factory=list)
     _submitted: int = 0
 
-    def note(self, event: str) -> None:
-        """Add a line to the report."""
+    def record_event(self, event: str) -> None:
+        """Add an event to the report."""
         self.events.append(Event(trio.current_time(), event))
 
     def next_number(self) -> int:
-        """Return a job number that was not used yet."""
+        """Return an unused job number."""
         self._submitted += 1
         return self._submitted
 
     async def submit(self, body: Body, length: float | None) -> bool:
-        """Submit as users do: again and elsewhere until the job is accepted.
+        """Submit a job as users do: at one controller after the other until it is accepted.
 
-        Its tasks run for `length` seconds, or until they are stopped. Return whether it was
-        accepted within the tries that users make.
+        Its tasks run for `length` seconds; with None, until they are stopped. Return whether it
+        was accepted within `MAX_TRIES`.
         """
         first = self.rng.randrange(self.world.count)
-        for turn in range(MOST_TRIES):
-            at = (first + turn) % self.world.count
-            if await self.world.submit(at, body, length) in ACCEPTED:
+        for offset in range(MAX_TRIES):
+            index = (first + offset) % self.world.count
+            if await self.world.submit(index, body, length) in ACCEPTED_STATUSES:
                 return True
-            await trio.sleep(RETRY_EVERY.total_seconds())
+            await trio.sleep(RETRY_INTERVAL.total_seconds())
         return False
 
     def controller_names(self) -> list[str]:
-        """Return the names of all controllers, whether they are up or not, in order."""
-        return [f"node-{at}" for at in range(self.world.count)]
+        """Return the names of all controllers, running or not, in order."""
+        return [f"node-{index}" for index in range(self.world.count)]
 
     def running_machines(self) -> list[str]:
-        """Return the names of the machines that work and that nothing was done to, in order."""
+        """Return the ids of the running machines without an injected fault, sorted."""
         return sorted(
             machine.id
             for machine in self.world.cloud.machines.values()
@@ -81,10 +81,10 @@
         )
 
     def draw_machines(self, count: int) -> list[str]:
-        """Draw machines for a fault; from here on they count as faulted."""
+        """Draw machines for a fault and mark them as faulted."""
         machines = self.running_machines()
         drawn = self.rng.sample(machines, min(count, len(machines)))
         self.faulted.update(drawn)
         if self.restart is not None:
-            self.restart.excuse(drawn)
+            self.restart.exclude_machines(drawn)
         return drawn
--- a/roadbend/rehearsal/test_rehearsal.py
+++ b/roadbend/rehearsal/test_rehearsal.py
@@ -1,4 +1,4 @@
-"""The kit itself: verdicts, scripts, arguments, and the same verdict for the same seed."""
+"""Tests of the rehearsals themselves: verdicts, scripts, arguments, and reproducible reports."""
 
 import random
 from dataclasses import replace
@@ -7,13 +7,13 @@
 
 from roadbend.rehearsal.__main__ import main
 from roadbend.rehearsal.cold_restart import EXCLUDED, HARD_CASES, draw_cases, scenario
-from roadbend.rehearsal.measurement import Measured
+from roadbend.rehearsal.measurement import Measurement
 from roadbend.rehearsal.scenario import Limits
 from roadbend.rehearsal.script import ACTIONS, ScriptError, parse
 from roadbend.rehearsal.search import Outcome, Totals
 from roadbend.rehearsal.verdict import judge
 
-GOOD = Measured(
+PASSING = Measurement(
     differences={"missing": 100},
     machines=200,
     matching=300,
@@ -48,7 +48,7 @@
     ],
 )
 def test_a_planted_violation_fails_the_verdict(change, broken, open_jobs, passed):
-    verdict = judge(replace(GOOD, **change), broken, open_jobs, Limits())
+    verdict = judge(replace(PASSING, **change), broken, open_jobs, Limits())
     assert verdict.passed is passed
 
 
@@ -62,7 +62,7 @@
 
 
 def test_without_recovery_lost_terms_fail(capsys):
-    """The rehearsal finds what it is for."""
+    """Guards against rehearsals that pass although the fault that they inject does damage."""
     argv = ["cold-restart", "--seed", "1", "--workers", "24", "--cases", "lost-term"]
     assert main([*argv, "--without-recovery"]) == 1
     assert "FAIL  no running task" in capsys.readouterr().out
@@ -70,11 +70,11 @@
 
 @pytest.mark.parametrize("seed", [7, 44])
 def test_a_seed_on_which_the_search_once_failed_passes(seed, capsys):
-    """What the operators' page of results recorded as failing.
+    """Guards against the failures that the results page recorded for these seeds.
 
-    Seed 7: direct stops to tasks whose starts were never ordered. Seed 44: a controller that
-    returns alone to a state store that was down acquires its peers' partitions too late, and
-    their tasks begin again.
+    Seed 7: direct stops were sent for tasks whose starts had never been sent. Seed 44: a controller
+    that returned alone after an outage of the state store acquired its peers' partitions too late,
+    and their tasks were started again.
     """
     argv = ["cold-restart", "--seed", str(seed), "--workers", "60"]
     assert main(argv) == 0, capsys.readouterr().out
@@ -82,11 +82,11 @@
 
 @pytest.mark.parametrize("seed", [91, 92])
 def test_a_seed_on_which_the_search_fails(seed, capsys):
-    """Guards against tasks that begin again, or are stopped, after a cold restart; both are open.
+    """Guards against tasks that a cold restart restarts or stops; both faults are open.
 
-    Seed 91: the outage ends later than in seed 44, and workers' leases end before the dead
-    controllers'. Seed 92: a controller of the version in production, which returns first, stops
-    tasks of a gang.
+    Seed 91: the outage ends later than in seed 44, and the workers' leases expire before those of
+    the crashed controllers. Seed 92: a controller of the version in production, which returns
+    first, stops tasks of a gang.
     """
     argv = ["cold-restart", "--seed", str(seed), "--workers", "60"]
     assert main(argv) == 0, capsys.readouterr().out
@@ -112,9 +112,9 @@
 
 
 def test_a_script_is_a_scenario():
-    found = parse(SCRIPT)
-    assert (found.name, found.seed, found.workers, len(found.actions)) == ("two ends", 7, 12, 5)
-    assert found.actions[3].previous_version_first is True
+    parsed = parse(SCRIPT)
+    assert (parsed.name, parsed.seed, parsed.workers, len(parsed.actions)) == ("two ends", 7, 12, 5)
+    assert parsed.actions[3].previous_version_first is True
 
 
 def test_scripts_know_every_action_by_the_name_that_operators_use():
--- a/roadbend/rehearsal/verdict.py
+++ b/roadbend/rehearsal/verdict.py
@@ -1,14 +1,14 @@
-"""Whether a rehearsal passed, and why not."""
+"""Verdict of a rehearsal: whether it passed, and the findings behind that."""
 
 from dataclasses import dataclass
 
-from roadbend.rehearsal.measurement import Measured
+from roadbend.rehearsal.measurement import Measurement
 from roadbend.rehearsal.scenario import Limits
 
 
 @dataclass(frozen=True)
 class Finding:
-    """One thing that was checked."""
+    """The result of one check."""
 
     check: str
     passed: bool
@@ -23,21 +23,23 @@
 
     @property
     def passed(self) -> bool:
-        """Whether nothing that was checked failed."""
+        """Whether every check passed."""
         return all(finding.passed for finding in self.findings)
 
 
-def judge(measured: Measured, broken: list[str], open_jobs: list[str], limits: Limits) -> Verdict:
-    """Judge a rehearsal by its figures.
+def judge(
+    measured: Measurement, broken: list[str], open_jobs: list[str], limits: Limits
+) -> Verdict:
+    """Return the verdict for the measurement of a rehearsal.
 
-    `broken` holds the rules that were broken, as the checker of the fakes saw it; `open_jobs` the
-    accepted jobs that neither run whole nor have their final answer at the end.
+    `broken` holds the protocol rules that were broken. `open_jobs` holds the accepted jobs that, at
+    the end, neither run with all their tasks nor have a final state.
     """
-    extra = measured.orders - measured.needed
-    # One repeated order of a handful is no storm.
-    few = extra <= 1 and measured.needed > 0
-    settled = measured.settled_after
-    within = limits.settled_within.total_seconds()
+    surplus = measured.orders - measured.needed
+    # A single surplus order is tolerated even where it exceeds the share of a few needed ones.
+    tolerated = surplus <= 1 and measured.needed > 0
+    settled_after = measured.settled_after
+    max_settling = limits.settled_within.total_seconds()
     return Verdict(
         (
             Finding("no rule broken", not broken, "; ".join(broken[:3]) or "none"),
@@ -48,7 +50,7 @@
             ),
             Finding(
                 f"orders within {limits.order_excess:.0%} of the differences",
-                few or measured.excess <= limits.order_excess,
+                tolerated or measured.excess <= limits.order_excess,
                 f"{measured.orders} received, {measured.needed} needed",
             ),
             Finding(
@@ -59,9 +61,9 @@
                 f"{len(measured.needless_restarts)} started again",
             ),
             Finding(
-                f"settled within {within:g} s",
-                settled is not None and settled <= within,
-                "not settled" if settled is None else f"{settled:.1f} s",
+                f"settled within {max_settling:g} s",
+                settled_after is not None and settled_after <= max_settling,
+                "not settled" if settled_after is None else f"{settled_after:.1f} s",
             ),
         )
     )
