--- a/roadbend/fakes/board.py
+++ b/roadbend/fakes/board.py
@@ -73,12 +73,14 @@
 
 @dataclass
 class Board:
-    """The record of all workers, which also reports to the rules' checker."""
+    """What all workers of a deployment record; the rules' checker is notified of it."""
 
     rules: Rules | None = None
     # How long tasks run, in seconds, by job or by task; None: until they are stopped.
     lengths: dict[str, float | None] = field(default_factory=dict)
+    # The machines on which each task is.
     machines_by_task: dict[str, set[str]] = field(default_factory=dict)
+    # The time, task and machine of every start.
     starts: list[tuple[float, str, str]] = field(default_factory=list)
     # Completed tasks; their results are stored outside the machines.
     completed: set[str] = field(default_factory=set)
--- a/roadbend/fakes/scenario.py
+++ b/roadbend/fakes/scenario.py
@@ -49,6 +49,7 @@
         self.long_jobs = [job_id(n) for n in (10, 11, 16, 12, 17, 13, 14, 15)]
 
     async def begin(self) -> None:
+        """Submit the services and long jobs, wait until these run, and submit short jobs."""
         w = self.w
         assert await w.submit(0, job(1, yard="east", legs=2, **SERVICE), None) == 201
         assert await w.submit(1, job(2, legs=4, apart=True, rank="high", **SERVICE), None) == 201
@@ -79,8 +80,8 @@
         """
         make_body = gang if number % 3 == 0 else job
         body = make_body(number, **{"legs": self.rng.randint(1, 3), "dueS": 40.0, **changes})
-        for at in self.rng.sample(range(3), 3):
-            if await self.w.submit(at, body, self.rng.uniform(4, 20)) in (200, 201):
+        for index in self.rng.sample(range(3), 3):
+            if await self.w.submit(index, body, self.rng.uniform(4, 20)) in (200, 201):
                 return
 
     async def submit_small_job(self, number: int) -> None:
@@ -106,13 +107,13 @@
     async def wait(self, low: float, high: float) -> None:
         await trio.sleep(self.rng.uniform(low, high))
 
-    async def cancel(self, names: list[str], low: float = 0.0, high: float = 0.0) -> None:
+    async def cancel(self, job_ids: list[str], low: float = 0.0, high: float = 0.0) -> None:
         """Cancel jobs at controllers in any order, each after a random delay.
 
         Each request is repeated until it is answered.
         """
         async with trio.open_nursery() as nursery:
-            for cancelled in names:
+            for cancelled in job_ids:
                 nursery.start_soon(self._cancel, cancelled, self.rng.uniform(low, high))
 
     async def _cancel(self, cancelled: str, delay: float) -> None:
--- a/roadbend/fakes/user_behaviour.py
+++ b/roadbend/fakes/user_behaviour.py
@@ -20,7 +20,8 @@
 
 # Pauses before the queries that follow a job's acceptance, end or cancellation, in seconds.
 QUERY_PAUSES_S = (0.0, 0.002, 0.01, 0.05, 0.3)
-# One in so many changes makes a user repeat the submission, and one in so many cancel the job.
+# A user reacts to one in so many changes with a repeated submission, and to one in so many with a
+# cancellation.
 REPEAT_ONE_IN, CANCEL_ONE_IN = 3, 6
 
 
@@ -35,7 +36,7 @@
     until: Callable[..., Awaitable[bool]]
     hang: Callable[..., Awaitable[None]]
 
-    async def cancel_now(self, names: list[str], hang_s: float = 0.0) -> None:
+    async def cancel_now(self, job_ids: list[str], hang_s: float = 0.0) -> None:
         """Cancel running jobs, all within a fifth of a second.
 
         With `hang_s`, up to eight of their machines hang for that time, in seconds.
@@ -43,54 +44,54 @@
         machines = sorted(
             {
                 m
-                for name in names
-                for t in self.board.running(name)
+                for job_id in job_ids
+                for t in self.board.running(job_id)
                 for m in self.board.machines_by_task[t]
             }
         )[:8]
         async with trio.open_nursery() as nursery:
             if hang_s:
                 nursery.start_soon(self.hang, machines, hang_s)
-            for position, name in enumerate(names):
-                nursery.start_soon(self._cancel_after, name, 0.2 * position / len(names))
+            for position, job_id in enumerate(job_ids):
+                nursery.start_soon(self._cancel_after, job_id, 0.2 * position / len(job_ids))
 
-    async def _cancel_after(self, name: str, delay: float) -> None:
+    async def _cancel_after(self, job_id: str, delay: float) -> None:
         await trio.sleep(delay)
-        await self.cancel_job(name, 240)
+        await self.cancel_job(job_id, 240)
 
-    async def cancel_job(self, name: str, within: float = 60) -> None:
+    async def cancel_job(self, job_id: str, within: float = 60) -> None:
         """Request a cancellation at one controller after the other until it is confirmed."""
 
         async def is_confirmed() -> bool:
             for index in range(self.count):
-                if (await self.call(index, "POST", f"/v1/jobs/{name}/withdraw", {}))[0] == 200:
+                if (await self.call(index, "POST", f"/v1/jobs/{job_id}/withdraw", {}))[0] == 200:
                     return True
             return False
 
-        assert await self.until(is_confirmed, within, 1.0), name
+        assert await self.until(is_confirmed, within, 1.0), job_id
 
-    async def cancel_at_end(self, names: list[str]) -> None:
+    async def cancel_at_end(self, job_ids: list[str]) -> None:
         """Cancel, query and resubmit each job at the moment at which its last task ends."""
 
         def completed(task: str) -> None:
-            name = task.rpartition("/")[0]
-            observed = self.rules.jobs.get(name)
-            if name in names and len(observed.completed) >= observed.body["legs"]:
+            job_id = task.rpartition("/")[0]
+            observed = self.rules.jobs.get(job_id)
+            if job_id in job_ids and len(observed.completed) >= observed.body["legs"]:
                 for index in range(self.count):
                     for method, path, body in (
-                        ("POST", f"/v1/jobs/{name}/withdraw", {}),
-                        ("GET", f"/v1/jobs/{name}", None),
+                        ("POST", f"/v1/jobs/{job_id}/withdraw", {}),
+                        ("GET", f"/v1/jobs/{job_id}", None),
                         ("POST", "/v1/jobs", observed.body),
                     ):
                         self.nursery.start_soon(self.call, index, method, path, body)
-                names.remove(name)
+                job_ids.remove(job_id)
 
-        def cancelled(name: str) -> bool:
-            return name in self.rules.jobs and self.rules.jobs[name].cancelled_at is not None
+        def cancelled(job_id: str) -> bool:
+            return job_id in self.rules.jobs and self.rules.jobs[job_id].cancelled_at is not None
 
         self.board.completion_listeners.append(completed)
         # A job that is cancelled by another user never completes.
-        await self.until(lambda: all(cancelled(name) for name in names), float("inf"), 0.5)
+        await self.until(lambda: all(cancelled(job_id) for job_id in job_ids), float("inf"), 0.5)
 
     async def send_malformed_requests(self, length: float, rng: random.Random) -> None:
         """Send unusual and malformed requests.
@@ -148,7 +149,7 @@
         await trio.sleep(length)
         self.rules.listeners.remove(on_change)
 
-    async def _poll_job(self, index: int, name: str) -> None:
+    async def _poll_job(self, index: int, job_id: str) -> None:
         for pause in QUERY_PAUSES_S:
             await trio.sleep(pause)
-            await self.call(index, "GET", f"/v1/jobs/{name}")
+            await self.call(index, "GET", f"/v1/jobs/{job_id}")
--- a/roadbend/fakes/worker_tasks.py
+++ b/roadbend/fakes/worker_tasks.py
@@ -233,7 +233,7 @@
             self.end(task, "peers")
 
     def _save_with_others(self, gang: Gang, task: WorkerTask, now: float) -> None:
-        """Save, and wait for a limited time until the others have saved, too."""
+        """Save, and wait a limited time for the others to save, too; progress stops meanwhile."""
         assert gang.stopping_since is not None
         if task.state == "running":
             task.state = "flushing"
