--- a/roadbend/fakes/scenario.py
+++ b/roadbend/fakes/scenario.py
@@ -1,4 +1,4 @@
-"""A small deployment with work of every kind in it, for scenarios in which troubles meet."""
+"""A small deployment with jobs of every class, for scenarios of combined faults."""
 
 import random
 from collections.abc import Awaitable, Callable
@@ -26,27 +26,30 @@
 }
 TEAMS = {"red": Team("red", 0, 0, 4, 24), "blue": Team("blue", 0, 0, 4, 30)}
 SERVICE = dict(shape="daemon", dueS=None, loaners=False)
-# Services are to start soon, so their orders go out directly as well.
-AIMS = (ServiceLevelObjective("wait", "plans", 0.9, 5 * S),)
-OP = OperatorSettings(reoffer_every=2 * S)
+# Services are to start soon, so their orders are also sent as direct commands.
+OBJECTIVES = (ServiceLevelObjective("wait", "plans", 0.9, 5 * S),)
+OPERATOR = OperatorSettings(reoffer_every=2 * S)
 
 
-def name(number: int) -> str:
+def job_id(number: int) -> str:
     return f"run-{number:06d}"
 
 
 class Scenario:
-    """A small deployment with work in every zone: services (1 to 3, the second `apart`), arrays
-    and gangs that run long (10 to 17), and such as come and end (from 20 on).
+    """A small deployment with jobs in every zone.
+
+    Jobs 1 and 2 are services, the second with `apart`. Jobs 10 to 17 are long-running arrays and
+    gangs. Short jobs have numbers from 20 on.
     """
 
     def __init__(self, w: World, rng: random.Random, site: str):
         self.w, self.rng, self.site = w, rng, SITES[site]
         self.cancel_s = self.site["cancel_within"].total_seconds()
         self.lease_s = self.site["lease"].total_seconds()
-        self.long = [name(n) for n in (10, 11, 16, 12, 17, 13, 14, 15)]
+        self.long_jobs = [job_id(n) for n in (10, 11, 16, 12, 17, 13, 14, 15)]
 
     async def begin(self) -> None:
+        """Submit the services and long jobs, wait until these run, and submit short jobs."""
         w = self.w
         assert await w.submit(0, job(1, yard="east", legs=2, **SERVICE), None) == 201
         assert await w.submit(1, job(2, legs=4, apart=True, rank="high", **SERVICE), None) == 201
@@ -64,24 +67,25 @@
             assert await w.submit(n % 3, body, self.rng.uniform(70, 110)) == 201
         for n, zone in ((16, "east"), (17, None)):
             assert await w.submit(n % 3, gang(n, 2, yard=zone), self.rng.uniform(70, 110)) == 201
-        assert await w.until(lambda: all(len(w.board.running(n)) == 2 for n in self.long), 90), (
-            "all runs"
-        )
+        assert await w.until(
+            lambda: all(len(w.board.running(n)) == 2 for n in self.long_jobs), 90
+        ), "all runs"
         for n in range(20, 24):
-            await self.more(n)
+            await self.submit_more(n)
 
-    async def more(self, number: int, **changes) -> None:
-        """An array, or every third time a gang, that begins soon and ends; submitted wherever it
-        is accepted.
+    async def submit_more(self, number: int, **changes) -> None:
+        """Submit a short array, or a gang if `number` is divisible by three.
+
+        It is submitted to one controller after the other until it is accepted.
         """
-        make = gang if number % 3 == 0 else job
-        body = make(number, **{"legs": self.rng.randint(1, 3), "dueS": 40.0, **changes})
-        for at in self.rng.sample(range(3), 3):
-            if await self.w.submit(at, body, self.rng.uniform(4, 20)) in (200, 201):
+        make_body = gang if number % 3 == 0 else job
+        body = make_body(number, **{"legs": self.rng.randint(1, 3), "dueS": 40.0, **changes})
+        for index in self.rng.sample(range(3), 3):
+            if await self.w.submit(index, body, self.rng.uniform(4, 20)) in (200, 201):
                 return
 
-    async def more_alone(self, number: int) -> None:
-        """A small job of one task, submitted again for a minute as users do."""
+    async def submit_small_job(self, number: int) -> None:
+        """Submit a small job of one task, repeatedly for a minute, as users do."""
         body = job(number, vcpus=0.5, gpus=0.0, memoryGb=1.0, dueS=None, expectedS=2.0)
         end, length = trio.current_time() + 60, self.rng.uniform(0.5, 4)
         while trio.current_time() < end:
@@ -89,52 +93,58 @@
                 return
             await trio.sleep(1)
 
-    def east(self) -> list[str]:
+    def east_machines(self) -> list[str]:
         return sorted(
             m.id
             for m in self.w.cloud.machines.values()
             if m.zone == "east" and m.status == "running"
         )
 
-    def some_east(self) -> list[str]:
-        machines = self.east()
+    def sample_east_machines(self) -> list[str]:
+        machines = self.east_machines()
         return self.rng.sample(machines, max(1, len(machines) // 2))
 
     async def wait(self, low: float, high: float) -> None:
         await trio.sleep(self.rng.uniform(low, high))
 
-    async def cancel(self, names: list[str], low: float = 0.0, high: float = 0.0) -> None:
-        """Called off at controllers in any order, each after its own while, and repeated until it
-        is answered.
+    async def cancel(self, job_ids: list[str], low: float = 0.0, high: float = 0.0) -> None:
+        """Cancel jobs at controllers in any order, each after a random delay.
+
+        Each request is repeated until it is answered.
         """
         async with trio.open_nursery() as nursery:
-            for called in names:
-                nursery.start_soon(self._cancel, called, self.rng.uniform(low, high))
-
-    async def _cancel(self, called: str, wait: float) -> None:
-        await trio.sleep(wait)
-        case = self.w.rules.cases.get(called)
-        if case is not None and case.accepted is not None:
-            await self.w.withdrawn(called, 240)
-
-    async def gap(self, delay: float) -> None:
-        """The state service refuses the leader of the east alone, others confirm cancellations,
-        then it is out for all for longer than a cancellation has, while workers go on reporting to
-        the old leader.
+            for cancelled in job_ids:
+                nursery.start_soon(self._cancel, cancelled, self.rng.uniform(low, high))
+
+    async def _cancel(self, cancelled: str, delay: float) -> None:
+        await trio.sleep(delay)
+        observed = self.w.rules.jobs.get(cancelled)
+        if observed is not None and observed.accepted_at is not None:
+            await self.w.cancel_job(cancelled, 240)
+
+    async def cancel_around_outage(self, delay: float) -> None:
+        """Cancel jobs before an outage of the state store that outlasts the time limit for stops.
+
+        The state store first refuses only the leader of the east while others confirm the
+        cancellations. Then it is down, while workers still send heartbeats to the old leader.
         """
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.w.refuse, 0, delay + 10)
-            nursery.start_soon(self.cancel, self.long[:4], 0.0, delay)
+            nursery.start_soon(self.cancel, self.long_jobs[:4], 0.0, delay)
             await trio.sleep(delay)
             nursery.start_soon(self.w.outage, self.cancel_s + self.rng.uniform(4, 14))
 
 
-async def play(meeting: Callable[[Scenario], Awaitable[None]], seed: int, site: str) -> None:
-    """Plays a meeting of troubles in a deployment with work in it, until all is over."""
-    rng = random.Random(f"{meeting.__name__} {seed}")
-    async with world(capacity=10, operator=OP, teams=TEAMS, objectives=AIMS, **SITES[site]) as w:
+async def play(
+    combined_faults: Callable[[Scenario], Awaitable[None]], seed: int, site: str
+) -> None:
+    """Run combined faults on a deployment with jobs, until all jobs are settled."""
+    rng = random.Random(f"{combined_faults.__name__} {seed}")
+    async with world(
+        capacity=10, operator=OPERATOR, teams=TEAMS, objectives=OBJECTIVES, **SITES[site]
+    ) as w:
         scenario = Scenario(w, rng, site)
         await scenario.begin()
-        await meeting(scenario)
-        assert await w.settled()
-        await w.over()
+        await combined_faults(scenario)
+        assert await w.until_ready()
+        await w.finish()
--- a/tests/compatibility/adapter.py
+++ b/tests/compatibility/adapter.py
@@ -744,7 +744,7 @@
         if down:
             self._world.state.down = True
         else:
-            self._world.state.restore()
+            self._world.state.end_outage()
 
     def set_task_duration(self, name: str, seconds: float | None) -> None:
         """Set how long each task of a job runs; None: until it is stopped."""
@@ -767,7 +767,7 @@
         """Start all controllers and wait until they lead their partitions."""
         for at in range(self._world.count):
             self._world.start(at)
-        assert await self._world.settled()
+        assert await self._world.until_ready()
 
     def lose_records(self, *prefixes: str) -> None:
         """Make the state store lose the records with these prefixes."""
@@ -787,7 +787,7 @@
         recovery_service.install(node, recovery_settings.RecoverySettings())
 
     async with world(
-        count=controllers, equip=equip if recovery else None, judge=lambda broken: None
+        count=controllers, equip=equip if recovery else None, on_broken_rules=lambda broken: None
     ) as fake_world:
         yield Deployment(fake_world)
 
--- a/tests/scenarios/test_combined_failures.py
+++ b/tests/scenarios/test_combined_failures.py
@@ -20,7 +20,7 @@
     """Disconnect machines from all controllers, so that they seem to hang, or reconnect them."""
     for machine in machines:
         for host in ("node-0", "node-1", "node-2"):
-            (w.network.cut if hung else w.network.heal)(host, machine)
+            (w.network.block if hung else w.network.unblock)(host, machine)
 
 
 async def cancel(w: World, name: str) -> None:
@@ -74,7 +74,7 @@
         assert await w.until(lambda: len(w.board.running("run-000001")) == 24, 90)
         assert await is_done(w, "run-000002")
         await trio.sleep(30)
-        machines_in_use = {m for homes in w.board.where.values() for m in homes}
+        machines_in_use = {m for homes in w.board.machines_by_task.values() for m in homes}
         assert (
             machines_in_use == set(w.cloud.machines)
             or len(set(w.cloud.machines) - machines_in_use) <= 3
@@ -115,7 +115,7 @@
             for at in range(3):
                 w.start(at)
             await trio.sleep(4)
-            w.state.restore()
+            w.state.end_outage()
             await trio.sleep(15)
             for at in range(3):
                 w.crash(at)
@@ -123,7 +123,7 @@
                 w.start(at)
                 await trio.sleep(12)
             stop_submitting.set()
-        assert await w.settled()
+        assert await w.until_ready()
         assert len(accepted) > 20
         for name in accepted:
             assert await is_done(w, name), name
@@ -157,7 +157,7 @@
     async def state_store_outage(self) -> None:
         self.w.state.down = True
         await self._wait(3, 20)
-        self.w.state.restore()
+        self.w.state.end_outage()
 
     async def state_store_refuses_controller(self) -> None:
         host = f"node-{self.rng.randrange(3)}"
@@ -168,10 +168,10 @@
     async def cut_peer_links(self) -> None:
         pairs = [("node-0", "node-1"), ("node-0", "node-2"), ("node-1", "node-2")]
         for pair in pairs:
-            self.w.network.cut(*pair)
+            self.w.network.block(*pair)
         await self._wait(5, 30)
         for pair in pairs:
-            self.w.network.heal(*pair)
+            self.w.network.unblock(*pair)
 
     async def cut_zone(self) -> None:
         at = self.rng.randrange(3)
@@ -181,10 +181,10 @@
             (m, o) for m in zone_machines for o in others
         ]
         for pair in pairs:
-            self.w.network.cut(*pair)
+            self.w.network.block(*pair)
         await self._wait(10, 40)
         for pair in pairs:
-            self.w.network.heal(*pair)
+            self.w.network.unblock(*pair)
 
     async def hang_machines(self) -> None:
         machines = self.rng.sample(sorted(self.w.cloud.machines), len(self.w.cloud.machines) // 2)
@@ -238,7 +238,7 @@
                 for fault_name in rng.sample(FAULT_NAMES, 2):
                     nursery.start_soon(getattr(faults, fault_name))
                     await trio.sleep(rng.uniform(0, 12))
-        assert await w.settled()
+        assert await w.until_ready()
         await cancel(w, "run-000020")
         assert await w.until(lambda: not w.board.running("run-000020"), 38)
         for name in jobs:
@@ -248,4 +248,4 @@
         assert (await w.call(0, "POST", "/v1/jobs", job(20, legs=4, **SERVICE)))[1][
             "status"
         ] == "aborted"
-        assert keys.job_end_key("run-000020") in w.state.starting("fin/")
+        assert keys.job_end_key("run-000020") in w.state.values_with_prefix("fin/")
--- a/tests/scenarios/test_double_starts.py
+++ b/tests/scenarios/test_double_starts.py
@@ -32,17 +32,17 @@
 
 def machine_of(w: World, task: str = "run-000001/0") -> str:
     """Return the machine that a task runs on."""
-    return next(iter(w.board.where[task]))
+    return next(iter(w.board.machines_by_task[task]))
 
 
 def disconnect(w: World, machine: str) -> None:
     for at in range(w.count):
-        w.network.cut(f"node-{at}", machine)
+        w.network.block(f"node-{at}", machine)
 
 
 def reconnect(w: World, machine: str) -> None:
     for at in range(w.count):
-        w.network.heal(f"node-{at}", machine)
+        w.network.unblock(f"node-{at}", machine)
 
 
 async def send_heartbeat(w: World, machine: str) -> None:
@@ -50,7 +50,7 @@
     worker = w.cloud.machines[machine].worker
     sent, epoch, body = trio.current_time(), worker.epoch, worker.heartbeat()
     status, answer = await w.call(0, "POST", "/hello", body)
-    assert status == 200 and worker.take(answer, sent, epoch)
+    assert status == 200 and worker.handle_answer(answer, sent, epoch)
 
 
 async def test_an_attempt_with_a_proof_that_is_not_recorded_yet_is_not_ordered_again():
@@ -80,7 +80,7 @@
         await trio.sleep(3)
         # The state store is available again, and the machine sends a heartbeat before the end of
         # its task is recorded.
-        w.state.restore()
+        w.state.end_outage()
         assert await w.until(lambda: controller.election.may_start(clock.now()), 5, 0.005)
         assert TASK in leader.terminations
         await send_heartbeat(w, machine)
@@ -141,7 +141,7 @@
         assert await w.submit(0, job(1, **SERVICE), None) == 201
         await trio.sleep(5)
         worker = w.cloud.machines[machine].worker
-        w.network.silence(machine)
+        w.network.block_outbound(machine)
         w.cloud._capacity, w.cloud.refuse_deletion = 2, True
         await trio.sleep(0.1)
         # A task has failed, which frees capacity for the pending one. That is recorded, but the
@@ -150,7 +150,7 @@
         failed = next(task for task in worker.tasks.values() if task.name == "run-000002/0")
         worker.end(failed, "error")
         delayed, intermediate = worker.heartbeat(), worker.heartbeat()
-        w.state.deaf.add("node-0")
+        w.state.unanswered_hosts.add("node-0")
         async with trio.open_nursery() as nursery:
             nursery.start_soon(leader.heartbeats.handle, parse_heartbeat(delayed))
             assert await w.until(
@@ -161,7 +161,7 @@
             if stopped_while_it_waits:
                 disconnect(w, machine)
                 leader.stops.order(TASK, attempt, timedelta(seconds=5), "test", clock.now())
-        w.state.deaf.clear()
+        w.state.unanswered_hosts.clear()
         assert worker.tasks[(f"{TASK[0]}/0", attempt.number)].state != "ended"
         # The task is to be stopped, nothing reaches the machine, and the heartbeat that was sent
         # between the two arrives.
@@ -170,7 +170,7 @@
         await w.call(0, "POST", "/hello", intermediate)
         await trio.sleep(17)
         reconnect(w, machine)
-        w.network.mute.clear()
+        w.network.outbound_blocked.clear()
         assert await w.until(lambda: w.board.running("run-000001"), 60)
 
 
@@ -180,7 +180,7 @@
         assert await w.until(lambda: w.board.running("run-000001"), 60)
         machine, leader = machine_of(w), w.controllers["node-0"].leaders["east"]
         worker = w.cloud.machines[machine].worker
-        w.network.silence(machine)
+        w.network.block_outbound(machine)
         await trio.sleep(0.1)
         worker.end(next(iter(worker.tasks.values())), "error")
         answers = []
@@ -219,7 +219,7 @@
         heartbeat = parse_heartbeat(body)
         assert known.admit(heartbeat, leader.heartbeats.token(known), clock.now())
         answer = {"baton": leader.heartbeats.token(known), "orders": []}
-        assert not worker.take(answer, sent, epoch) and not w.board.running("run-000001")
+        assert not worker.handle_answer(answer, sent, epoch) and not w.board.running("run-000001")
 
 
 async def test_a_direct_order_that_waited_does_not_start_what_is_proven_gone():
@@ -241,7 +241,7 @@
             and TASK not in leader.machines[machine].token.direct_starts
         )
         leader.terminations.withdraw(TASK, machine)
-        w.state.restore()
+        w.state.end_outage()
         await trio.sleep(3)
         # A start that is sent may be carried out by a machine that has just begun a new epoch.
         known = leader.machines[machine]
@@ -288,7 +288,7 @@
         await trio.sleep(4)
         assert leader.transactions.in_doubt == sent_conditions[0] and len(sent_conditions) == 1
         monkeypatch.undo()
-        w.state.restore()
+        w.state.end_outage()
         assert await w.until(lambda: w.board.running("run-000001"), 60)
 
 
--- a/tests/scenarios/test_gangs_beyond_cuts.py
+++ b/tests/scenarios/test_gangs_beyond_cuts.py
@@ -55,7 +55,7 @@
     w.crash(0)
     for worker in [worker for worker in w.workers() if worker.tasks][:unreachable_count]:
         for other in PEERS:
-            w.network.cut(worker.machine, other)
+            w.network.block(worker.machine, other)
     await trio.sleep(0.5)
     before = term(w)
     w.start(0, production)
@@ -73,7 +73,7 @@
         first_term = await restart_behind_network_partition(w, production, TASKS)
         await trio.sleep(OBSERVATION_S)
         assert term(w) - first_term <= MAX_LEADER_CHANGES
-        assert w.owner("east") == "node-0"
+        assert w.leader_of("east") == "node-0"
 
 
 @pytest.mark.parametrize("unreachable_count", [1, TASKS], ids=["one machine", "all machines"])
@@ -105,12 +105,12 @@
     monkeypatch.setattr(worlds, "ZONES", zones)
     async with world(count=len(zones), teams=TEAMS, capacity=TASKS) as w:
         await run_gang(w)
-        former = w.owner("east")
+        former = w.leader_of("east")
         assert former in ("node-0", "node-1")
         w.crash(int(former[-1]))
         await trio.sleep(0.5)
         w.start(int(former[-1]), production)
-        assert await w.until(lambda: w.owner("east") not in (None, former), REPLACED_WITHIN_S)
+        assert await w.until(lambda: w.leader_of("east") not in (None, former), REPLACED_WITHIN_S)
         await trio.sleep(60)
-        assert w.owner("east") not in (None, former)
+        assert w.leader_of("east") not in (None, former)
         assert len(w.board.starts) == TASKS
--- a/tests/scenarios/test_held_across_restart.py
+++ b/tests/scenarios/test_held_across_restart.py
@@ -57,7 +57,7 @@
         worker = w.cloud.machines[machine].worker
         # The new worker would accept the command: it has no token, and its epoch is the same.
         assert (worker.token, worker.epoch) == (0, epoch)
-        await w.withdrawn(CANCELLED_JOB, 60)
+        await w.cancel_job(CANCELLED_JOB, 60)
         await trio.sleep(HOLD_S)
         assert not w.board.running(CANCELLED_JOB)
-        await w.over()
+        await w.finish()
--- a/tests/scenarios/test_raised_tokens.py
+++ b/tests/scenarios/test_raised_tokens.py
@@ -45,7 +45,7 @@
 
 async def isolate_leader(w: World, length: float = UNREACHABLE_S) -> None:
     """Disconnect the leader of the east from the state store and its peers."""
-    w.nursery.start_soon(w.cut_controller, 0, length)
+    w.nursery.start_soon(w.isolate_controller, 0, length)
     await trio.sleep(0.01)
 
 
@@ -61,10 +61,10 @@
         w.crash(0)
         await cancel_in_one_call(w, 1)
         await trio.sleep(START_DELAY_S)
-        assert worker.late_commands == [False]
+        assert worker.late_command_results == [False]
         w.start(0)
-        assert await w.settled()
-        await w.over()
+        assert await w.until_ready()
+        await w.finish()
 
 
 async def test_a_leader_goes_on_from_a_token_that_a_peer_has_raised():
@@ -84,7 +84,7 @@
         # The machine still accepts work.
         assert await w.submit(0, job(2, **SERVICE), None) == 201
         assert await w.until(lambda: w.board.running("run-000002"), 15)
-        await w.over()
+        await w.finish()
 
 
 async def test_two_controllers_may_raise_a_token_at_once():
@@ -100,7 +100,7 @@
                 nursery.start_soon(cancel_in_one_call, w, at)
         await trio.sleep(BEYOND_LEASE_S)
         assert worker.epoch == 1 and w.board.running(RUNNING_JOB)
-        await w.over()
+        await w.finish()
 
 
 async def test_a_leader_that_raises_the_token_itself_and_a_peer_do_not_disturb_each_other():
@@ -116,8 +116,8 @@
         await cancel_in_one_call(w, 1)
         await trio.sleep(BEYOND_LEASE_S)
         assert worker.epoch == 1 and w.board.running(RUNNING_JOB)
-        assert worker.late_commands == [False]
-        await w.over()
+        assert worker.late_command_results == [False]
+        await w.finish()
 
 
 async def test_the_machine_of_a_leader_of_0_10_0_keeps_its_token():
@@ -126,7 +126,7 @@
         machine = await run_service(w)
         w.crash(1)
         w.start(1)
-        assert await w.settled()
+        assert await w.until_ready()
         worker = w.cloud.machines[machine].worker
         await wait_for_heartbeat(w, machine)
         delays = iter([COMMAND_DELAY_S])
@@ -139,9 +139,9 @@
         )
         assert (status, worker.token) == (503, before)
         w.start(0, previous_version=Version0100Controller)
-        assert await w.settled()
-        await w.withdrawn(CANCELLED_JOB, 60)
-        await w.over()
+        assert await w.until_ready()
+        await w.cancel_job(CANCELLED_JOB, 60)
+        await w.finish()
 
 
 @pytest.mark.parametrize("lacks", ["address", "answer", "room"])
@@ -157,7 +157,7 @@
         w.crash(0)
         if lacks == "address":
             for at in (1, 2):
-                w.network.cut(f"node-{at}", machine)
+                w.network.block(f"node-{at}", machine)
         elif lacks == "room":
             # The highest incarnation that a token can hold.
             worker.lease.token |= 0xFFFF
@@ -166,11 +166,11 @@
         )
         assert status == 503
         for at in (1, 2):
-            w.network.heal(f"node-{at}", machine)
+            w.network.unblock(f"node-{at}", machine)
         w.start(0)
-        assert await w.settled()
-        await w.withdrawn(CANCELLED_JOB, 60)
-        await w.over()
+        assert await w.until_ready()
+        await w.cancel_job(CANCELLED_JOB, 60)
+        await w.finish()
 
 
 async def test_a_machine_is_shown_one_higher_token_for_a_job_however_often_its_user_asks():
@@ -183,20 +183,20 @@
         term, before = controller.view.terms["east"].number, worker.token
         assert await w.submit(0, job(51, **{**SERVICE, "yard": "west"}), None) == 201
         assert await w.until(lambda: w.board.running("run-000051"), 60)
-        unreachable = next(iter(w.board.where[w.board.running("run-000051")[0]]))
+        unreachable = next(iter(w.board.machines_by_task[w.board.running("run-000051")[0]]))
         await trio.sleep(10)
-        w.network.cut("node-1", unreachable)
+        w.network.block("node-1", unreachable)
         attempts = {0: Attempt(9, machine), 1: Attempt(9, unreachable)}
         for _ in range(5):
             assert not await machines.are_all_settled(CANCELLED_JOB, attempts, term)
             await trio.sleep(1)
-        w.network.heal("node-1", unreachable)
+        w.network.unblock("node-1", unreachable)
         assert await machines.are_all_settled(CANCELLED_JOB, {0: Attempt(9, machine)}, term)
         assert worker.token == before + 1
         # To reject the starts of another job, the token is raised again.
         assert await machines.are_all_settled("run-000002", {0: Attempt(10, machine)}, term)
         assert worker.token == before + 2
-        await w.over()
+        await w.finish()
 
 
 async def test_no_start_goes_out_under_a_token_that_its_machine_has_not_shown():
@@ -204,19 +204,19 @@
     async with deployment() as w:
         machine = await run_service(w)
         worker = w.cloud.machines[machine].worker
-        take, raised = worker.take, []
+        handle_answer, raised = worker.handle_answer, []
 
         def record_and_take(answer: dict, *rest) -> bool:
             verbs = [order["verb"] for order in answer.get("orders", [])]
             if answer.get("baton", 0) > worker.token:
                 raised.append(verbs)
-            return take(answer, *rest)
+            return handle_answer(answer, *rest)
 
-        worker.take = record_and_take
+        worker.handle_answer = record_and_take
         await wait_for_heartbeat(w, machine)
         # The direct start is not answered, and the raised token sent after it does not arrive.
         worker.command_delay = lambda: COMMAND_DELAY_S
         await submit_until_start_recorded(w, job(1, **SERVICE), None)
         assert await w.until(lambda: w.board.running(CANCELLED_JOB), 15)
         assert raised and not any("run" in verbs for verbs in raised)
-        await w.over()
+        await w.finish()
--- a/tests/scenarios/test_start_reports.py
+++ b/tests/scenarios/test_start_reports.py
@@ -51,8 +51,8 @@
         assert await cancel_in_one_call(w, 1) < CONFIRMED_BY_REPORT_S
         await trio.sleep(14.0)
         w.start(0)
-        assert await w.settled()
-        await w.over()
+        assert await w.until_ready()
+        await w.finish()
 
 
 async def test_a_task_that_its_machine_lost_is_not_started_again_while_a_report_is_relied_on():
@@ -64,7 +64,7 @@
     async with deployment() as w:
         machine = await run_service(w)
         leader = w.controllers["node-0"]
-        w.nursery.start_soon(w.cut_controller, 0, 5.0)
+        w.nursery.start_soon(w.isolate_controller, 0, 5.0)
         await trio.sleep(0.01)
         # The report confirms the cancellation immediately, while the leader may still start tasks.
         assert await cancel_in_one_call(w, 1) < CONFIRMED_BY_REPORT_S
@@ -72,7 +72,7 @@
         await expire_lease(w, machine)
         await trio.sleep(REPORT_LIFETIME.total_seconds() + 5.0)
         assert not w.board.running(RUNNING_JOB)
-        await w.over()
+        await w.finish()
 
 
 async def test_a_lost_task_is_started_again_soon_where_all_controllers_are_up():
@@ -81,7 +81,7 @@
         machine = await run_service(w)
         await expire_lease(w, machine)
         assert await w.until(lambda: w.board.running(RUNNING_JOB), RESTARTED_WITHIN_S)
-        await w.over()
+        await w.finish()
 
 
 async def test_a_lost_task_is_started_again_while_a_controller_is_gone():
@@ -93,8 +93,8 @@
         within = REPORT_LIFETIME.total_seconds() + RESTARTED_WITHIN_S
         assert await w.until(lambda: w.board.running(RUNNING_JOB), within)
         w.start(2)
-        assert await w.settled()
-        await w.over()
+        assert await w.until_ready()
+        await w.finish()
 
 
 async def test_a_direct_start_that_waited_for_its_turn_is_not_sent_to_a_machine_that_holds_it():
@@ -110,7 +110,7 @@
         await controller.fleet.commands._start_directly(leader, machine, [(key, attempt)])
         assert len(received_orders(w, machine)) == order_count
         assert key not in leader.machines[machine].token.direct_starts
-        await w.over()
+        await w.finish()
 
 
 async def test_a_machine_that_restarted_is_reported_before_its_next_heartbeat():
@@ -122,7 +122,7 @@
         position = leader.machines[machine].contact.position
         leader.heartbeats.begin_incarnation(leader.machines[machine], position)
         assert RUNNING_JOB in leader.unheld.jobs()
-        await w.over()
+        await w.finish()
 
 
 async def test_after_a_failover_a_task_is_held_once_its_machine_shows_the_new_token():
@@ -130,16 +130,16 @@
     async with deployment() as w:
         machine = await run_service(w)
         w.crash(0)
-        assert await w.until(lambda: w.owner("east"), 30)
-        leader = w.controllers[w.owner("east")].leaders["east"]
+        assert await w.until(lambda: w.leader_of("east"), 30)
+        leader = w.controllers[w.leader_of("east")].leaders["east"]
         assert await w.until(lambda: machine in leader.machines, 20, 0.005)
         token = leader.machines[machine].token
         assert not token.confirmed and RUNNING_JOB in leader.unheld.jobs()
         assert await w.until(lambda: token.confirmed, 10, 0.005)
         assert RUNNING_JOB not in leader.unheld.jobs()
         w.start(0)
-        assert await w.settled()
-        await w.over()
+        assert await w.until_ready()
+        await w.finish()
 
 
 async def test_a_task_on_a_machine_that_restarted_is_started_again():
@@ -149,4 +149,4 @@
         w.cloud.reboot(machine)
         assert await w.until(lambda: not w.board.running(RUNNING_JOB), 5, 0.01)
         assert await w.until(lambda: w.board.running(RUNNING_JOB), 30)
-        await w.over()
+        await w.finish()
--- a/tests/scenarios/test_workers_of_silent_leaders.py
+++ b/tests/scenarios/test_workers_of_silent_leaders.py
@@ -48,7 +48,7 @@
     renewed_at = worker.lease.renewed_at
     assert await w.until(lambda: worker.lease.renewed_at > renewed_at, 5, 0.01)
     others = ("state", "node-1", "node-2", *w.cloud.machines)
-    w.nursery.start_soon(w.cut_pairs, [("node-0", other) for other in others], length)
+    w.nursery.start_soon(w.block_pairs, [("node-0", other) for other in others], length)
 
 
 def first_lease_expiry(w: World) -> float:
@@ -86,15 +86,15 @@
     """Guards against workers that are kept from the only leader that may answer them."""
     async with world(teams=TEAMS) as w:
         start_count = await run_tasks(w)
-        w.nursery.start_soon(w.cut_pairs, PEERS, peers_lost_before + 40)
+        w.nursery.start_soon(w.block_pairs, PEERS, peers_lost_before + 40)
         await trio.sleep(peers_lost_before)
         workers = workers_of(w)[: 1 if lost_by == "one" else None]
-        w.nursery.start_soon(w.cut_pairs, [("node-0", name) for name in workers], lost_s)
+        w.nursery.start_soon(w.block_pairs, [("node-0", name) for name in workers], lost_s)
         await trio.sleep(2)
         if store_out:
             await w.outage(12)
         await trio.sleep(40)
-        assert await w.settled()
+        assert await w.until_ready()
         assert len(w.board.starts) == start_count
 
 
@@ -114,10 +114,10 @@
         pairs = [("node-0", other) for other in others]
         w.nursery.start_soon(w.outage, 2 * (cut_s + reachable_s))
         for _ in range(2):
-            await w.cut_pairs(pairs, cut_s)
+            await w.block_pairs(pairs, cut_s)
             await trio.sleep(reachable_s)
         await trio.sleep(40)
-        assert await w.settled()
+        assert await w.until_ready()
         assert len(w.board.starts) == start_count
 
 
@@ -127,11 +127,11 @@
     async with world(teams=TEAMS) as w:
         start_count = await run_tasks(w)
         pairs = [("node-0", machine) for machine in w.cloud.machines]
-        w.nursery.start_soon(w.cut_pairs, pairs, cut_s)
+        w.nursery.start_soon(w.block_pairs, pairs, cut_s)
         await trio.sleep(OUTAGE_DELAY_S)
         await w.outage(outage)
         await trio.sleep(cut_s + 30)
-        assert await w.settled()
+        assert await w.until_ready()
         assert len(w.board.starts) == start_count
 
 
@@ -146,14 +146,14 @@
     async with world(teams=TEAMS) as w:
         w.crash(older_at)
         w.start(older_at, older)
-        assert await w.settled()
+        assert await w.until_ready()
         start_count = await run_tasks(w)
         others = ("state", "node-1", "node-2", *w.cloud.machines)
-        w.nursery.start_soon(w.cut_pairs, [("node-0", other) for other in others], 60)
+        w.nursery.start_soon(w.block_pairs, [("node-0", other) for other in others], 60)
         await trio.sleep(2.5)
         await w.outage(6)
         await trio.sleep(60)
-        assert await w.settled()
+        assert await w.until_ready()
         assert len(w.board.starts) == start_count
 
 
@@ -190,7 +190,7 @@
         assert len(workers) >= tasks / 2
         query_times = defaultdict(list)
         for worker in workers:
-            worker.sent.append(
+            worker.heartbeat_listeners.append(
                 lambda worker, _body: query_times[worker.machine, worker._controller].append(
                     trio.current_time()
                 )
