--- a/roadbend/autoscaler/capacity_refusals.py
+++ b/roadbend/autoscaler/capacity_refusals.py
@@ -22,7 +22,7 @@
 
 
 class CapacityRefusals:
-    """The kinds of machines that the cloud refused, by zone, with exponential backoff."""
+    """The kinds of machines that the cloud refused, by zone, with bounded exponential backoff."""
 
     def __init__(self, operator: OperatorSettings, rng: random.Random) -> None:
         self._operator, self._rng = operator, rng
--- a/roadbend/autoscaler/scale_in.py
+++ b/roadbend/autoscaler/scale_in.py
@@ -49,7 +49,7 @@
         tasks may be deleted. `precondition` is checked right before the request is sent. Raises the
         errors of `Cloud.delete_machines`.
         """
-        machine_ids = self._drained(leader) + self._unneeded(
+        machine_ids = self._quarantine_and_list_drained(leader) + self._unneeded(
             leader, now, warm_service, warm_surplus
         )
         if not machine_ids or not self._is_worth_a_request(leader, machine_ids, now):
@@ -84,7 +84,7 @@
         last = self._deleted_at.get(leader.partition, clock.ORIGIN)
         return len(machine_ids) >= MIN_DELETION_BATCH or now - last >= DELETION_BATCH_INTERVAL
 
-    def _drained(self, leader: PartitionLeader) -> list[str]:
+    def _quarantine_and_list_drained(self, leader: PartitionLeader) -> list[str]:
         """Return the ids of the draining machines that have no tasks left.
 
         Quarantines machines on which the tasks of several jobs failed: they are drained from now
--- a/roadbend/bidding/responder.py
+++ b/roadbend/bidding/responder.py
@@ -136,7 +136,7 @@
             startable_now = 0
         capacity = startable_now + fit_on_booting
         wait, timeline = (
-            (0.0, None) if startable_now else forecast.earliest(job, projection.timelines)
+            (0.0, None) if startable_now else forecast.earliest_start(job, projection.timelines)
         )
         scale_out = self._scale_out.offer(job, request, expensive)
         if scale_out is not None:
--- a/roadbend/placement/attempt_numbers.py
+++ b/roadbend/placement/attempt_numbers.py
@@ -10,7 +10,7 @@
     def __init__(self, term: int) -> None:
         self._term, self._sequence = term, 0
 
-    def next(self, flags: int = 0) -> int:
-        """Return a new number, with `flags` set in the upper bits of its sequence."""
+    def next(self, sequence_prefix: int = 0) -> int:
+        """Return a new number, with `sequence_prefix` in the upper bits of its sequence."""
         self._sequence += 1
-        return (self._term << SEQUENCE_BITS) | self._sequence | flags
+        return (self._term << SEQUENCE_BITS) | self._sequence | sequence_prefix
--- a/roadbend/placement/forecast.py
+++ b/roadbend/placement/forecast.py
@@ -57,7 +57,7 @@
     # before that task was placed.
     free_from: float = 0.0
 
-    def earliest(self, resources: Resources) -> float:
+    def earliest_start(self, resources: Resources) -> float:
         """Return when a task that needs these resources could be placed here, or NEVER."""
         capacity = self.capacity
         needed_cpus = resources.cpus - RESOURCE_TOLERANCE
@@ -102,7 +102,7 @@
     def __init__(self, timelines: Iterable[MachineTimeline], smallest: Resources) -> None:
         self.timelines = list(timelines)
         self._smallest = smallest
-        self._soonest = [timeline.earliest(smallest) for timeline in self.timelines]
+        self._soonest = [timeline.earliest_start(smallest) for timeline in self.timelines]
         # The soonest start on a timeline, and its index; sorted. Plain tuples, since all of them
         # are sorted for each forecast.
         self.order: list[tuple[float, int]] = [
@@ -114,7 +114,7 @@
         """Add a machine that is to be created; return the index of its timeline."""
         index = len(self.timelines)
         self.timelines.append(timeline)
-        soonest = timeline.earliest(self._smallest)
+        soonest = timeline.earliest_start(self._smallest)
         self._soonest.append(soonest)
         if soonest < NEVER:
             insort(self.order, (soonest, index))
@@ -122,7 +122,7 @@
 
     def update(self, index: int) -> None:
         """Move a timeline to its position in the order after a task was assigned to it."""
-        old, new = self._soonest[index], self.timelines[index].earliest(self._smallest)
+        old, new = self._soonest[index], self.timelines[index].earliest_start(self._smallest)
         if new != old:
             del self.order[bisect_left(self.order, (old, index))]
             self._soonest[index] = new
@@ -204,7 +204,7 @@
 
     def _push(self, index: int, timeline: MachineTimeline) -> None:
         spec, capacity = self._spec, timeline.capacity
-        start = timeline.earliest(spec.resources)
+        start = timeline.earliest_start(spec.resources)
         if start < NEVER:
             runs_at = round(
                 start + capacity.image_fetch_seconds(spec.image, spec.image_gb), START_DIGITS
@@ -220,7 +220,7 @@
     timeline: MachineTimeline | None
 
 
-def earliest(job: Job, timelines: list[MachineTimeline]) -> EarliestStart:
+def earliest_start(job: Job, timelines: list[MachineTimeline]) -> EarliestStart:
     """Find where one task of a job would run soonest, including its image fetch.
 
     For a single task it is fastest to examine every timeline.
@@ -229,7 +229,7 @@
     best, found = (NEVER, False), EarliestStart(NEVER, None)
     for timeline in timelines:
         capacity = timeline.capacity
-        start = timeline.earliest(spec.resources)
+        start = timeline.earliest_start(spec.resources)
         if (
             start <= best[0]
             and start < NEVER
--- a/roadbend/placement/gangs.py
+++ b/roadbend/placement/gangs.py
@@ -232,10 +232,10 @@
                 if ended or not self._apart_gangs.is_intact(job, now):
                     self._apart_gangs.mark_abandoned(job, now)
                     self._abandon(job, len(job_slice.attempts), now)
-            elif not self._continues(job, job_slice, ended):
+            elif not self._can_continue(job, job_slice, ended):
                 self._abandon(job, len(job_slice.attempts.keys() - ended.keys()), now)
 
-    def _continues(self, job: Job, job_slice: JobSlice, ended: dict[int, Termination]) -> bool:
+    def _can_continue(self, job: Job, job_slice: JobSlice, ended: dict[int, Termination]) -> bool:
         """Return whether the attempt of a gang in one partition continues without ended tasks."""
         if not ended and len(job_slice.attempts) == job.spec.task_count:
             return True
--- a/roadbend/placement/heartbeats.py
+++ b/roadbend/placement/heartbeats.py
@@ -43,14 +43,14 @@
     def token(self, machine: Machine | None = None) -> int:
         """Return the fencing token for a machine: the term, and below it the machine's incarnation.
 
-        It tells reports of a former incarnation, however late they arrive, from those of this one.
+        It distinguishes reports of a former incarnation, however late, from those of this one.
         """
         return self._leadership.term << records.INCARNATION_BITS | (
             machine.token.incarnation if machine is not None else 0
         )
 
     def answer_unchanged(self, data: Any, now: datetime) -> int | None:
-        """Return the token to answer a heartbeat without changes with, as nearly all are.
+        """Return the token for the answer to a heartbeat without changes, as nearly all are.
 
         Comparing it with the last one shows that it requires no orders. None: it must be evaluated.
         """
--- a/roadbend/placement/machine_options.py
+++ b/roadbend/placement/machine_options.py
@@ -13,7 +13,7 @@
 
 # The number of runs of an array's tasks over which a machine's boot and fetches are amortized.
 AMORTIZED_RUNS = 1.5
-# The shortest run time that this assumes, in seconds.
+# The shortest run time over which they are amortized, in seconds.
 MIN_RUN_SECONDS = 5.0
 # The number of image fetches that are amortized: a machine that stays up soon needs a second image.
 AMORTIZED_FETCHES = 2
--- a/roadbend/placement/preemption.py
+++ b/roadbend/placement/preemption.py
@@ -79,7 +79,7 @@
                     remaining_preemptions -= len(machine_ids)
                 continue
             for capacity, chosen in islice(
-                options.of(item),
+                options.for_item(item),
                 max(0, min(remaining_preemptions, item.count - active_preemptions)),
             ):
                 self.stop_victims(item, capacity, chosen, now)
@@ -229,7 +229,7 @@
         """
         resources = item.job.spec.resources
         chosen_options: list[PreemptionOption] = []
-        for capacity, chosen in islice(options.of(item), MAX_PREEMPTED):
+        for capacity, chosen in islice(options.for_item(item), MAX_PREEMPTED):
             if fitting_tasks >= item.count:
                 break
             capacity_after = replace(capacity)
--- a/roadbend/placement/preemption_options.py
+++ b/roadbend/placement/preemption_options.py
@@ -30,24 +30,28 @@
         self,
         exclusions: PlacementExclusions,
         capacities: list[FreeCapacity],
-        running: dict[str, list[Victim]],
+        victims_by_machine: dict[str, list[Victim]],
     ) -> None:
-        self._exclusions, self._capacities, self._running = exclusions, capacities, running
+        self._exclusions, self._capacities, self._victims_by_machine = (
+            exclusions,
+            capacities,
+            victims_by_machine,
+        )
         self._options_by_request: dict[_RequestKey, list[PreemptionOption]] = {}
         # The lowest priority among each machine's victims, and the teams over their guarantees
         # there.
         self._min_priorities = {
             machine: min(victim.priority for victim in victims)
-            for machine, victims in running.items()
+            for machine, victims in victims_by_machine.items()
         }
         self._teams_over_guarantee = {
             machine: {victim.team for victim in victims if victim.over_guarantee}
-            for machine, victims in running.items()
+            for machine, victims in victims_by_machine.items()
         }
         # Machines on which tasks were preempted in this step already.
         self.used_machines: set[str] = set()
 
-    def of(self, item: PendingTasks) -> Iterator[PreemptionOption]:
+    def for_item(self, item: PendingTasks) -> Iterator[PreemptionOption]:
         """Return the remaining options for an item, best first."""
         spec = item.job.spec
         excluded_types = self._exclusions.excluded_types(item.job.id)
@@ -71,7 +75,7 @@
                 and capacity.id not in machines_without_image
             ]
             options = self._options_by_request[request_key] = preemption_policy.preemption_options(
-                item, candidates, self._running
+                item, candidates, self._victims_by_machine
             )
         return (option for option in options if option[0].id not in self.used_machines)
 
--- a/roadbend/placement/preemption_policy.py
+++ b/roadbend/placement/preemption_policy.py
@@ -57,7 +57,7 @@
 def preemption_options(
     item: PendingTasks,
     capacities: Iterable[FreeCapacity],
-    running: Mapping[str, list[Victim]],
+    victims_by_machine: Mapping[str, list[Victim]],
 ) -> list[PreemptionOption]:
     """Return the machines on which preemption makes one task of the item fit, best first.
 
@@ -75,7 +75,7 @@
 
     options = []
     for capacity in capacities:
-        candidates = running.get(capacity.id)
+        candidates = victims_by_machine.get(capacity.id)
         if (
             not candidates
             or capacity.ready_in > 0
--- a/roadbend/placement/quotas.py
+++ b/roadbend/placement/quotas.py
@@ -1,4 +1,4 @@
-"""How much of a team's quota a partition may use, and reserves in the team's record."""
+"""How much of a team's quota a partition may use, and what it reserves in the quota record."""
 
 from collections.abc import Iterable
 from datetime import datetime, timedelta
@@ -27,7 +27,7 @@
 
 
 class Quotas:
-    """How much of teams' quotas one partition may use, and reserves."""
+    """How much of teams' quotas one partition may use, and what it reserves of them."""
 
     def __init__(self, state: PartitionState) -> None:
         self._aging = state.aging
@@ -77,7 +77,7 @@
         """Reserve quota for a number of tasks in the transaction; return False if it has no space.
 
         While there is plenty, more than is needed is reserved, so that partitions seldom conflict
-        on the team's record.
+        on the quota record.
         """
         limits, team_key = self._context.fair_share.quota(team), keys.team_key(team)
         assert limits is not None, "no tasks of a team without a quota are placed"
--- a/roadbend/placement/recovery_hooks.py
+++ b/roadbend/placement/recovery_hooks.py
@@ -30,9 +30,9 @@
         return True
 
     def should_delay_stop(self, key: TaskKey, stop: StopOrder, now: datetime) -> bool:
-        """Return whether a direct kill may wait.
+        """Return whether the direct command for a stop may wait.
 
-        That is if the response to a heartbeat has just carried it, or the task has ended.
+        That is if the response to a heartbeat has just carried the stop, or the task has ended.
         """
         return False
 
@@ -40,7 +40,7 @@
         """Record a heartbeat that was admitted and evaluated."""
 
     def record_term_in_use(self, machine: str, term: int) -> None:
-        """Record that a machine never answered by this leader has seen its term or a higher one."""
+        """Record that a machine, left unanswered, has seen this leader's term or a higher one."""
 
     def adopt(self, transaction: TransactionBuilder, now: datetime) -> bool:
         """Add unrecorded attempts that are to be kept to the transaction.
--- a/roadbend/placement/restrictions.py
+++ b/roadbend/placement/restrictions.py
@@ -133,7 +133,7 @@
             and spec.resources.memory <= memory
         )
 
-    def exclusions_of(self) -> Callable[[PendingTasks], Exclusions] | None:
+    def exclusions_function(self) -> Callable[[PendingTasks], Exclusions] | None:
         """Return the function that gives an item's exclusions; None if there are none."""
         any_excluded = (
             self._exclusions or self._reservations or self._gang_attempts.has_lost_machines()
--- a/roadbend/placement/starts.py
+++ b/roadbend/placement/starts.py
@@ -89,8 +89,8 @@
     ) -> _Capacities:
         """Return the usable machines that the step must examine.
 
-        Most machines are full. Those matter only for services with a start deadline, for which
-        tasks there could be preempted.
+        Most machines are full. Those matter only for services and gangs that must start soon, for
+        which tasks there could be preempted.
         """
         start_within = self._context.objectives.start_within
         if any(start_within(item.job.spec) is not None for item in queue):
@@ -127,7 +127,7 @@
             self._gangs.partly_recorded_first(candidates),
             capacities,
             transaction.remaining_changes,
-            self._restrictions.exclusions_of(),
+            self._restrictions.exclusions_function(),
             quota,
         )
         still_reserving = [
--- a/roadbend/placement/starts_in_doubt.py
+++ b/roadbend/placement/starts_in_doubt.py
@@ -172,5 +172,5 @@
 
     def _lease_expired(self, machine: str, now: datetime) -> bool:
         context = self._records.context
-        terms = LeaseTimes.of(self._records.leadership, context.settings, context.operator)
-        return is_lease_expired(self._machines.get(machine), terms, now)
+        times = LeaseTimes.of(self._records.leadership, context.settings, context.operator)
+        return is_lease_expired(self._machines.get(machine), times, now)
--- a/roadbend/placement/termination_recorder.py
+++ b/roadbend/placement/termination_recorder.py
@@ -56,7 +56,7 @@
 
         Return whether more is left for the next transaction.
         """
-        more = False
+        has_more = False
         done_gangs = self.done_gangs()
         for job_id, found in self.terminations_by_job(done_gangs).items():
             job_slice = self._records.job_slices().get(job_id)
@@ -67,21 +67,21 @@
             if job_slice is None:
                 continue
             terminations = self.collect(transaction, job_id, job_slice, found)
-            more = self.plan_splits(transaction, terminations) or more
+            has_more = self.plan_splits(transaction, terminations) or has_more
             job = terminations.job
             if job is not None and (
                 job_id in done_gangs or self.shows_gang_done(job, terminations)
             ):
-                left = self.record_gang(transaction, job, terminations)
-                if left is not None and job_id in done_gangs:
+                has_rest = self.record_gang(transaction, job, terminations)
+                if has_rest is not None and job_id in done_gangs:
                     transaction.on_commit.append(partial(self.log_ended_by_records, job_id))
             else:
-                left = self.record_job(transaction, terminations)
-            if left is None:
+                has_rest = self.record_job(transaction, terminations)
+            if has_rest is None:
                 return True
-            more = more or left
+            has_more = has_more or has_rest
             self.add_effects(transaction, terminations, now)
-        return more
+        return has_more
 
     def done_gangs(self) -> dict[str, Job]:
         """Return the live gangs that this leader should end as the records show a task as done.
@@ -124,9 +124,9 @@
         written = gang_end.end_gang(transaction, job, changed_shards, others)
         if written is None:
             return None
-        partly = written != changed_shards.keys()
+        is_partial = written != changed_shards.keys()
         terminations.keep_only(written, self._records.shard_width)
-        return partly
+        return is_partial
 
     def terminations_by_job(
         self, done_gangs: Iterable[str]
@@ -229,8 +229,8 @@
             ]
         if not record_keys:
             return False
-        partly = not transaction.has_space_for(*record_keys)
-        if partly:
+        is_partial = not transaction.has_space_for(*record_keys)
+        if is_partial:
             if transaction.changes:
                 return None
             # Larger than one transaction: some shards now, the rest in the next one.
@@ -246,7 +246,7 @@
         self.write_shards(transaction, terminations, finished)
         if terminations.job is not None and finished:
             self.write_job(transaction, terminations.job, finished, all_finished)
-        return partly
+        return is_partial
 
     def finished_shards(self, terminations: JobTerminations) -> tuple[dict[int, SliceShard], bool]:
         """Return the shards to remove from the records, and whether nothing of the job is left."""
--- a/roadbend/placement/test_placement.py
+++ b/roadbend/placement/test_placement.py
@@ -53,12 +53,12 @@
     assert [p.job.id[-1] for p in sorted(rows, key=queue_order.rank)] == ["4", "3", "2", "1", "5"]
 
 
-def victim(name, priority, loss, beyond=False) -> Victim:
+def victim(name, priority, loss, over_guarantee=False) -> Victim:
     task = RunningTask(TaskKey(name, 0), Attempt(1, "a"), pending().job)
     return Victim(
         resources=Resources(8, 1, 40),
         priority=priority,
-        over_guarantee=beyond,
+        over_guarantee=over_guarantee,
         team="blue",
         loss=loss,
         task=task,
@@ -110,14 +110,16 @@
     assert stopped(pending(rank="normal"), full, rows) == ("a", ["low"])
     assert stopped(pending(rank="best_effort"), full, rows) is None
     assert stopped(pending(rank="production"), full, rows) == ("a", ["normal"])
-    beyond = {"a": [victim("borrowed", 3, 30.0, beyond=True)]}
-    assert stopped(pending(rank="best_effort", guaranteed=True), full, beyond) == (
+    borrowed = {"a": [victim("borrowed", 3, 30.0, over_guarantee=True)]}
+    assert stopped(pending(rank="best_effort", guaranteed=True), full, borrowed) == (
         "a",
         ["borrowed"],
     )
-    assert stopped(pending(rank="best_effort"), full, beyond) is None
+    assert stopped(pending(rank="best_effort"), full, borrowed) is None
     # Work of the same team is not preempted for its guarantee.
-    assert stopped(pending(rank="best_effort", guaranteed=True, crew="blue"), full, beyond) is None
+    assert (
+        stopped(pending(rank="best_effort", guaranteed=True, crew="blue"), full, borrowed) is None
+    )
 
 
 def test_the_cheapest_loss_is_chosen_and_no_more_than_needed():
@@ -131,13 +133,13 @@
         capacity("a", cpus=0, gpus=0, memory=0),
         [Release(5.0, Resources(4, 1, 20)), Release(9.0, Resources(8, 1, 40))],
     )
-    assert timeline.earliest(Resources(4, 1, 20)) == 5.0
-    assert timeline.earliest(Resources(8, 1, 40)) == 9.0
-    assert timeline.earliest(Resources(20, 1, 40)) == forecast.NEVER
+    assert timeline.earliest_start(Resources(4, 1, 20)) == 5.0
+    assert timeline.earliest_start(Resources(8, 1, 40)) == 9.0
+    assert timeline.earliest_start(Resources(20, 1, 40)) == forecast.NEVER
     timeline.assign(pending().job, 9.0, 30.0)
     assert (
-        timeline.earliest(Resources(4, 1, 20)) == 9.0
-        and timeline.earliest(Resources(8, 1, 40)) == 39.0
+        timeline.earliest_start(Resources(4, 1, 20)) == 9.0
+        and timeline.earliest_start(Resources(8, 1, 40)) == 39.0
     )
 
 
@@ -153,12 +155,12 @@
         MachineTimeline(capacity("cold", fetch_gb_per_s=0.5)),
         MachineTimeline(capacity("warm", fetch_gb_per_s=0.5, images=["img-1"], ready_in=20.0)),
     )
-    assert forecast.earliest(item.job, [without_image, warm]) == (20.0, warm)
+    assert forecast.earliest_start(item.job, [without_image, warm]) == (20.0, warm)
     without_image.assign(item.job, 0.0, 10.0)
     # The image is being fetched; the next task of this job starts there at once.
     assert (
         without_image.releases[0].at == 90.0
-        and forecast.earliest(item.job, [without_image, warm]).timeline is without_image
+        and forecast.earliest_start(item.job, [without_image, warm]).timeline is without_image
     )
 
 
@@ -170,7 +172,7 @@
         for _ in range(item.count):
             rows = []
             for n, timeline in enumerate(timelines):
-                start = timeline.earliest(spec.resources)
+                start = timeline.earliest_start(spec.resources)
                 if start < forecast.NEVER and free_capacity.allowed(
                     item.job,
                     timeline.capacity.machine_type,
