--- a/roadbend/bidding/gang_release.py
+++ b/roadbend/bidding/gang_release.py
@@ -1,4 +1,4 @@
-"""Releases gangs that can't start where they are allocated, so that they are allocated anew."""
+"""Releases gangs that can't start where they are allocated, so that they are allocated again."""
 
 from dataclasses import replace
 from datetime import datetime
--- a/roadbend/bidding/rescheduler.py
+++ b/roadbend/bidding/rescheduler.py
@@ -143,7 +143,7 @@
     async def _reschedule(
         self, leader: PartitionLeader, responder: Responder, job: Job, average: timedelta
     ) -> RescheduleOutcome:
-        """Request bids on a job's pending tasks in a partition, and move those that start sooner.
+        """Request bids on a job's pending tasks, and move those that would start sooner elsewhere.
 
         `average` is the partition's average queuing time.
         """
--- a/roadbend/placement/heartbeats.py
+++ b/roadbend/placement/heartbeats.py
@@ -1,4 +1,4 @@
-"""Evaluates the heartbeats of a partition's machines and determines the responses."""
+"""Evaluates the heartbeats of a partition's machines and determines the answers."""
 
 from datetime import datetime, timedelta
 from functools import partial
@@ -22,9 +22,9 @@
 from roadbend.store.records import Attempt
 
 log = Log("placement")
-# How long the response to a heartbeat with changes may wait for the orders that these lead to;
+# How long the answer to a heartbeat with changes may wait for the orders that these lead to;
 # workers wait 4 s for it.
-MAX_RESPONSE_DELAY = timedelta(milliseconds=400)
+MAX_ANSWER_DELAY = timedelta(milliseconds=400)
 
 
 class HeartbeatHandler:
@@ -80,9 +80,9 @@
         return token
 
     async def handle(self, heartbeat: WorkerHeartbeat) -> tuple[int, list[WorkerOrder]] | None:
-        """Return token and orders for the response; None for a heartbeat that is not admitted.
+        """Return token and orders for the answer; None for a heartbeat that is not admitted.
 
-        A heartbeat may lead to new orders: capacity became free, a machine came up. Its response
+        A heartbeat may lead to new orders: capacity became free, a machine came up. Its answer
         waits briefly for the next scheduling step to record starts, so that the next task starts
         now and not a heartbeat later.
         """
@@ -110,7 +110,7 @@
             self._steps.request()
             step = self._steps.next_step
         incarnation = machine.token.incarnation
-        with trio.move_on_after(MAX_RESPONSE_DELAY.total_seconds()):
+        with trio.move_on_after(MAX_ANSWER_DELAY.total_seconds()):
             await self._steps.wait_for_end(step)
         with self._lock:
             if not self._is_still_valid(machine, heartbeat, incarnation):
@@ -125,7 +125,7 @@
         orders: list[WorkerOrder],
         received_at: datetime,
     ) -> tuple[int, list[WorkerOrder]]:
-        """Return token and orders for the response, and record what is sent with it."""
+        """Return token and orders for the answer, and record what is sent with it."""
         self._update_last_evaluation(machine, heartbeat, orders)
         self._starts_in_doubt.record_answer(machine, heartbeat.position, received_at, orders)
         return self.token(machine), orders
@@ -133,7 +133,7 @@
     def _follows_other_leader(self, heartbeat: WorkerHeartbeat) -> bool:
         """Return whether a heartbeat carries a term that this leader has not given its machine."""
         term = heartbeat.token >> records.INCARNATION_BITS
-        # With a higher term the machine follows a newer leader, and would drop our response. With
+        # With a higher term the machine follows a newer leader, and would drop our answer. With
         # our term it is a machine that we answered in this term, and we know all of these until
         # they are deleted: so this is a late copy from a deleted machine, or the records have lost
         # a term, and ours was another leader's before.
@@ -178,7 +178,7 @@
     def _is_still_valid(
         self, machine: Machine, heartbeat: WorkerHeartbeat, incarnation: int
     ) -> bool:
-        """Return whether a heartbeat whose response was delayed may still be evaluated.
+        """Return whether a heartbeat whose answer was delayed may still be evaluated.
 
         Meanwhile the partition may have been lost, the machine deleted or restarted, or a newer
         heartbeat answered with start orders: a task missing in this one would then prove nothing.
--- a/roadbend/placement/recovery_hooks.py
+++ b/roadbend/placement/recovery_hooks.py
@@ -32,7 +32,7 @@
     def should_delay_stop(self, key: TaskKey, stop: StopOrder, now: datetime) -> bool:
         """Return whether the direct command for a stop may wait.
 
-        That is if the response to a heartbeat has just carried the stop, or the task has ended.
+        That is if the answer to a heartbeat has just carried the stop, or the task has ended.
         """
         return False
 
--- a/roadbend/placement/restrictions.py
+++ b/roadbend/placement/restrictions.py
@@ -60,18 +60,18 @@
                 passed_over.add(item.job.id)
         self._aging.update_passed_over(passed_over, now)
 
-    def withhold_expensive_types(self, queue: list[PendingTasks]) -> None:
+    def exclude_expensive_types(self, queue: list[PendingTasks]) -> None:
         """Set the machine types that pending services may not use, by the rule that bids follow."""
         machine_types, wall = self._context.machine_types.values(), clock.wall()
         longest_startup = max(
             (machine_type.startup for machine_type in machine_types), default=clock.ZERO
         )
-        withheld: dict[str, frozenset[str]] = {}
+        excluded_types: dict[str, frozenset[str]] = {}
         for item in queue:
             job = item.job
             if (
                 job.spec.service
-                and job.id not in withheld
+                and job.id not in excluded_types
                 and wall - job.submitted_at
                 < self._context.objectives.max_wait_for_cheaper_type(job.spec, longest_startup)
             ):
@@ -79,8 +79,8 @@
                     job, machine_types, self._context.operator.dear, self._partition
                 )
                 if expensive:
-                    withheld[job.id] = frozenset(expensive)
-        self._exclusions.exclude_types(withheld)
+                    excluded_types[job.id] = frozenset(expensive)
+        self._exclusions.exclude_types(excluded_types)
 
     def prefer_cached_images(
         self, queue: list[PendingTasks], capacities: list[FreeCapacity]
@@ -100,9 +100,12 @@
             within = self._context.objectives.start_within(spec)
             if within is None or spec.gang or item.job.id in without_image:
                 continue
-            left = within - (wall - item.job.submitted_at)
+            remaining = within - (wall - item.job.submitted_at)
             fetch = timedelta(seconds=spec.image_gb / max(fetch_rates, default=1.0))
-            if left < within * 0.4 or fetch + self._context.settings.heartbeat_interval / 2 < left:
+            if (
+                remaining < within * 0.4
+                or fetch + self._context.settings.heartbeat_interval / 2 < remaining
+            ):
                 continue
             if any(
                 self.fits_with_preemption(capacity, spec)
--- a/roadbend/placement/starts.py
+++ b/roadbend/placement/starts.py
@@ -68,7 +68,7 @@
             self._queue.update_not_placed([])
             return False
         found = self._find_capacities(queue, transaction)
-        self._restrictions.withhold_expensive_types(queue)
+        self._restrictions.exclude_expensive_types(queue)
         self._restrictions.prefer_cached_images(queue, found.capacities)
         result = self._place(queue, found.capacities, transaction, now)
         has_more = result.stopped_early
--- a/roadbend/placement/starts_in_doubt.py
+++ b/roadbend/placement/starts_in_doubt.py
@@ -116,12 +116,12 @@
         self._restarted.add(machine)
 
     def has_any(self, job: str, now: datetime) -> bool:
-        """Return whether a start of a job is in doubt; the job must not be started any more."""
-        return self._has_sent(job, now) or self._has_unconfirmed(job, now)
+        """Return whether a start of a job is in doubt; requires that no more starts are sent."""
+        return self._prune_and_check_sent(job, now) or self._has_unconfirmed(job, now)
 
     def jobs(self, now: datetime) -> set[str]:
         """Return the jobs with starts in doubt that were sent under this leadership."""
-        return {job for job in list(self._by_job) if self._has_sent(job, now)}
+        return {job for job in list(self._by_job) if self._prune_and_check_sent(job, now)}
 
     def drop_obsolete(self, now: datetime) -> None:
         """Drop settled starts, once per `CLEANUP_INTERVAL`."""
@@ -129,9 +129,10 @@
             return
         self._cleaned_at = now
         for job in list(self._by_job):
-            self._has_sent(job, now)
+            self._prune_and_check_sent(job, now)
 
-    def _has_sent(self, job: str, now: datetime) -> bool:
+    def _prune_and_check_sent(self, job: str, now: datetime) -> bool:
+        """Drop a job's settled starts; return whether starts sent by this leader are in doubt."""
         in_doubt = [sent for sent in self._by_job.get(job, ()) if self._is_in_doubt(sent, now)]
         if in_doubt:
             self._by_job[job] = in_doubt
--- a/roadbend/placement/termination_recorder.py
+++ b/roadbend/placement/termination_recorder.py
@@ -311,7 +311,7 @@
     def add_effects(
         self, transaction: TransactionBuilder, terminations: JobTerminations, now: datetime
     ) -> None:
-        """Register the effects of the terminations, for when the transaction is carried out.
+        """Register the effects of the terminations, applied when the transaction is committed.
 
         The rest of the transaction may rely on the terminations from here on.
         """
