--- a/roadbend/placement/pending_queue.py
+++ b/roadbend/placement/pending_queue.py
@@ -16,7 +16,7 @@
 
 # Tasks of one job that are in the queue at once; the rest of a wider job follows as these are
 # placed.
-MAX_PENDING = 1024
+MAX_TASKS_PER_JOB = 1024
 # How long a computed queue is reused.
 REUSE_TIME = timedelta(milliseconds=300)
 # For bids a queue is reused for this multiple of the time that computing it took, and for at most
@@ -24,7 +24,7 @@
 REUSE_FACTOR = 12
 MAX_REUSE_TIME = timedelta(seconds=2)
 # Bound on the jobs whose unplaced tasks are cached.
-MAX_KNOWN = 4096
+MAX_CACHED_JOBS = 4096
 
 
 class PendingQueue:
@@ -89,7 +89,7 @@
             item = self._gangs.placeable_tasks(job, tasks) if tasks else None
             return [] if item is None else [replace(item, guaranteed=guaranteed, starved=starved)]
         items = []
-        tasks = ranges.first(tasks, MAX_PENDING)
+        tasks = ranges.first(tasks, MAX_TASKS_PER_JOB)
         if tasks and starved:
             first = ranges.first(tasks, 1)
             items.append(PendingTasks(job, first, guaranteed, True))
@@ -123,7 +123,7 @@
             return job.allocation.get(self._partition, ())
         cached, version = self._unplaced.get(job.id), (job.mod_revision, job_slice.version)
         if cached is None or cached[0] != version:
-            if len(self._unplaced) >= MAX_KNOWN:
+            if len(self._unplaced) >= MAX_CACHED_JOBS:
                 self._unplaced.clear()
             cached = self._unplaced[job.id] = (version, self._find_unplaced(job, job_slice))
         return cached[1]
--- a/roadbend/placement/queue_projection.py
+++ b/roadbend/placement/queue_projection.py
@@ -21,7 +21,7 @@
 # How long a computed projection is reused at least.
 MIN_REUSE_TIME = timedelta(milliseconds=600)
 # Bound on the projections that are cached, by their parameters.
-MAX_LAYOUTS = 4
+MAX_PROJECTIONS = 4
 
 
 @dataclass
@@ -86,7 +86,7 @@
         self._registry, self._machines = state.registry, state.registry.by_id
         self._stops, self._usable_machines, self._queue = state.stops, usable_machines, queue
         self._projections: deque[tuple[_ProjectionKey, datetime, timedelta, QueueProjection]] = (
-            deque(maxlen=MAX_LAYOUTS)
+            deque(maxlen=MAX_PROJECTIONS)
         )
 
     def projection(self, min_priority: int, excluded_types: frozenset[str]) -> QueueProjection:
