--- a/roadbend/autoscaler/scale_out_planner.py
+++ b/roadbend/autoscaler/scale_out_planner.py
@@ -66,7 +66,7 @@
         available = 0
         if service is not None:
             available = self._warm_pool.available(leader, service, booting)
-            if available < target and leader.recovery.knows_machines():
+            if available < target and leader.recovery.can_fill_warm_pool():
                 self._add_for_warm_pool(
                     machines, service, choices, partition, target, target - available
                 )
--- a/roadbend/cli.py
+++ b/roadbend/cli.py
@@ -43,29 +43,27 @@
         prog="roadbend", description="A cluster scheduler whose controllers bid for jobs."
     )
     argument_parser.add_argument(
-        "--config",
-        type=Path,
-        help="the platform's settings file (TOML); required to start a controller",
+        "--config", type=Path, help="the platform's settings file (TOML); needed to start"
     )
     argument_parser.add_argument(
         "--operator",
         type=Path,
         default=OPERATOR_FILE,
-        help="the operators' settings file (S-expressions); without it the defaults apply",
+        help="operators' own settings (S-expressions); a missing file means the defaults",
     )
     argument_parser.add_argument(
-        "--recovery",
-        type=Path,
-        help="enable recovery with this settings file (deploy/recovery.sexp)",
+        "--recovery", type=Path, help="switches recovery on: its settings (deploy/recovery.sexp)"
+    )
+    argument_parser.add_argument(
+        "--tracing", type=Path, help="switches tracing on: its settings (deploy/tracing.sexp)"
     )
     argument_parser.add_argument(
-        "--tracing", type=Path, help="enable tracing with this settings file (deploy/tracing.sexp)"
+        "--check", action="store_true", help="check the settings and end without starting"
     )
-    argument_parser.add_argument("--check", action="store_true", help="check the settings and exit")
     argument_parser.add_argument(
         "--compile",
         action="store_true",
-        help="only import a controller's modules, to cache their bytecode (for the build)",
+        help="only import what a controller needs, so that its bytecode is kept (for the build)",
     )
     argument_parser.add_argument("--version", action="version", version=f"roadbend {__version__}")
     return argument_parser
@@ -100,7 +98,7 @@
     try:
         _run(settings, operator, extensions)
     except* SettingsError as group:
-        # Whether an address can be listened on is only known after the controller has started.
+        # Whether an address can be listened on is only known when the controller listens on it.
         status = _print_error(_first_error(group))
     return status
 
--- a/roadbend/intake/job_states.py
+++ b/roadbend/intake/job_states.py
@@ -65,7 +65,7 @@
         state = await self.fetch_final(job_id)
         if state is not None:
             return await self.answer_final(job_id, state)
-        if job_id in context.view.unrecorded or not context.recovery.knows_jobs():
+        if job_id in context.view.unrecorded or not context.recovery.are_job_records_complete():
             raise RetryLaterError(RetryLaterReason.JOB_MAY_BE_UNRECORDED)
         return None
 
--- a/roadbend/placement/recovery_hooks.py
+++ b/roadbend/placement/recovery_hooks.py
@@ -25,7 +25,7 @@
         """Return those of a job's unplaced tasks that may be given a machine now."""
         return tasks
 
-    def knows_machines(self) -> bool:
+    def can_fill_warm_pool(self) -> bool:
         """Return whether enough is known of the partition's machines to create more in advance."""
         return True
 
@@ -57,6 +57,6 @@
         """Return whether a job that no partition holds is not to be allocated for now."""
         return False
 
-    def knows_jobs(self) -> bool:
+    def are_job_records_complete(self) -> bool:
         """Return whether a job that no record names is known not to exist."""
         return True
--- a/roadbend/recovery/commands.py
+++ b/roadbend/recovery/commands.py
@@ -24,7 +24,7 @@
 from roadbend.settings import PlatformSettings, SettingsError, read_file, read_platform
 
 CommandFunction = Callable[[Surveyor, argparse.Namespace], Awaitable[None]]
-# The bounds of `--every`, and how many lines are printed for a partition.
+# The bounds of `--every`, and the maximum number of lines that are printed for a partition.
 MIN_INTERVAL_S, MAX_INTERVAL_S, MAX_LINES = 1.0, 3600.0, 200
 
 
@@ -32,24 +32,22 @@
     """Return the argument parser of `roadbend recovery`."""
     out = argparse.ArgumentParser(
         prog="roadbend recovery",
-        description="Shows how stored records and machines differ, and how that is settled.",
+        description="Shows how stored records and machines differ, and what settles that.",
     )
     commands = out.add_subparsers(dest="command", required=True)
     for name, text in (
-        ("status", "the progress of each partition's recovery, as recorded by its leader"),
-        ("differences", "the current differences between the records and the machines"),
-        ("plan", "how each difference would be settled, and why (a dry run)"),
+        ("status", "how far each part's recovery is, as recorded by its owner"),
+        ("differences", "what differs now between the records and the machines"),
+        ("plan", "what would be done about each difference, and why (a dry run)"),
     ):
         command = commands.add_parser(name, help=text, description=text)
         command.add_argument("--config", type=Path, required=True, help="the platform's settings")
         command.add_argument("--json", action="store_true")
         if name == "differences":
             command.add_argument(
-                "--every", type=float, metavar="SECONDS", help="repeat at this interval"
-            )
-            command.add_argument(
-                "--looks", type=int, default=0, help="end after so many repetitions"
+                "--every", type=float, metavar="SECONDS", help="look again and again"
             )
+            command.add_argument("--looks", type=int, default=0, help="end after so many looks")
     return out
 
 
--- a/roadbend/recovery/machines.py
+++ b/roadbend/recovery/machines.py
@@ -86,8 +86,9 @@
     def compare(self, held: Iterable[HeldAttempt]) -> Comparison:
         """Compare the records with the machines, and with the held attempts.
 
-        Machines on which everything matches are left out of the sets: that is nearly all, also of
-        thousands, and a controller with a small share of a core must answer heartbeats meanwhile.
+        Machines on which everything matches are left out of the sets. Nearly all match, even if
+        there are thousands, and a controller with a small share of a core must answer heartbeats
+        meanwhile.
         """
         began, leader = clock.now(), self._leader
         differing, matching = [], 0
--- a/roadbend/recovery/measure.py
+++ b/roadbend/recovery/measure.py
@@ -1,8 +1,8 @@
-"""Benchmarks compressed bitmaps and quantile sketches against sets and lists.
+"""Measures compressed bitmaps and quantile sketches against sets and lists.
 
     python -m roadbend.recovery.measure --machines 200,1500,4000
 
-Needs the libraries of `requirements-recovery.txt`. The times depend on the machine it runs on.
+Needs the libraries of `requirements-recovery.txt`. Times are of this machine.
 """
 
 import argparse
--- a/roadbend/recovery/partition.py
+++ b/roadbend/recovery/partition.py
@@ -119,7 +119,7 @@
             return ()
         return ranges.minus(tasks, ranges.of(sorted(reported)))
 
-    def knows_machines(self) -> bool:
+    def can_fill_warm_pool(self) -> bool:
         """Return whether the machines are known well enough to create more in advance.
 
         Until all have sent a heartbeat, those that have not look like missing capacity.
--- a/roadbend/recovery/service.py
+++ b/roadbend/recovery/service.py
@@ -85,7 +85,7 @@
             partition.held_attempts.indexes(job) for partition in self._partitions.values()
         )
 
-    def knows_jobs(self) -> bool:
+    def are_job_records_complete(self) -> bool:
         """Return whether a job that no record names is known not to exist.
 
         It is not while the gate is closed: a machine may run a job that the records have lost.
--- a/roadbend/recovery/watch.py
+++ b/roadbend/recovery/watch.py
@@ -77,6 +77,6 @@
         """Return the sketch of the ages, to be merged into that of another `Watch`."""
         return cast(bytes, self._ages.serialize())
 
-    def merge_ages(self, serialize_ages: bytes) -> None:
+    def merge_ages(self, serialized_ages: bytes) -> None:
         """Merge the serialized ages of another `Watch` into this one."""
-        self._ages.merge(kll_floats_sketch.deserialize(serialize_ages))
+        self._ages.merge(kll_floats_sketch.deserialize(serialized_ages))
