--- a/roadbend/recovery/partition.py
+++ b/roadbend/recovery/partition.py
@@ -45,16 +45,16 @@
         self,
         leader: PartitionLeader,
         environment: RecoveryEnvironment,
-        cold: bool,
+        is_cold: bool,
         lost_writes: bool,
     ) -> None:
-        self.leader, self._environment, self.cold = leader, environment, cold
+        self.leader, self._environment, self.is_cold = leader, environment, is_cold
         self.lost_writes = lost_writes
         settings = environment.settings
         self.phase: Phase = Gathering(leader.leadership.acquired_at, self._gather_until())
         self._phase_since = leader.leadership.acquired_at
         self.machines = PartitionMachines(leader, environment.inventory)
-        self.terms_in_use = TermsInUse(leader, self.machines, cold)
+        self.terms_in_use = TermsInUse(leader, self.machines, is_cold)
         self.held_attempts = HeldAttempts(settings.hold_most)
         evaluator = AttemptEvaluator(
             leader, environment, self.held_attempts, self.are_machines_known
@@ -124,7 +124,7 @@
 
         Until all have sent a heartbeat, those that have not look like missing capacity.
         """
-        return not self.cold or self.phase.name is not PhaseName.GATHERING
+        return not self.is_cold or self.phase.name is not PhaseName.GATHERING
 
     def should_delay_stop(self, key: TaskKey, stop: StopOrder, now: datetime) -> bool:
         """Return whether a direct kill may wait.
@@ -237,7 +237,7 @@
     def decide_held_attempts(self, now: datetime) -> None:
         """Decide again on every held attempt, and check whether one proves lost writes."""
         self._holder.decide_all(now)
-        if self.lost_writes or not self.cold:
+        if self.lost_writes or not self.is_cold:
             return
         lost = self._holder.find_lost_write()
         if lost is not None:
--- a/roadbend/recovery/records.py
+++ b/roadbend/recovery/records.py
@@ -94,7 +94,7 @@
     def _is_worth_recording(self, partition: PartitionRecovery, has_inherited_jobs: bool) -> bool:
         if partition.lost_writes or partition.leader.partition in self._written:
             return True
-        return bool(partition.difference_counts) or (partition.cold and has_inherited_jobs)
+        return bool(partition.difference_counts) or (partition.is_cold and has_inherited_jobs)
 
     async def _write(
         self,
--- a/roadbend/recovery/service.py
+++ b/roadbend/recovery/service.py
@@ -66,7 +66,7 @@
         partition = PartitionRecovery(
             leader,
             self._environment,
-            cold=self._gate.is_cold(),
+            is_cold=self._gate.is_cold(),
             lost_writes=self._gate.has_lost_writes(leader.partition),
         )
         self._partitions[leader.partition] = partition
@@ -74,7 +74,7 @@
             "recovery-started",
             partition=leader.partition,
             term=leader.leadership.term,
-            cold=partition.cold,
+            cold=partition.is_cold,
             held_jobs=len(self._context.view.assigned_jobs.get(leader.partition, ())),
         )
         return partition
--- a/roadbend/recovery/terms_in_use.py
+++ b/roadbend/recovery/terms_in_use.py
@@ -26,8 +26,8 @@
     second time: machines would accept the orders of the former leader that had the same token.
     """
 
-    def __init__(self, leader: PartitionLeader, machines: PartitionMachines, cold: bool) -> None:
-        self._leader, self._machines, self._cold = leader, machines, cold
+    def __init__(self, leader: PartitionLeader, machines: PartitionMachines, is_cold: bool) -> None:
+        self._leader, self._machines, self._is_cold = leader, machines, is_cold
         # By machine.
         self._terms: dict[str, int] = {}
         # When the first of them was reported, by the steady clock; None: there are none.
@@ -40,7 +40,7 @@
             partition = self._leader.partition
             log.warning("term-implausible", partition=partition, machine=machine, term=term)
             return
-        if term == own_term and not (self._cold and self._machines.is_present(machine)):
+        if term == own_term and not (self._is_cold and self._machines.is_present(machine)):
             # A delayed duplicate of a heartbeat from a machine that no longer exists.
             return
         self._terms[machine] = term
--- a/roadbend/store/request_budget.py
+++ b/roadbend/store/request_budget.py
@@ -22,8 +22,8 @@
 # times this growth if that is more.
 KEPT_SHARE = 0.4
 USAGE_GROWTH = 1.5
-# Rates are averaged exponentially over measurements of at least so many seconds; the weight of the
-# latest one.
+# The minimum length of a measurement of the used rates, in seconds, and the weight of the latest
+# measurement in their exponential average.
 MEASUREMENT_S = 1.0
 LAST_MEASUREMENT_WEIGHT = 0.5
 # The former rate is tried again after this time without another refusal, since the state store may
