--- a/roadbend/cloud/client.py
+++ b/roadbend/cloud/client.py
@@ -87,7 +87,7 @@
         """Requests per second that this controller uses."""
         return self._bucket.used
 
-    def share(self, others: list[float]) -> None:
+    def borrow(self, others: list[float]) -> None:
         """Borrow the unused parts of other controllers' shares, given the rate that each uses."""
         self._bucket.measure()
         self._bucket.borrow(others)
--- a/roadbend/cloud/messages.py
+++ b/roadbend/cloud/messages.py
@@ -14,7 +14,7 @@
 from roadbend.store.records import Resources
 from roadbend.wire_values import number, text
 
-# Longer boot times of a machine type, of more than a day, are cut to this.
+# Boot times of a machine type are capped at a day; a longer one carries no information.
 MAX_STARTUP_SECONDS = 86_400.0
 # Lower bound for fetch rates, in GB per second, below which a fetch would never finish.
 MIN_FETCH_GB_PER_S = 1e-6
@@ -66,7 +66,7 @@
 
     BOOTING = "booting"
     RUNNING = "running"
-    # Stopped on its own accord: no longer charged, and listed until it is deleted.
+    # Stopped by itself: no longer charged, and listed until it is deleted.
     FAILED = "failed"
 
 
@@ -75,7 +75,7 @@
 
 @dataclass(frozen=True)
 class ListedMachine:
-    """A machine in the cloud's list. `age` is the time from its request to the list."""
+    """A machine in the cloud's list. `age`: time since its request, when the list was made."""
 
     id: str
     address: str
--- a/roadbend/controller/attempts_on_machines.py
+++ b/roadbend/controller/attempts_on_machines.py
@@ -41,17 +41,20 @@
 
     async def are_all_held(self, job: str, attempts: Mapping[int, Attempt]) -> bool:
         """Return whether the machines hold all these attempts of a job now."""
-        return await self._are_all_settled(job, attempts, None)
+        return await self._settle_all(job, attempts, None)
 
-    async def are_all_settled(self, job: str, attempts: Mapping[int, Attempt], term: int) -> bool:
-        """Return whether the machines hold these attempts, or refuse their starts from now on.
+    async def settle_all(self, job: str, attempts: Mapping[int, Attempt], term: int) -> bool:
+        """Have each machine hold these attempts or refuse their starts; return whether all do.
+
+        The fencing token of a machine that does not hold its attempts is raised, so that it refuses
+        their starts from now on.
 
         `term`: the latest term of their partition, whose leader must be able to continue from
         raised tokens. Call this only once no leader sends starts of the job any more.
         """
-        return await self._are_all_settled(job, attempts, term)
+        return await self._settle_all(job, attempts, term)
 
-    async def _are_all_settled(
+    async def _settle_all(
         self, job: str, attempts: Mapping[int, Attempt], term: int | None
     ) -> bool:
         by_machine: dict[str, Attempts] = {}
@@ -64,8 +67,8 @@
 
         async def check_machine(machine: str, expected: Attempts) -> None:
             nonlocal all_settled
-            if not await self._is_settled(job, machine, expected, term):
-                # One failure settles the result: cancel the other queries.
+            if not await self._settle(job, machine, expected, term):
+                # One failure decides the result: cancel the other queries.
                 all_settled = False
                 nursery.cancel_scope.cancel()
 
@@ -74,10 +77,12 @@
                 nursery.start_soon(check_machine, machine, expected)
         return all_settled
 
-    async def _is_settled(
-        self, job: str, machine: str, expected: Attempts, term: int | None
-    ) -> bool:
-        """Return whether a machine holds all these attempts, or accepts a raised fencing token."""
+    async def _settle(self, job: str, machine: str, expected: Attempts, term: int | None) -> bool:
+        """Raise a machine's token unless it holds all these attempts.
+
+        Return whether it holds them, or accepted the raised token. Without a `term` no token is
+        raised.
+        """
         listed = self._inventory.rows.get(machine)
         if listed is None:
             _log_in_doubt(machine, expected, "machine-not-listed")
--- a/roadbend/controller/availability.py
+++ b/roadbend/controller/availability.py
@@ -7,9 +7,9 @@
 from roadbend.placement.context import ControllerContext
 
 # The state store serves us if it has answered a read that began within this time.
-CONTACT_FRESHNESS = timedelta(seconds=2)
+READ_FRESHNESS = timedelta(seconds=2)
 # The same for a peer, by its own report, and the maximum age of that report.
-PEER_CONTACT_FRESHNESS = timedelta(seconds=1.5)
+PEER_READ_FRESHNESS = timedelta(seconds=1.5)
 PEER_HEARTBEAT_FRESHNESS = timedelta(seconds=3)
 
 
@@ -32,8 +32,8 @@
 
     def state_refuses_only_us(self, now: datetime) -> bool:
         """Return whether the state store refuses this controller but serves a peer."""
-        contact = self._context.reader.last_read_at
-        if contact is not None and now - contact < CONTACT_FRESHNESS:
+        last_read_at = self._context.reader.last_read_at
+        if last_read_at is not None and now - last_read_at < READ_FRESHNESS:
             return False
         return any(_is_served(link.peer_state, now) for link in self._peers.links.values())
 
@@ -42,4 +42,4 @@
     heartbeat, received_at = peer.heartbeat, peer.received_at
     if heartbeat is None or received_at is None or now - received_at > PEER_HEARTBEAT_FRESHNESS:
         return False
-    return heartbeat.last_read_age is not None and heartbeat.last_read_age < PEER_CONTACT_FRESHNESS
+    return heartbeat.last_read_age is not None and heartbeat.last_read_age < PEER_READ_FRESHNESS
--- a/roadbend/controller/cancellation_check.py
+++ b/roadbend/controller/cancellation_check.py
@@ -15,7 +15,7 @@
     REPORT = "report"
     # The machines hold the attempts, or refuse their starts.
     MACHINES = "machines"
-    # No start can be carried out after this much time, whatever fails.
+    # So much time has passed (`max_confirmation_wait`) that no start can be carried out any more.
     TIME = "time"
 
 
--- a/roadbend/controller/heartbeats.py
+++ b/roadbend/controller/heartbeats.py
@@ -39,12 +39,12 @@
     def build(self) -> PeerHeartbeat:
         """Build a heartbeat from the current state."""
         now = clock.now()
-        contact = self._context.reader.last_read_at
+        last_read_at = self._context.reader.last_read_at
         cancellations = self._cancellations.recent(now)
         return PeerHeartbeat(
             incarnation=self._incarnation,
             uptime=now - self.began_at,
-            last_read_age=None if contact is None else now - contact,
+            last_read_age=None if last_read_at is None else now - last_read_at,
             request_rates=RequestRates(*self._budget.used, self._cloud.used),
             led_partitions={
                 partition: leadership.term
--- a/roadbend/controller/machine_evidence.py
+++ b/roadbend/controller/machine_evidence.py
@@ -1,4 +1,4 @@
-"""Query machines for the attempts of a cancelled job whose leader can't be queried."""
+"""Query machines for the attempts of a cancelled job, if their leader can't be queried."""
 
 from roadbend.controller.attempts_on_machines import AttemptsOnMachines
 from roadbend.controller.cancellation_check import CancellationCheck, Evidence
@@ -24,7 +24,7 @@
         term = self._followed_term(partition)
         if term is None:
             return await self._machines.are_all_held(job_slice.job, attempts)
-        return await self._machines.are_all_settled(job_slice.job, attempts, term)
+        return await self._machines.settle_all(job_slice.job, attempts, term)
 
     def _followed_term(self, partition: str) -> int | None:
         """Return the partition's term if its leader can continue from a token that a peer raised.
--- a/roadbend/controller/rate_sharing.py
+++ b/roadbend/controller/rate_sharing.py
@@ -21,4 +21,4 @@
             if link.alive(now) and link.peer_state.heartbeat
         ]
         budget.borrow([(rate.state_requests, rate.state_changes) for rate in rates])
-        cloud.share([rate.cloud_requests for rate in rates])
+        cloud.borrow([rate.cloud_requests for rate in rates])
--- a/roadbend/fleet/avoidance_policy.py
+++ b/roadbend/fleet/avoidance_policy.py
@@ -14,7 +14,7 @@
 
 
 class AvoidanceLimits(NamedTuple):
-    """Limits of a leader's silence, since its last peer heartbeat, in which it is avoided."""
+    """Limits of a leader's silence, counted from its last peer heartbeat, for avoiding it."""
 
     # During a shorter silence, a worker that is redirected to the leader in vain returns before its
     # lease can expire.
@@ -22,7 +22,7 @@
     # After a longer silence, every lease that the leader had renewed has expired.
     max_silence: timedelta
     # If most workers have turned to other controllers within this time, the leader fell silent to
-    # them and to this controller at once.
+    # them and to this controller at the same time.
     max_departure: timedelta
 
 
--- a/roadbend/fleet/foreign_heartbeats.py
+++ b/roadbend/fleet/foreign_heartbeats.py
@@ -67,21 +67,19 @@
         """Return the newest heartbeat of a machine; raise `KeyError` if there is none."""
         return self._received[partition][machine]
 
-    def find_unserved(self, question: UnservedMachinesQuery, now: datetime) -> set[str]:
+    def find_unserved(self, query: UnservedMachinesQuery, now: datetime) -> set[str]:
         """Return the machines that recently turned to this controller, unserved by their leader.
 
         A worker that its leader serves stays with it. Heartbeats that may have been delayed in
         transit do not count: they arrived on a connection from before the silence.
         """
-        received: dict[str, _ReceivedHeartbeat] = self._received.get(
-            question.partition, OrderedDict()
-        )
-        sent_since = max(question.silent_since, now - 2 * UNSERVED_ROUND)
+        received: dict[str, _ReceivedHeartbeat] = self._received.get(query.partition, OrderedDict())
+        sent_since = max(query.silent_since, now - 2 * UNSERVED_ROUND)
         return {
             machine
-            for machine in question.machines
+            for machine in query.machines
             if (row := received.get(machine)) is not None
-            and row.term == question.term
+            and row.term == query.term
             and now - row.at < UNSERVED_ROUND
             and row.sent_after > sent_since
         }
--- a/roadbend/fleet/heartbeat_evaluation.py
+++ b/roadbend/fleet/heartbeat_evaluation.py
@@ -203,7 +203,7 @@
 
 
 def _observe(machine: Machine, key: TaskKey, task: TaskStatus, now: datetime) -> ObservedTask:
-    """Return a task as reported now, with the times from which on it has been in its state."""
+    """Return a task as reported now, with when it was first seen running and in its state."""
     before = machine.tasks.get(key)
     known = before if before and before.attempt == task.attempt else None
     running_since = known.running_since if known else None
--- a/roadbend/fleet/machine_reach.py
+++ b/roadbend/fleet/machine_reach.py
@@ -19,7 +19,7 @@
 
 
 class MachineReach:
-    """Probes some machines of a partition, those that run gangs first."""
+    """Probes some machines of a partition: those that run gangs, or any if none runs a gang."""
 
     def __init__(self, net: Net, inventory: CloudInventory, view: RecordView) -> None:
         self._net, self._inventory, self._view = net, inventory, view
--- a/roadbend/fleet/messages.py
+++ b/roadbend/fleet/messages.py
@@ -13,7 +13,7 @@
 from roadbend.http.server import MalformedError
 from roadbend.wire_values import INTEGER_LIMIT, flag, number, text, whole
 
-# Longer reclaim notices, of more than a month, are cut to this.
+# Reclaim notices are capped at a month; a longer one carries no information.
 MAX_NOTICE_S = 30 * 86400.0
 # Enough for the job with the most tasks that users may submit.
 MAX_TASK_INDEX_DIGITS = 7
--- a/roadbend/fleet/service.py
+++ b/roadbend/fleet/service.py
@@ -115,11 +115,11 @@
             return leader
         return None if other == next_in_ring(name, names) else other
 
-    def count_unserved(self, question: UnservedMachinesQuery, now: datetime) -> int:
+    def count_unserved(self, query: UnservedMachinesQuery, now: datetime) -> int:
         """Count the machines of a silent leader that have recently turned to this controller."""
-        return len(self._find_unserved(question, now))
+        return len(self._find_unserved(query, now))
 
-    def _find_unserved(self, question: UnservedMachinesQuery, now: datetime) -> set[str]:
+    def _find_unserved(self, query: UnservedMachinesQuery, now: datetime) -> set[str]:
         """Return the machines of a silent leader that have recently turned to this controller.
 
         None right after a pause of this process: heartbeats that arrived during the pause look as
@@ -127,7 +127,7 @@
         """
         if self.failure_detector.has_paused_since(now - UNSERVED_ROUND):
             return set()
-        return self.foreign_heartbeats.find_unserved(question, now)
+        return self.foreign_heartbeats.find_unserved(query, now)
 
     def foreign_machines(self, now: datetime) -> dict[str, tuple[str, ...]]:
         """Return the machines of other leaders that send heartbeats here, by partition."""
--- a/roadbend/fleet/silent_leaders.py
+++ b/roadbend/fleet/silent_leaders.py
@@ -106,8 +106,8 @@
 
     def _update_workers(self, partition: str, silence: _Silence, now: datetime) -> None:
         machines = self._controller.view.attempts_by_machine.get(partition, {})
-        question = UnservedMachinesQuery(partition, silence.leader.term, silence.since, machines)
-        unserved = self._find_unserved(question, now)
+        query = UnservedMachinesQuery(partition, silence.leader.term, silence.since, machines)
+        unserved = self._find_unserved(query, now)
         for names in self._peers.reporting_machines(partition, now):
             unserved.update(name for name in names if name in machines)
         share = self._controller.operator.takeover_share
--- a/roadbend/fleet/test_foreign_heartbeats.py
+++ b/roadbend/fleet/test_foreign_heartbeats.py
@@ -28,7 +28,7 @@
     tasks=(),
     reported_tasks=None,
 )
-QUESTION = UnservedMachinesQuery("east", TERM, T - 5 * S, {"m-1": None, "m-2": None})
+QUERY = UnservedMachinesQuery("east", TERM, T - 5 * S, {"m-1": None, "m-2": None})
 
 
 def recorded(*rows):
@@ -74,7 +74,7 @@
 ):
     """Guards against replacing a leader because of a heartbeat that proves nothing."""
     foreign = recorded((changes, came, sent_after))
-    assert len(foreign.find_unserved(QUESTION, T)) == counted
+    assert len(foreign.find_unserved(QUERY, T)) == counted
 
 
 def test_a_copy_does_not_make_a_machine_turn_to_us_again():
@@ -83,7 +83,7 @@
     copy = ({}, T, T - S)
     older = ({"position": HeartbeatPosition(1, 49)}, T, T - S)
     foreign = recorded(({}, long_ago, long_ago), copy, older)
-    assert len(foreign.find_unserved(QUESTION, T)) == 0
+    assert len(foreign.find_unserved(QUERY, T)) == 0
 
 
 def test_what_is_held_back_for_longer_than_two_rounds_does_not_count():
@@ -91,18 +91,18 @@
 
     A heartbeat that was sent before the last two rounds may have been delayed in transit.
     """
-    question = replace(QUESTION, silent_since=T - 600 * S)
+    query = replace(QUERY, silent_since=T - 600 * S)
     sent_after = T - 2 * UNSERVED_ROUND
-    assert len(recorded(({}, T, sent_after)).find_unserved(question, T)) == 0
-    assert len(recorded(({}, T, sent_after + S)).find_unserved(question, T)) == 1
+    assert len(recorded(({}, T, sent_after)).find_unserved(query, T)) == 0
+    assert len(recorded(({}, T, sent_after + S)).find_unserved(query, T)) == 1
 
 
 def test_a_machine_that_came_a_round_ago_may_be_served_again():
     """Guards against counting workers as unserved that have returned to their leader."""
-    question = replace(QUESTION, silent_since=T - 600 * S)
+    query = replace(QUERY, silent_since=T - 600 * S)
     came = T - UNSERVED_ROUND
-    assert len(recorded(({}, came, came)).find_unserved(question, T)) == 0
-    assert len(recorded(({}, came + S, came)).find_unserved(question, T)) == 1
+    assert len(recorded(({}, came, came)).find_unserved(query, T)) == 0
+    assert len(recorded(({}, came + S, came)).find_unserved(query, T)) == 1
 
 
 async def test_nothing_counts_for_a_round_after_a_pause_of_this_process():
@@ -111,13 +111,13 @@
         await trio.sleep(30)
         fleet = w.controllers["node-0"].fleet
         now = clock.now()
-        question = replace(QUESTION, silent_since=now - 5 * S)
+        query = replace(QUERY, silent_since=now - 5 * S)
         fleet.foreign_heartbeats.record(HEARTBEAT, now, now - S)
-        assert fleet.count_unserved(question, now) == 1
+        assert fleet.count_unserved(query, now) == 1
         fleet.failure_detector._pauses.record_time(now - 20 * S)
-        assert fleet.count_unserved(question, now) == 0
+        assert fleet.count_unserved(query, now) == 0
         later = now + UNSERVED_ROUND
         fleet.foreign_heartbeats.record(
             replace(HEARTBEAT, position=HeartbeatPosition(1, 51)), later, later - S
         )
-        assert fleet.count_unserved(question, later) == 1
+        assert fleet.count_unserved(query, later) == 1
--- a/roadbend/fleet/test_machine_incarnations.py
+++ b/roadbend/fleet/test_machine_incarnations.py
@@ -172,7 +172,7 @@
     """Inject one fault.
 
     A machine restarts, a copy of a heartbeat arrives late at some controller, a controller restarts
-    during an election, or the state service is briefly unavailable.
+    during an election, or the state store is briefly unavailable.
     """
     await trio.sleep(rng.uniform(0.2, 1.5))
     up = [m for m in w.cloud.machines.values() if m.worker is not None and m.status == "running"]
--- a/roadbend/fleet/test_machine_reach.py
+++ b/roadbend/fleet/test_machine_reach.py
@@ -62,7 +62,7 @@
 
 
 async def test_machines_that_have_failed_by_the_cloud_need_not_answer(monkeypatch):
-    """Guards against a failed machine that makes its partition count as unreachable."""
+    """Guards against a failed machine because of which a leader without gangs is not replaced."""
     machines = Machines(monkeypatch, 4)
     machines.answering = set(machines.names[1:])
     failed = listed_machine(machines.names[0], MachineStatus.FAILED)
--- a/roadbend/partitions/election.py
+++ b/roadbend/partitions/election.py
@@ -35,13 +35,13 @@
 
 log = Log("partitions")
 
-# A leader starts tasks only if it has read the records within this time. So it is known how long
-# after a cancellation was recorded a leader may still start the job's tasks in ignorance of it.
+# A leader starts tasks only if it has read the records within this time. This bounds how long after
+# a cancellation was recorded a leader may still start the job's tasks without knowing of it.
 START_FRESHNESS = timedelta(seconds=2)
 # Partitions are acquired, released and failed back only if the records were read within this time.
 DECISION_FRESHNESS = timedelta(seconds=2)
 ELECTION_INTERVAL = timedelta(milliseconds=300)
-# How long a partition that we acquired although its home controller is alive does not fail back.
+# How long a partition does not fail back after we acquired it while its home controller was alive.
 FAILBACK_HOLD_OFF_AFTER_ACQUISITION = timedelta(seconds=25)
 # The minimum time between two failbacks of a partition to the same controller.
 FAILBACK_HOLD_OFF_AFTER_FAILBACK = timedelta(seconds=30)
@@ -107,12 +107,12 @@
         Our lease must be valid, and the records must have been read recently, so that we learn of
         cancellations soon.
         """
-        contact, valid_until = self._reader.last_read_at, self.lease.valid_until
+        last_read_at, valid_until = self._reader.last_read_at, self.lease.valid_until
         return (
             valid_until is not None
             and now < valid_until
-            and contact is not None
-            and now - contact < START_FRESHNESS
+            and last_read_at is not None
+            and now - last_read_at < START_FRESHNESS
         )
 
     def may_renew(self, now: datetime) -> bool:
@@ -197,8 +197,8 @@
             self._lose_all(LossReason.LEASE_ENDED)
         if self.lease.id is None:
             return
-        now, contact = clock.now(), self._reader.last_read_at
-        if contact is None or now - contact > DECISION_FRESHNESS:
+        now, last_read_at = clock.now(), self._reader.last_read_at
+        if last_read_at is None or now - last_read_at > DECISION_FRESHNESS:
             return
         controllers = self._live_controllers.observe(self.leaderships.keys(), now)
         for partition in self.partitions():
--- a/roadbend/partitions/gang_leaders.py
+++ b/roadbend/partitions/gang_leaders.py
@@ -29,10 +29,10 @@
 ) -> bool:
     """Return whether to acquire a partition from its live leader, which does not support its gangs.
 
-    Only from a leader that answers our heartbeats, and only if the partition is our own zone's or
-    we lead that one: otherwise its machines may be able to reach that leader only. The same holds
-    if its machines don't answer us, which is checked before the partition is acquired. Terms and
-    fencing tokens fence the former leader (docs/meetings.md).
+    Only from a leader that answers our heartbeats. A partition of another zone is acquired only
+    while we lead our own zone's: otherwise its machines may be able to reach that leader only. The
+    same holds if its machines don't answer us, which is checked before the partition is acquired.
+    Terms and fencing tokens fence the former leader (docs/meetings.md).
     """
     since = partition.gangs_at_risk_since
     if since is None or partition.acquisition_held or partition.was_unreachable:
@@ -47,7 +47,11 @@
 
 
 def _can_lead(partition: PartitionState, controllers: ControllersState) -> bool:
-    """Return whether we can lead a partition: our own zone's, or another if we lead few others."""
+    """Return whether we can lead a partition.
+
+    We can lead our own zone's. We can lead another one while we lead our own zone's and fewer than
+    `MAX_LED_FOR_GANGS` others.
+    """
     if partition.name == controllers.home:
         return True
     if controllers.home not in controllers.led:
--- a/roadbend/partitions/test_partition_observation.py
+++ b/roadbend/partitions/test_partition_observation.py
@@ -23,7 +23,7 @@
 @pytest.mark.parametrize("silent_for, asked", [(5.9 * S, False), (6 * S, True)])
 def test_machines_are_counted_only_while_their_leader_is_silent(silent_for, asked):
     """Guards against examining all machines in every election step."""
-    view, questions = RecordView(), []
+    view, queries = RecordView(), []
     view.put(keys.leader_key("west"), {"node": "n2", "boot": "i2", "term": 8}, 3)
     attempts = {0: Attempt(70, "m-1"), 1: Attempt(71, "m-2")}
     shard = SliceShard("run-1", "west", "red", Resources(1, 0, 1), attempts=attempts, shard=0)
@@ -31,7 +31,7 @@
     observer = PartitionObserver(OPERATOR, view, HoldOffs())
 
     def count(query, _now):
-        questions.append((query.partition, query.term, set(query.machines)))
+        queries.append((query.partition, query.term, set(query.machines)))
         return 1
 
     observer.count_unserved = count
@@ -40,4 +40,4 @@
     controllers = ControllersState("n1", "i1", zones, {"n1": T, "n2": T}, peers)
     state = observer.observe("west", None, controllers, T)
     assert state.machines == (MachineCounts(2, 1) if asked else NO_MACHINES)
-    assert questions == ([("west", 8, {"m-1", "m-2"})] if asked else [])
+    assert queries == ([("west", 8, {"m-1", "m-2"})] if asked else [])
--- a/roadbend/partitions/unserved.py
+++ b/roadbend/partitions/unserved.py
@@ -32,6 +32,6 @@
 CountUnserved = Callable[[UnservedMachinesQuery, datetime], int]
 
 
-def count_none(_question: UnservedMachinesQuery, _now: datetime) -> int:
+def count_none(_query: UnservedMachinesQuery, _now: datetime) -> int:
     """Return 0: the default for a controller that receives no heartbeats of machines."""
     return 0
--- a/tests/scenarios/test_raised_tokens.py
+++ b/tests/scenarios/test_raised_tokens.py
@@ -182,13 +182,13 @@
         w.network.cut("node-1", silent)
         attempts = {0: Attempt(9, machine), 1: Attempt(9, silent)}
         for _ in range(5):
-            assert not await machines.are_all_settled(CANCELLED, attempts, term)
+            assert not await machines.settle_all(CANCELLED, attempts, term)
             await trio.sleep(1)
         w.network.heal("node-1", silent)
-        assert await machines.are_all_settled(CANCELLED, {0: Attempt(9, machine)}, term)
+        assert await machines.settle_all(CANCELLED, {0: Attempt(9, machine)}, term)
         assert worker.token == before + 1
         # Another job's start is refused by a token of its own.
-        assert await machines.are_all_settled("run-000002", {0: Attempt(10, machine)}, term)
+        assert await machines.settle_all("run-000002", {0: Attempt(10, machine)}, term)
         assert worker.token == before + 2
         await w.over()
 
--- a/tests/scenarios/test_workers_of_silent_leaders.py
+++ b/tests/scenarios/test_workers_of_silent_leaders.py
@@ -168,8 +168,8 @@
         def all_counted(name: str) -> bool:
             controller = w.controllers[name]
             received_at = controller.peers.links["node-0"].peer_state.received_at
-            question = UnservedMachinesQuery("east", before, received_at, machines)
-            return controller.fleet.count_unserved(question, clock.now()) == len(machines)
+            query = UnservedMachinesQuery("east", before, received_at, machines)
+            return controller.fleet.count_unserved(query, clock.now()) == len(machines)
 
         within = first_expiry(w) - trio.current_time()
         assert await w.until(lambda: all_counted("node-1") and all_counted("node-2"), within, 0.05)
