--- a/roadbend/fleet/failure_detector.py
+++ b/roadbend/fleet/failure_detector.py
@@ -128,7 +128,7 @@
             self._probing.discard((leader.partition, machine_id))
 
     async def _probe_once(self, leader: Leader, machine_id: str) -> None:
-        """Probe a silent machine; delete it without any sign that it is alive."""
+        """Probe a silent machine; delete it unless there is a sign that it is alive."""
         probe = await self._probes.probe(leader, machine_id)
         settings = self._controller.settings
         if probe.answered and probe.silence() < settings.lease * ANSWERING_LEASES:
--- a/roadbend/fleet/machine_reach.py
+++ b/roadbend/fleet/machine_reach.py
@@ -11,8 +11,7 @@
 from roadbend.http.net import Net
 from roadbend.store.record_view import RecordView
 
-# At most so many machines of a partition are probed; a network partition of the zone shows on any
-# few of them.
+# Machines of a partition that are probed; a network partition of the zone shows on any few of them.
 MAX_PROBED = 8
 # For how long a partition that was found unreachable is not probed again.
 RETRY_INTERVAL = timedelta(seconds=5)
--- a/roadbend/fleet/silent_leaders.py
+++ b/roadbend/fleet/silent_leaders.py
@@ -48,7 +48,7 @@
         self._silences: dict[str, _Silence] = {}
 
     async def watch(self) -> None:
-        """Check all leaders every second, forever."""
+        """Check all leaders every second, until cancelled."""
         while True:
             await clock.pause(CHECK_INTERVAL)
             try:
--- a/roadbend/fleet/test_silent_leaders.py
+++ b/roadbend/fleet/test_silent_leaders.py
@@ -35,9 +35,7 @@
         controller = SimpleNamespace(settings=SETTINGS, operator=OPERATOR, view=self.view)
         self.peers = Peers(None, SETTINGS.name, SETTINGS.peers)
         self.peers.links["node-0"].peer_state.received_at = HEARD
-        self.leaders = SilentLeaders(
-            controller, self.peers, lambda _question, _now: set(self.turned)
-        )
+        self.leaders = SilentLeaders(controller, self.peers, lambda _query, _now: set(self.turned))
 
     def check_until(self, silence, first=timedelta(0)):
         """Check every second of the silence, from `first` on; return whether it is avoided."""
--- a/roadbend/fleet/zone_reachability.py
+++ b/roadbend/fleet/zone_reachability.py
@@ -11,17 +11,18 @@
 MAX_UNREACHABLE_LEASES = 6
 # With fewer machines than this, their silence says nothing about the zone.
 MIN_MACHINES_OF_UNREACHABLE_ZONE = 3
-# A machine counts as silent after so many heartbeat intervals in the decision whether its zone is
-# unreachable. In the count of machines that fell silent together it does so after fewer.
+# In the decision whether its zone is unreachable, a machine counts as silent after
+# SILENT_INTERVALS heartbeat intervals. In the count of machines that fell silent together it does
+# so after RECENTLY_SILENT_INTERVALS, which are fewer.
 SILENT_INTERVALS = 2.2
 RECENTLY_SILENT_INTERVALS = 1.3
-# After so many intervals of leadership every machine has had time for a heartbeat.
+# After this many heartbeat intervals of leadership every machine has had time for a heartbeat.
 SETTLED_INTERVALS = 3
-# At least so many machines must be silent for a common cause. The first bound applies if the zone
-# is not marked as unreachable and most of its machines are silent, the second one otherwise.
+# The least numbers of silent machines for a common cause. The first one applies if the zone is not
+# marked as unreachable and most of its machines are silent, the second one otherwise.
 MIN_SILENT_BEFORE_UNREACHABLE = 2
 MIN_SILENT_OF_COMMON_CAUSE = 3
-# After so many leases without a response a machine's lease has certainly expired.
+# After this many leases without a response a machine's lease has certainly expired.
 EXPIRED_LEASES = 1.3
 
 
--- a/roadbend/partitions/test_gang_leaders.py
+++ b/roadbend/partitions/test_gang_leaders.py
@@ -53,7 +53,7 @@
     return PeerState(heartbeat=heartbeat, requested_at=T - ago, received_at=T - ago)
 
 
-def controllers(leader_heard=S, leader="i2", third="i3" + GANGS_EXTENSION, led=("east",)):
+def controllers(leader_silent_for=S, leader="i2", third="i3" + GANGS_EXTENSION, led=("east",)):
     """Build what n1 knows: the leader's last reply, the version of n3, the partitions n1 leads."""
     without_gangs = {"n2"} if third.endswith(GANGS_EXTENSION) else {"n2", "n3"}
     return ControllersState(
@@ -61,7 +61,7 @@
         incarnation="i1" + GANGS_EXTENSION,
         zones=ZONES,
         alive_since={"n1": T - 100 * S, "n2": T - 100 * S, "n3": T - 100 * S},
-        peers={"n2": replied_peer(leader, leader_heard), "n3": replied_peer(third)},
+        peers={"n2": replied_peer(leader, leader_silent_for), "n3": replied_peer(third)},
         led=led,
         without_gangs=frozenset(without_gangs),
     )
@@ -92,7 +92,7 @@
 @pytest.mark.parametrize(
     "known",
     [
-        controllers(leader_heard=ALIVE_FOR),
+        controllers(leader_silent_for=ALIVE_FOR),
         controllers(leader="i1"),
         controllers(led=()),
         controllers(led=("north",)),
