--- a/tests/scenarios/test_raised_tokens.py
+++ b/tests/scenarios/test_raised_tokens.py
@@ -188,13 +188,13 @@
         w.network.block("node-1", unreachable)
         attempts = {0: Attempt(9, machine), 1: Attempt(9, unreachable)}
         for _ in range(5):
-            assert not await machines.are_all_settled(CANCELLED_JOB, attempts, term)
+            assert not await machines.settle_all(CANCELLED_JOB, attempts, term)
             await trio.sleep(1)
         w.network.unblock("node-1", unreachable)
-        assert await machines.are_all_settled(CANCELLED_JOB, {0: Attempt(9, machine)}, term)
+        assert await machines.settle_all(CANCELLED_JOB, {0: Attempt(9, machine)}, term)
         assert worker.token == before + 1
         # To reject the starts of another job, the token is raised again.
-        assert await machines.are_all_settled("run-000002", {0: Attempt(10, machine)}, term)
+        assert await machines.settle_all("run-000002", {0: Attempt(10, machine)}, term)
         assert worker.token == before + 2
         await w.finish()
 
