--- a/roadbend/rehearsal/actions/faults.py
+++ b/roadbend/rehearsal/actions/faults.py
@@ -57,7 +57,7 @@
         drawn = stage.draw_machines(self.count)
         for name in drawn:
             stage.world.cloud.reboot(name)
-        stage.record_event(f"machines restarted: {', '.join(drawn)}")
+        stage.record_event(f"machines began anew: {', '.join(drawn)}")
 
 
 @dataclass(frozen=True)
--- a/roadbend/rehearsal/real_processes.py
+++ b/roadbend/rehearsal/real_processes.py
@@ -121,7 +121,7 @@
         faulted = set(self.rng.sample(machines, max(1, self.workers // WORKERS_PER_REBOOT)))
         for machine in sorted(faulted):
             self.fakes.cloud.reboot(machine)
-        self.events.record(f"machines restarted: {', '.join(sorted(faulted))}")
+        self.events.record(f"machines began anew: {', '.join(sorted(faulted))}")
         await trio.sleep(DOWNTIME_S / 2)
         return faulted
 
