--- a/roadbend/recovery/test_recovery.py
+++ b/roadbend/recovery/test_recovery.py
@@ -191,7 +191,7 @@
     If a lower term were used, all of them would end their tasks when their leases expire.
     """
     async with running(job(1, legs=4, **SERVICE)) as w:
-        copy = w.state.copy_records()
+        copy = w.state.take_snapshot()
         for at in range(3):
             w.crash(at)
             await trio.sleep(0.5)
