--- a/roadbend/checkers/differences.py
+++ b/roadbend/checkers/differences.py
@@ -43,7 +43,7 @@
     cancelled: frozenset[PlacedAttempt] = frozenset()
     # Not ended on their machines, of live jobs, but not recorded.
     unrecorded: frozenset[PlacedAttempt] = frozenset()
-    # Recorded on machines that do not run.
+    # Recorded on machines that hang or do not run.
     silent: frozenset[PlacedAttempt] = frozenset()
     # Ended on their machines and not recorded; they are to be removed there.
     leftovers: frozenset[PlacedAttempt] = frozenset()
--- a/roadbend/checkers/protocol_rules.py
+++ b/roadbend/checkers/protocol_rules.py
@@ -79,7 +79,7 @@
     def check_answer(
         self, method: str, path: str, body: Any, status: int, answer: Any, began: float
     ) -> None:
-        """Check the answer to a user's request that was begun at `began`."""
+        """Record and check the answer to a user's request that was begun at `began`."""
         if method == "POST" and path == JOBS_PATH:
             job = self._check_submission_answer(body, status, began)
         elif path.startswith(f"{JOBS_PATH}/"):
@@ -180,7 +180,7 @@
             )
 
     def check_start(self, task: str, place: Place) -> None:
-        """Check that a task may start on a machine."""
+        """Record that a task starts on a machine, and check that it may."""
         self.starts += 1
         places = self.placements.setdefault(task, {})
         if places.keys() - {place.machine}:
--- a/roadbend/checkers/requirements.py
+++ b/roadbend/checkers/requirements.py
@@ -45,7 +45,7 @@
 ) -> bool:
     """Return whether a team's usage and limit permit no start of a job's waiting tasks.
 
-    A gang needs capacity for all waiting tasks, another job for one.
+    The limit has to permit all waiting tasks of a gang, but only one of another job.
     """
     return _exceeds(body, waiting if body["shape"] == "group" else 1, used, max_usage)
 
--- a/roadbend/checkers/search_faults.py
+++ b/roadbend/checkers/search_faults.py
@@ -103,7 +103,10 @@
         await self.world.isolate_controller(self.draw_index(rng), length)
 
     async def isolate_zone(self, length: float, rng: random.Random) -> None:
-        """Partition a zone, including its controller, from everything else."""
+        """Partition a zone's controller from the state store, the cloud and its peers.
+
+        The zone's machines are partitioned from the peers as well.
+        """
         await self.world.isolate_zone(self.draw_index(rng), length)
 
     # Faults of the state store and the cloud.
@@ -142,7 +145,7 @@
 
     # Faults of machines and of the network.
 
-    async def cut_machines(self, length: float, rng: random.Random) -> None:
+    async def isolate_machines(self, length: float, rng: random.Random) -> None:
         """Partition some machines from all controllers."""
         machines = self.some_machines(rng)
         controllers = [f"node-{n}" for n in range(self.world.count)]
@@ -179,7 +182,8 @@
     async def held_burst(self, length: float, rng: random.Random) -> None:
         """Hold heartbeats back until they all arrive at once.
 
-        At about that time answers to transactions are lost; then the machines are partitioned.
+        At about that time transactions are committed but their answers are lost; then the machines
+        are partitioned from all controllers.
         """
         machines, index = self.some_machines(rng), self.draw_index(rng)
         self.world.cloud.refuse_deletion = True
@@ -336,7 +340,7 @@
     "late-writes": Kind(Deployment.late_writes, (2.0, 40.0)),
     "lost-answers": Kind(Deployment.lost_answers, (2.0, 40.0)),
     "no-cloud": Kind(Deployment.no_cloud, (5.0, 70.0)),
-    "cut-machines": Kind(Deployment.cut_machines, (1.0, 45.0)),
+    "cut-machines": Kind(Deployment.isolate_machines, (1.0, 45.0)),
     "flap": Kind(Deployment.flap, (10.0, 60.0)),
     "lease-edge": Kind(Deployment.lease_edge, (2.0, 10.0)),
     "held-burst": Kind(Deployment.held_burst, (2.0, 12.0)),
--- a/roadbend/checkers/search_runs.py
+++ b/roadbend/checkers/search_runs.py
@@ -23,7 +23,8 @@
 # Faults are drawn in clusters, so that they overlap: the largest distance from a cluster's centre,
 # in seconds.
 CLUSTER_RADIUS_S = 12.0
-# The bounds for the clusters and faults of a run, and the machines of each kind that a zone has.
+# The bounds for the clusters and faults of a run, and how many machines of each kind a zone has at
+# most.
 MAX_CLUSTERS, MIN_FAULTS, MAX_FAULTS, CAPACITY = 2, 3, 12, 8
 # In a run with requested kinds of faults: how many faults are the seed's own, and how many are of
 # these kinds.
--- a/roadbend/fakes/fault_injection.py
+++ b/roadbend/fakes/fault_injection.py
@@ -21,8 +21,8 @@
 # The bounds for the delay of a direct command, in seconds.
 MIN_COMMAND_DELAY_S = 2.0
 MAX_COMMAND_DELAY_S = 16.0
-# How many copies of heartbeats are kept for a partition's next leader, and how often is checked for
-# a new leader, in seconds.
+# How many copies of heartbeats are kept at most for a partition's next leader, and the interval of
+# the checks for a new leader, in seconds.
 MAX_COPIES = 400
 LEADER_POLL_INTERVAL_S = 0.05
 
@@ -68,7 +68,10 @@
         await self.block_pairs([(f"node-{index}", other) for other in ("state", *others)], length)
 
     async def isolate_zone(self, index: int, length: float) -> None:
-        """Partition a zone's controller and machines from everything outside the zone."""
+        """Partition a zone's controller from the state store, the cloud and its peers.
+
+        The zone's machines are partitioned from the peers as well; users still reach everything.
+        """
         inside = [m.id for m in self.cloud.machines.values() if m.zone == self.zones[index]]
         others = [f"node-{n}" for n in range(self.count) if n != index]
         pairs = [(f"node-{index}", other) for other in ("state", "cloud", *others)]
--- a/roadbend/fakes/loopback.py
+++ b/roadbend/fakes/loopback.py
@@ -23,7 +23,7 @@
 
 ZONES = ("east", "north", "west")
 HOST = "127.0.0.1"
-CONTROLLERS = 3
+CONTROLLER_COUNT = 3
 MACHINE_TYPE = {
     "name": "g2",
     "vcpus": 24.0,
@@ -78,7 +78,7 @@
     others = "".join(
         f'[[others]]\nhost_name = "node-{n}"\ndomain = "{ZONES[n]}"\n'
         f'address = "{addresses.back[n]}"\n'
-        for n in range(CONTROLLERS)
+        for n in range(CONTROLLER_COUNT)
         if n != index
     )
     return f"""host_name = "node-{index}"
@@ -90,7 +90,7 @@
 cloud = "{addresses.cloud}"
 state = "{addresses.state}"
 [deployment]
-count = {CONTROLLERS}
+count = {CONTROLLER_COUNT}
 zones = {list(ZONES)}
 clock_off_ms = 25.0
 [[deployment.teams]]
@@ -125,7 +125,7 @@
         self.board = Board(self.rules)
         self.state = FakeStateService()
         self.cloud = FakeCloud(nursery, [MACHINE_TYPE], limits.machines, self._worker)
-        self.controllers = {f"node-{n}": addresses.listen[n] for n in range(CONTROLLERS)}
+        self.controllers = {f"node-{n}": addresses.listen[n] for n in range(CONTROLLER_COUNT)}
 
     async def start(self) -> None:
         """Start listening."""
@@ -182,7 +182,7 @@
 def write_settings(directory: Path, addresses: Addresses, limits: Limits) -> list[Path]:
     """Write one settings file per controller, and return their paths."""
     directory.mkdir(parents=True, exist_ok=True)
-    paths = [directory / f"node-{index}.toml" for index in range(CONTROLLERS)]
+    paths = [directory / f"node-{index}.toml" for index in range(CONTROLLER_COUNT)]
     for index, path in enumerate(paths):
         path.write_text(settings_text(index, addresses, limits))
     return paths
--- a/roadbend/fakes/network.py
+++ b/roadbend/fakes/network.py
@@ -98,7 +98,7 @@
             or target[0] in self.inbound_blocked
             or host in self.outbound_blocked
         ):
-            # A blocked host does not answer at all.
+            # An attempt to connect that is blocked gets no answer, not even a refusal.
             await trio.sleep(3600)
             raise ConnectionRefusedError(address)
         opener_stream, listener_stream = trio.testing.memory_stream_pair()
@@ -111,7 +111,7 @@
     def _filter(
         self, stream: trio.testing.MemorySendStream, sender: str, receiver: str, opened: bool
     ) -> None:
-        """Drop what is sent to a blocked host, and hold back packets of held directions.
+        """Drop what is sent to a host with blocked inbound traffic; hold back held directions.
 
         The connection itself stays open.
         """
--- a/roadbend/fakes/previous_cancellations.py
+++ b/roadbend/fakes/previous_cancellations.py
@@ -19,7 +19,7 @@
 MAX_RECORD_AGE_FOR_STARTS = timedelta(seconds=2)
 # Delay before a cancellation is sent again to a peer that did not answer.
 RETRY_INTERVAL = timedelta(milliseconds=200)
-# How often is checked whether all leaders have received the cancellation.
+# Interval of the checks whether all leaders have received the cancellation.
 POLL_INTERVAL = timedelta(milliseconds=10)
 
 
@@ -31,7 +31,8 @@
     async def confirm(job: str, timeout: timedelta) -> bool:
         cancellations.add(job)
         if timeout > clock.ZERO:
-            # Those versions answered queries and repeated submissions without propagation.
+            # Without a timeout, the request is a query or a repeated submission, which those
+            # versions answered without propagation.
             await propagation.propagate()
         return True
 
--- a/roadbend/fakes/previous_version.py
+++ b/roadbend/fakes/previous_version.py
@@ -44,7 +44,10 @@
 
 
 class Version090Controller(Version0100Controller):
-    """A controller like 0.9.0: it confirms cancellations in the old way and reports no starts."""
+    """A controller like 0.9.0: it confirms cancellations as that version does.
+
+    It answers no queries about its starts in doubt.
+    """
 
     EXTENSIONS = frames.GANGS_EXTENSION
 
--- a/roadbend/fakes/scenario.py
+++ b/roadbend/fakes/scenario.py
@@ -123,7 +123,7 @@
             await self.w.cancel_job(cancelled, 240)
 
     async def cancel_around_outage(self, delay: float) -> None:
-        """Cancel jobs before an outage of the state store that outlasts the time limit for stops.
+        """Cancel jobs before an outage of the state store that is longer than `cancel_within`.
 
         The state store first refuses only the leader of the east while others confirm the
         cancellations. Then it is down, while workers still send heartbeats to the old leader.
--- a/roadbend/fakes/test_fakes.py
+++ b/roadbend/fakes/test_fakes.py
@@ -307,7 +307,7 @@
 
 @pytest.mark.parametrize("fault", ["deaf", "mute", "hang", "held"])
 async def test_troubles_of_a_machine(fault):
-    """Guards against faults that let through more or less traffic than the page says."""
+    """Guards against faults that let through more or less traffic than they are to."""
     async with world(count=1) as w:
         w.cloud.refuse_deletion = True
         machine, worker = await started(w)
@@ -327,8 +327,9 @@
             nursery.start_soon(run)
             before = machine_state.contact.position
             await trio.sleep(8)
-            # With inbound traffic blocked, heartbeats still arrive. With outbound connections
-            # blocked, commands still arrive.
+            # Heartbeats arrive only from a machine whose inbound traffic is blocked. Commands reach
+            # machines that can't open connections or whose packets are held back; the answers of
+            # the latter are held back, too.
             assert (machine_state.contact.position > before) == (fault == "deaf")
             answered = True
             try:
@@ -402,8 +403,8 @@
     """Guards against two processes of one controller, which DEPLOY rules out.
 
     Two combined faults crashed the same controller, and each started it again. The two processes
-    then acquired their partition from each other forever (pairs of faults, seed 2, in a third of
-    the task orders: `left_waiting`).
+    then acquired their partition from each other forever (pairs of faults, seed 2, with a third of
+    the execution orders of trio's tasks: `left_waiting`).
     """
     async with world() as w:
         w.crash(1)
--- a/roadbend/fakes/worker.py
+++ b/roadbend/fakes/worker.py
@@ -16,7 +16,7 @@
 
 # A later answer to a heartbeat is dropped; in seconds.
 ANSWER_TIMEOUT_S = 4
-# Minimum time between heartbeats, in seconds.
+# Minimum time between heartbeats, also when tasks change; in seconds.
 MIN_HEARTBEAT_PAUSE_S = 0.5
 # Pauses before a heartbeat is sent to the controller that the answer named, or to the next one; in
 # seconds.
--- a/roadbend/fakes/world.py
+++ b/roadbend/fakes/world.py
@@ -102,9 +102,10 @@
         ]
 
     async def finish(self, within: float = 240) -> None:
-        """Let users query every job until it is done, after the last fault has ended.
+        """Let users query every job until it has ended or, as a service, runs with all its tasks.
 
-        From now on, the rules also check for jobs that are forgotten or left waiting.
+        It is called after the last fault. From then on, the rules also check for jobs that are
+        forgotten or left waiting. Asserts that no rule is broken.
         """
         self.rules.mark_faults_ended()
 
--- a/roadbend/rehearsal/cold_restart.py
+++ b/roadbend/rehearsal/cold_restart.py
@@ -126,7 +126,7 @@
         )
 
     def machines_cut_off(self) -> None:
-        """Partition machines from the controllers for a while after the restart."""
+        """Partition machines from the controllers during and for a while after the restart."""
         self.during_downtime.append(
             CutMachines(self.machine_count, _seconds(self.rng.uniform(4, 12)))
         )
--- a/roadbend/rehearsal/messages.py
+++ b/roadbend/rehearsal/messages.py
@@ -21,7 +21,7 @@
 
 
 def long_array(number: int, tasks: int) -> Body:
-    """Return the body of a job array without a deadline; its tasks are to take one minute."""
+    """Return the body of a job array without a deadline that is expected to take one minute."""
     return submission.job(number, legs=tasks, dueS=None, expectedS=60.0, loaners=False)
 
 
