--- a/tests/compatibility/adapter.py
+++ b/tests/compatibility/adapter.py
@@ -294,7 +294,7 @@
 
 
 def encode_revocation(fields: Fields) -> bytes:
-    """Return the payload that tells a controller that a job was assigned elsewhere."""
+    """Return the payload that notifies a controller that a job was assigned elsewhere."""
     with _translate_errors():
         return bidding_messages.Revocation(fields["job"]).pack()
 
--- a/tests/compatibility/test_command_line.py
+++ b/tests/compatibility/test_command_line.py
@@ -42,7 +42,10 @@
 
 
 def check_run(case: dict, status: int, output: str, errors: str) -> None:
-    """Check a run; of the usage error of a rejected command line only the last line is recorded."""
+    """Check the status and output of a run.
+
+    If the command line is rejected, only the last error line counts, which says what is wrong.
+    """
     assert (status, output) == (case["status"], case["output"])
     if "last_error_line" in case:
         assert errors.splitlines()[-1] == case["last_error_line"]
--- a/tests/scenarios/__init__.py
+++ b/tests/scenarios/__init__.py
@@ -1,1 +1,1 @@
-"""Scenario tests: whole deployments, played in memory on a mock clock."""
+"""Scenario tests: whole deployments, run in memory on a mock clock."""
--- a/tests/scenarios/test_combined_failures.py
+++ b/tests/scenarios/test_combined_failures.py
@@ -74,7 +74,9 @@
         assert await w.until(lambda: len(w.board.running("run-000001")) == 24, 90)
         assert await is_done(w, "run-000002")
         await trio.sleep(30)
-        machines_in_use = {m for homes in w.board.machines_by_task.values() for m in homes}
+        machines_in_use = {
+            m for task_machines in w.board.machines_by_task.values() for m in task_machines
+        }
         assert (
             machines_in_use == set(w.cloud.machines)
             or len(set(w.cloud.machines) - machines_in_use) <= 3
@@ -165,7 +167,7 @@
         await self._wait(5, 30)
         self.w.state.refused.discard(host)
 
-    async def cut_peer_links(self) -> None:
+    async def block_peer_links(self) -> None:
         pairs = [("node-0", "node-1"), ("node-0", "node-2"), ("node-1", "node-2")]
         for pair in pairs:
             self.w.network.block(*pair)
@@ -173,7 +175,7 @@
         for pair in pairs:
             self.w.network.unblock(*pair)
 
-    async def cut_zone(self) -> None:
+    async def isolate_zone(self) -> None:
         at = self.rng.randrange(3)
         zone_machines = [m.id for m in self.w.cloud.machines.values() if m.zone == ZONES[at]]
         others = [f"node-{n}" for n in range(3) if n != at]
--- a/tests/scenarios/test_confirmed_cancellations.py
+++ b/tests/scenarios/test_confirmed_cancellations.py
@@ -119,7 +119,8 @@
         machine = await run_service(w)
         body = job(1, **(ARRAY if kind == "array" else SERVICE))
         if kind == "service":
-            # No direct start is sent, so that the heartbeat response carries it.
+            # Leaders of a later term send no direct starts. The direct start of the current leader
+            # is held on the link below.
             for controller in w.controllers.values():
                 controller.fleet.commands.order_now = None
         await wait_for_heartbeat(w, machine)
@@ -361,11 +362,11 @@
         leader = w.controllers["node-0"].leaders["east"]
         assert not leader.starts_in_doubt.has_any(RUNNING_JOB, clock.now())
         w.cloud.reboot(machine)
-        known = leader.machines[machine].token
-        former_incarnation = known.incarnation
-        assert await w.until(lambda: known.incarnation > former_incarnation, 30, 0.01)
+        token = leader.machines[machine].token
+        former_incarnation = token.incarnation
+        assert await w.until(lambda: token.incarnation > former_incarnation, 30, 0.01)
         assert leader.starts_in_doubt.has_any(RUNNING_JOB, clock.now())
-        assert await w.until(lambda: known.confirmed, 10, 0.01)
+        assert await w.until(lambda: token.confirmed, 10, 0.01)
         starts = leader.starts_in_doubt
         assert await w.until(lambda: not starts.has_any(RUNNING_JOB, clock.now()), 10, 0.05)
         await w.finish()
--- a/tests/scenarios/test_deployment.py
+++ b/tests/scenarios/test_deployment.py
@@ -336,8 +336,8 @@
 async def test_machines_that_fall_silent_together_are_not_deleted():
     """Guards against deletion of healthy machines.
 
-    In an incident, a network partition of 12 s between machines and controllers cost eight
-    machines.
+    In an incident of the visa deployment, a network partition of 12 s between machines and
+    controllers cost eight machines.
     """
     async with world(teams={"red": Team("red", 0, 0, 4, 40)}) as w:
         assert await w.submit(0, job(80, legs=8, yard="east", dueS=20), 200) == 201
--- a/tests/scenarios/test_double_starts.py
+++ b/tests/scenarios/test_double_starts.py
@@ -223,7 +223,7 @@
 
 
 async def test_a_direct_order_that_waited_does_not_start_what_is_proven_gone():
-    """Direct commands to a machine are sent one after the other; an attempt may end meanwhile."""
+    """Direct commands wait for a free connection, and meanwhile the attempt may have ended."""
     async with world(count=1, teams=TEAMS) as w:
         assert await w.submit(0, job(1, **SERVICE), None) == 201
         assert await w.until(lambda: w.board.running("run-000001"), 60)
@@ -243,7 +243,8 @@
         leader.terminations.withdraw(TASK, machine)
         w.state.end_outage()
         await trio.sleep(3)
-        # A start that is sent may be carried out by a machine that has just begun a new epoch.
+        # A machine that has just restarted may carry out a start that is sent, so that its lease
+        # counts from then on.
         known = leader.machines[machine]
         known.contact.lease_started_at, now = clock.ORIGIN, clock.now()
         await controller.fleet.commands._start_directly(
--- a/tests/scenarios/test_gangs_beyond_cuts.py
+++ b/tests/scenarios/test_gangs_beyond_cuts.py
@@ -100,7 +100,11 @@
 async def test_a_leader_without_gangs_is_replaced_by_one_that_is_at_home_in_its_zone(
     production, zones, monkeypatch
 ):
-    """Guards against a controller in the same zone that may not acquire the zone's partition."""
+    """Guards against a rule that a controller must already lead its own zone's partition.
+
+    That rule is meant for partitions of other zones. A controller in the leader's zone could never
+    satisfy it, as the partition to be acquired is that of its own zone.
+    """
     monkeypatch.setattr(platform, "ZONES", zones)
     monkeypatch.setattr(worlds, "ZONES", zones)
     async with world(count=len(zones), teams=TEAMS, capacity=TASKS) as w:
--- a/tests/scenarios/test_gangs_done_in_part.py
+++ b/tests/scenarios/test_gangs_done_in_part.py
@@ -87,14 +87,14 @@
 
     assert await w.until(is_done, DONE_WITHIN_S)
     assert await w.until(lambda: not w.board.running(GANG), DONE_WITHIN_S)
-    assert await w.until(lambda: count_fetching_tasks(w) == 0, DONE_WITHIN_S)
+    assert await w.until(lambda: slow_down_and_count_fetches(w) == 0, DONE_WITHIN_S)
     await w.finish()
     assert await w.until(lambda: w.state.values_with_prefix("r/slice/") == {}, 60)
     assert [o for o in w.board.received if o.verb == "run" and o.at > restarted_at] == []
     assert w.state.value(keys.job_end_key(GANG)) == {"s": "done", "n": TASKS}
 
 
-def count_fetching_tasks(w: World) -> int:
+def slow_down_and_count_fetches(w: World) -> int:
     """Slow down image fetches, and return how many tasks are fetching their image.
 
     Without the delay these tasks would exit as done immediately, as their results are stored.
@@ -121,7 +121,7 @@
         await complete_with_half_unreachable(
             w, production, gang(1, TASKS, yard="east", vcpus=CPUS), (2, 3)
         )
-        assert await w.until(lambda: count_fetching_tasks(w) == TASKS // 2, 30, 0.05)
+        assert await w.until(lambda: slow_down_and_count_fetches(w) == TASKS // 2, 30, 0.05)
         await assert_done_after_upgrade(w)
 
 
--- a/tests/scenarios/test_gangs_in_a_roll.py
+++ b/tests/scenarios/test_gangs_in_a_roll.py
@@ -200,8 +200,8 @@
         assert len(attempts(w, GANG)) == 2
 
 
-def cut_east_from_peers(w: World) -> None:
-    """Partition the east's machines from all controllers but that of their own zone."""
+def disconnect_east_from_peers(w: World) -> None:
+    """Disconnect the east's machines from all controllers but that of their own zone."""
     for worker in w.workers():
         for peer in ("node-1", "node-2"):
             w.network.block(worker.machine, peer)
@@ -219,7 +219,7 @@
     async with world(teams=TEAMS, capacity=TASKS) as w:
         await run_gang(w, 400)
         w.crash(0)
-        cut_east_from_peers(w)
+        disconnect_east_from_peers(w)
         caplog.clear()
         w.start(0, production)
         assert await w.until(lambda: w.leader_of("east") == "node-0", 15)
@@ -243,7 +243,7 @@
         for peer in ("node-1", "node-2"):
             w.controllers[peer].election.reaches_machines = reaches_machines
         w.crash(0)
-        cut_east_from_peers(w)
+        disconnect_east_from_peers(w)
         w.start(0, production)
         await trio.sleep(LONG_S)
         # Both peers have tried by now.
--- a/tests/scenarios/test_inherited_starts.py
+++ b/tests/scenarios/test_inherited_starts.py
@@ -43,7 +43,10 @@
     "services", [(), ("state", "cloud")], ids=["peers-and-workers", "everything"]
 )
 async def test_a_former_leader_that_lives_does_not_begin_a_cancelled_task_again(services):
-    """Guards against a machine that loses the task while the new leader relies on the report."""
+    """Guards against a former leader that starts the task again after its machine has lost it.
+
+    Meanwhile the new leader relies on the former one's report that the machine holds the task.
+    """
     async with deployment() as w:
         machine = await run_service(w)
         # If it can't reach the cloud, it does not delete the machine as silent.
--- a/tests/scenarios/test_meetings.py
+++ b/tests/scenarios/test_meetings.py
@@ -243,7 +243,7 @@
     await play(faults, seed, site)
 
 
-# `Scenario.gap`, alone and with an additional fault.
+# `Scenario.cancel_around_outage`, alone and with an additional fault.
 
 
 async def alone(s: Scenario):
@@ -323,7 +323,7 @@
     """A peer confirms a cancellation that no other controller receives, and terminates.
 
     It restarts during the outage with an empty list of cancellations. The leader can't read the
-    records, and must not continue to start tasks because of that list.
+    records, and must not keep renewing workers' leases because of that list.
     """
     async with world(teams=TEAMS, **SITES[site]) as w:
         body = job(1, shape="daemon", yard="east", dueS=None)
--- a/tests/scenarios/test_meetings_of_messages.py
+++ b/tests/scenarios/test_meetings_of_messages.py
@@ -121,7 +121,7 @@
         nursery.start_soon(s.cancel, s.long_jobs[:3], 0.0, 14.0)
         await s.wait(8, 12)
         s.w.start(0)
-        # Its zone is handed back some five seconds after it is up.
+        # Its partition fails back to it about five seconds after it is up.
         nursery.start_soon(s.cancel, s.long_jobs[3:6], 2.0, 9.0)
         for n in range(30, 36):
             await s.submit_more(n, yard="east")
--- a/tests/scenarios/test_preemption_after_failover.py
+++ b/tests/scenarios/test_preemption_after_failover.py
@@ -71,7 +71,7 @@
 
 
 async def test_a_new_leader_does_not_wait_for_long_for_machines_that_it_does_not_hear():
-    """Guards against an urgent job that waits for a machine which hangs or is deleted."""
+    """Guards against an urgent job that waits for a machine which hangs or has failed."""
     async with world(teams=TEAMS, capacity=2 * TASKS) as w:
         await fill_east(w)
         await restart_leader_with_urgent_work(w, machines_of(w, CHEAP_JOB), 300)
--- a/tests/scenarios/test_raised_tokens.py
+++ b/tests/scenarios/test_raised_tokens.py
@@ -79,8 +79,8 @@
         await cancel_in_one_call(w, 1)
         assert worker.token == before + 1
         await trio.sleep(BEYOND_LEASE_S)
-        known = w.controllers["node-0"].leaders["east"].machines[machine].token
-        assert worker.epoch == 1 and known.confirmed and known.incarnation == 1
+        token = w.controllers["node-0"].leaders["east"].machines[machine].token
+        assert worker.epoch == 1 and token.confirmed and token.incarnation == 1
         # The machine still accepts work.
         assert await w.submit(0, job(2, **SERVICE), None) == 201
         assert await w.until(lambda: w.board.running("run-000002"), 15)
@@ -206,13 +206,13 @@
         worker = w.cloud.machines[machine].worker
         handle_answer, raised = worker.handle_answer, []
 
-        def record_and_take(answer: dict, *rest) -> bool:
+        def record_and_handle(answer: dict, *rest) -> bool:
             verbs = [order["verb"] for order in answer.get("orders", [])]
             if answer.get("baton", 0) > worker.token:
                 raised.append(verbs)
             return handle_answer(answer, *rest)
 
-        worker.handle_answer = record_and_take
+        worker.handle_answer = record_and_handle
         await wait_for_heartbeat(w, machine)
         # The direct start is not answered, and the raised token sent after it does not arrive.
         worker.command_delay = lambda: COMMAND_DELAY_S
--- a/tests/scenarios/test_scalability.py
+++ b/tests/scenarios/test_scalability.py
@@ -41,12 +41,12 @@
     for value in (SMALL_VALUE_BYTES, 32 * 1024):
         width = records.shard_width(value)
         first_task = 100_000 - 100_000 % width - width
-        run = {
+        attempts = {
             n: Attempt((7 << 32) | 90_000 + n, f"m-{rng.randrange(10**6):06d}")
             for n in range(first_task, first_task + width)
         }
         slice_shard = SliceShard(
-            "run-000001", "east", "team-0000000001", Resources(8, 1, 43.5), attempts=run
+            "run-000001", "east", "team-0000000001", Resources(8, 1, 43.5), attempts=attempts
         )
         for _ in range(width + 1):
             assert records.value_size_bound(slice_shard.to_value()) < value * 0.95
@@ -69,11 +69,11 @@
     value = {"t": "red", "n": [8, 1, 40], "d": [[0, 2]], "r": {"5": [(3 << 32) | 7, "m-1"]}}
     view = RecordView()
     view.put("r/slice/east/run-1", value, 3)
-    work = view.job_slices["east"]["run-1"]
+    job_slice = view.job_slices["east"]["run-1"]
     assert (
-        work.attempts == {5: Attempt((3 << 32) | 7, "m-1")}
-        and work.shard_of(5, 16) == -1
-        and work.shard_of(6, 16) == 0
+        job_slice.attempts == {5: Attempt((3 << 32) | 7, "m-1")}
+        and job_slice.shard_of(5, 16) == -1
+        and job_slice.shard_of(6, 16) == 0
     )
     assert keys.slice_key("east", "run-1", -1) == "r/slice/east/run-1"
 
@@ -94,14 +94,14 @@
             view.drop(key, mod_revision)
             continue
         tasks = rng.sample(range(shard * 8, shard * 8 + 8), rng.randrange(6))
-        run = {n: Attempt(rng.randrange(3), f"m-{rng.randrange(4)}") for n in tasks}
+        attempts = {n: Attempt(rng.randrange(3), f"m-{rng.randrange(4)}") for n in tasks}
         shards[key] = SliceShard(
             name,
             partition,
             "red" if name < "run-3" else "blue",
             Resources(2, 1, 10),
             (),
-            run,
+            attempts,
             mod_revision,
             shard,
         )
@@ -476,8 +476,10 @@
 
 
 async def test_a_zone_that_is_cut_off_keeps_its_machines():
-    """Guards against incident inc-878a: the new leader of a zone behind a network partition deleted
-    all of its machines at once."""
+    """Guards against incident inc-878a of the visa deployment.
+
+    The new leader of a zone behind a network partition deleted all of its machines at once.
+    """
     for cut_s in (24, 75):
         async with world(capacity=12, teams={"red": Team("red", 0, 0, 12, 12)}) as w:
             body = job(1, legs=8, yard=None, shape="daemon", dueS=None, loaners=False)
--- a/tests/scenarios/test_silent_leaders.py
+++ b/tests/scenarios/test_silent_leaders.py
@@ -102,7 +102,7 @@
 
 
 async def test_a_leader_that_lives_is_deposed_when_most_of_its_workers_turn_to_others():
-    """Guards against two active leaders: the checker verifies that no task is started twice."""
+    """Guards against two leaders that both send orders; the checker detects any second start."""
     async with world(teams=TEAMS) as w:
         start_count = await run_tasks(w)
         lost_workers = workers_of(w)[1:]
--- a/tests/scenarios/test_workers_of_silent_leaders.py
+++ b/tests/scenarios/test_workers_of_silent_leaders.py
@@ -188,10 +188,10 @@
         await trio.sleep(5)
         workers = east_workers(w)
         assert len(workers) >= tasks / 2
-        query_times = defaultdict(list)
+        heartbeat_times = defaultdict(list)
         for worker in workers:
             worker.heartbeat_listeners.append(
-                lambda worker, _body: query_times[worker.machine, worker._controller].append(
+                lambda worker, _body: heartbeat_times[worker.machine, worker._controller].append(
                     trio.current_time()
                 )
             )
@@ -204,7 +204,7 @@
             await trio.sleep(1)
         pauses = [
             later - earlier
-            for (_machine, controller), times in query_times.items()
+            for (_machine, controller), times in heartbeat_times.items()
             if controller != "node-0"
             for earlier, later in pairwise(times)
         ]
