--- a/roadbend/cloud/__init__.py
+++ b/roadbend/cloud/__init__.py
@@ -1,1 +1,1 @@
-"""The cloud that machines are created in: its client and the messages of its interface."""
+"""The cloud in which machines are created: its client and the messages of its interface."""
--- a/roadbend/cloud/client.py
+++ b/roadbend/cloud/client.py
@@ -1,6 +1,6 @@
-"""The cloud's client, within its limit of requests.
+"""Client for the cloud's interface, within the limit on requests.
 
-An answer that is not what the protocol promises counts as no answer.
+A response that violates the protocol counts as no response.
 """
 
 from collections.abc import Callable
@@ -24,18 +24,19 @@
 from roadbend.http.server import MalformedError
 from roadbend.store.request_budget import SharedTokenBucket
 
-# Most machines that one request deletes, and that one creates.
+# Machines per request.
 MAX_DELETIONS = 100
 MAX_CREATIONS = 50
 REQUEST_TIMEOUT = timedelta(seconds=5)
-# The share of the cloud's limit that all controllers use together, and the seconds' worth of their
-# shares that may come in a burst.
+# The share of the cloud's limit that all controllers use together, and the length of a burst: the
+# tokens of this many seconds may be spent at once.
 USED_SHARE_OF_LIMIT = 0.9
 BURST_SECONDS = 1.5
-# The share of the requests that reading the list may take, and how often it is read at the most.
+# The share of the requests that reading the list may take, and the shortest interval between reads.
 LIST_SHARE = 0.25
 MIN_LIST_INTERVAL_SECONDS = 4.0
-# How long a request waits for its turn at the least, and how much longer for each step of priority.
+# The shortest wait between two attempts of a request to proceed, and the extra wait per step of
+# lower priority.
 TURN_WAIT = timedelta(milliseconds=1)
 TURN_WAIT_PER_PRIORITY = timedelta(milliseconds=20)
 
@@ -45,9 +46,9 @@
 
 
 class RequestPriority(IntEnum):
-    """What goes first when requests are short.
+    """The order of requests that wait for the limit, most important first.
 
-    Urgent deletions, of machines that must be gone, don't wait at all.
+    Urgent deletions, which fence machines, don't wait at all.
     """
 
     CREATE = 0
@@ -57,27 +58,27 @@
 
 
 class NoCapacityError(RetryableError):
-    """The cloud has no machine of the kind in the zone now."""
+    """The cloud currently has no capacity for the machine kind in the zone."""
 
 
 class CloudBusyError(RetryableError):
-    """Not executed: over the limit, the cloud is out, or the precondition no longer held."""
+    """Not executed: over the limit, cloud unavailable, or the precondition no longer held."""
 
 
-# Asked right before a request goes out, whether there is still reason for it: it may have waited
-# for its turn, and the process may have paused meanwhile while another controller acquired the
+# Called right before a request is sent; returns whether the request is still justified. It may have
+# waited for the limit, or the process may have paused, while another controller acquired the
 # partition.
 Precondition = Callable[[], bool]
 
 
 class Cloud:
-    """The cloud's interface, within this controller's share of the limit of requests."""
+    """The cloud's interface, within this controller's share of the limit on requests."""
 
     def __init__(self, client: Client, rps: float, sharers: int) -> None:
-        """Share `rps` requests per second among `sharers` controllers."""
+        """Divide `rps` requests per second among `sharers` controllers."""
         self._client = client
         self._sharers, self._rps = max(1, sharers), rps
-        # Everyone has an equal share; what others say they don't use may be borrowed.
+        # All controllers have equal shares, and may borrow what others report as unused.
         self._bucket = SharedTokenBucket(rps * USED_SHARE_OF_LIMIT, self._sharers, BURST_SECONDS)
         self._waiting = [0] * len(RequestPriority)
 
@@ -87,7 +88,7 @@
         return self._bucket.used
 
     def share(self, others: list[float]) -> None:
-        """Borrow what other controllers, given what each of them uses, leave of their shares."""
+        """Borrow the unused parts of other controllers' shares, given the rate that each uses."""
         self._bucket.measure()
         self._bucket.borrow(others)
 
@@ -102,10 +103,11 @@
     async def create_machines(
         self, request: CreationRequest, precondition: Precondition | None = None
     ) -> list[str]:
-        """Create up to as many machines as asked for; return their ids.
+        """Create at most the requested number of machines; return their ids.
 
-        Raises NoCapacityError if there are none, CloudBusyError if the request was not executed,
-        and NoAnswerError if it may have been: repeating it tells which machines it created.
+        Raises NoCapacityError if none can be created, CloudBusyError if the request was not
+        executed, and NoAnswerError if it may have been: repeating it returns the machines that it
+        created.
         """
         answer = await self._request(
             "POST",
@@ -119,9 +121,9 @@
     async def delete_machines(
         self, ids: list[str], urgent: bool = False, precondition: Precondition | None = None
     ) -> None:
-        """Delete machines; return when all of them are gone.
+        """Delete machines; return when all of them are deleted.
 
-        Where it raises NoAnswerError or CloudBusyError, none is proven gone.
+        If it raises NoAnswerError or CloudBusyError, none of them is certainly deleted.
         """
         for first in range(0, len(ids), MAX_DELETIONS):
             await self._request(
@@ -145,9 +147,9 @@
                 return machines
 
     def list_interval(self, machines: int) -> timedelta:
-        """Return how often the list of so many machines is read.
+        """Return the interval at which the list of so many machines is read.
 
-        Each controller reads several pages: they take their share of the requests together.
+        All controllers read all pages; together they use the list's share of the requests.
         """
         pages = 1 + machines // LIST_PAGE_SIZE
         interval = pages * self._sharers / (LIST_SHARE * self._rps)
@@ -166,7 +168,7 @@
         if not urgent:
             await self._wait_for_turn(priority)
         if precondition is not None and not precondition():
-            raise CloudBusyError("no longer")
+            raise CloudBusyError("precondition no longer holds")
         self._bucket.spend(1)
         status, answer = await self._client.request(method, target, body, within=REQUEST_TIMEOUT)
         if status == HTTP_OK:
@@ -184,7 +186,7 @@
         raise NoAnswerError(f"status {status}")
 
     async def _wait_for_turn(self, priority: RequestPriority) -> None:
-        """Wait until the limit permits a request and no other of higher priority waits."""
+        """Wait until the limit permits a request and none of higher priority is waiting."""
         self._waiting[priority] += 1
         try:
             while True:
@@ -200,4 +202,4 @@
     try:
         return reader(answer)
     except MalformedError as error:
-        raise NoAnswerError(f"nonsense: {error}") from None
+        raise NoAnswerError(f"malformed response: {error}") from None
--- a/roadbend/cloud/messages.py
+++ b/roadbend/cloud/messages.py
@@ -1,6 +1,6 @@
-"""Messages between controllers and the cloud: typed, with strict reading and their wire form.
+"""Messages between controllers and the cloud: types, strict parsing, and encoding for the wire.
 
-The only module of this package that knows the names that the cloud's interface uses
+The only module of this package that knows the field names of the cloud's interface
 (PROTOCOL-roadbend.md, "Controller nodes -> cloud"). Everything else works with the types below.
 """
 
@@ -14,13 +14,13 @@
 from roadbend.store.records import Resources
 from roadbend.wire_values import number, text
 
-# A machine type's boot time of more than a day says nothing.
+# Longer boot times of a machine type, of more than a day, are cut to this.
 MAX_STARTUP_SECONDS = 86_400.0
-# Fetch rates below this, in GB per second, would make every fetch take for ever.
+# Lower bound for fetch rates, in GB per second, below which a fetch would never finish.
 MIN_FETCH_GB_PER_S = 1e-6
-# Machines on one page of the list, the most that the cloud gives.
+# Machines on one page of the list; the maximum that the cloud permits.
 LIST_PAGE_SIZE = 500
-# What the cloud calls the prices of spot machines; they change all the time.
+# The cloud's field for the price of a spot machine, which changes all the time.
 _SPOT_PRICE_KEY = "lowPrice"
 
 
@@ -39,7 +39,7 @@
     zones: tuple[str, ...]
 
     def to_value(self) -> dict[str, Any]:
-        """Return the machine type as the catalog states it."""
+        """Return the machine type in the form of the cloud's catalog."""
         return {
             "name": self.name,
             "vcpus": self.capacity.cpus,
@@ -55,18 +55,18 @@
 
 
 class MachineKind(NamedTuple):
-    """A machine type, as spot machines or not: each has capacity of its own in a zone."""
+    """A machine type, on demand or spot; each kind has its own available capacity in a zone."""
 
     machine_type: str
     spot: bool
 
 
 class MachineStatus(StrEnum):
-    """Status of a listed machine; the cloud may send others, which stay plain text."""
+    """Status of a listed machine; unknown statuses that the cloud sends stay strings."""
 
     BOOTING = "booting"
     RUNNING = "running"
-    # Stopped on its own: no longer charged, and listed until it is deleted.
+    # Stopped on its own accord: no longer charged, and listed until it is deleted.
     FAILED = "failed"
 
 
@@ -75,7 +75,7 @@
 
 @dataclass(frozen=True)
 class ListedMachine:
-    """A machine in the cloud's list. `age` is since it was asked for, when the list was made."""
+    """A machine in the cloud's list. `age` is the time from its request to the list."""
 
     id: str
     address: str
@@ -87,7 +87,7 @@
 
 
 class ListPage(NamedTuple):
-    """A page of the cloud's list, in the order in which the machines were created."""
+    """A page of the cloud's list, sorted by the creation of the machines."""
 
     machines: list[ListedMachine]
     has_more: bool
@@ -97,8 +97,8 @@
 class CreationRequest:
     """A request for machines of one kind.
 
-    The cloud answers a repeated `name` as it did the first time and creates nothing, so a name is
-    never used for another request.
+    `name` is an idempotency key: the cloud answers a repeated name as it did the first time and
+    creates nothing. A name is therefore never used for another request.
     """
 
     name: str
@@ -118,7 +118,7 @@
 
 
 def deletion_value(machines: list[str]) -> dict[str, Any]:
-    """Return the body of a request that deletes machines."""
+    """Return the body of a request to delete machines."""
     return {"hitches": machines}
 
 
@@ -130,14 +130,14 @@
 def is_same_but_for_spot_prices(one: list[dict[str, Any]], other: list[dict[str, Any]]) -> bool:
     """Return whether two catalogs differ in nothing but the prices of spot machines."""
 
-    def lasting(rows: list[dict[str, Any]]) -> list[dict[str, Any]]:
+    def without_spot_prices(rows: list[dict[str, Any]]) -> list[dict[str, Any]]:
         return [{k: v for k, v in row.items() if k != _SPOT_PRICE_KEY} for row in rows]
 
-    return lasting(one) == lasting(other)
+    return without_spot_prices(one) == without_spot_prices(other)
 
 
 def read_catalog(answer: Any) -> dict[str, MachineType]:
-    """Read the cloud's answer to a question for its catalog; raise MalformedError."""
+    """Parse the cloud's response to a request for its catalog; raise MalformedError."""
     machine_types = read_machine_types(answer.get("rigs") if isinstance(answer, dict) else None)
     if not machine_types:
         raise MalformedError("empty catalog")
@@ -145,7 +145,7 @@
 
 
 def read_machine_types(rows: Any) -> dict[str, MachineType]:
-    """Read the machine types of a catalog, by name; raise MalformedError."""
+    """Parse the machine types of a catalog, by name; raise MalformedError."""
     if not isinstance(rows, list):
         raise MalformedError("catalog: expected a list")
     machine_types = [_read_machine_type(row) for row in rows]
@@ -174,24 +174,24 @@
 
 
 def read_created(answer: Any) -> list[str]:
-    """Read the ids of the machines that a request created; raise MalformedError."""
+    """Parse the ids of the machines that a request created; raise MalformedError."""
     ids = answer.get("hitches") if isinstance(answer, dict) else None
     if not isinstance(ids, list) or not all(isinstance(name, str) for name in ids):
-        raise MalformedError("hire")
+        raise MalformedError("hitches: expected a list of ids")
     return ids
 
 
 def read_list_page(answer: Any) -> ListPage:
-    """Read a page of the list of machines; raise MalformedError."""
+    """Parse a page of the list of machines; raise MalformedError."""
     rows = answer.get("hitches") if isinstance(answer, dict) else None
     if not isinstance(rows, list):
-        raise MalformedError("machines")
+        raise MalformedError("hitches: expected a list")
     return ListPage([_read_listed_machine(row) for row in rows], bool(answer.get("more")))
 
 
 def _read_listed_machine(row: Any) -> ListedMachine:
     if not isinstance(row, dict):
-        raise MalformedError("machines: expected maps")
+        raise MalformedError("hitches: expected maps")
     status = text(row.get("status"), "status")
     return ListedMachine(
         id=text(row.get("id"), "id"),
--- a/roadbend/fleet/__init__.py
+++ b/roadbend/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Machines: what workers report, what they are told, who is silent or quarantined."""
+"""Machines: worker heartbeats, orders to workers, and the detection of failed machines."""
--- a/roadbend/fleet/avoidance_policy.py
+++ b/roadbend/fleet/avoidance_policy.py
@@ -1,6 +1,6 @@
-"""Decide when workers are no longer redirected to their silent leader, and where they go instead.
+"""Decides when workers are no longer redirected to a silent leader, and where they go instead.
 
-Pure functions, given time.
+Pure functions of the settings and of the live controllers.
 """
 
 from collections.abc import Collection
@@ -14,49 +14,52 @@
 
 
 class AvoidanceLimits(NamedTuple):
-    """Within which silence of a leader, counted from when it was last heard, it is avoided."""
+    """Limits of a leader's silence, since its last peer heartbeat, in which it is avoided."""
 
-    # Before, a worker that the leader does not answer is back before its lease can end.
+    # During a shorter silence, a worker that is redirected to the leader in vain returns before its
+    # lease can expire.
     min_silence: timedelta
-    # From then on, no lease that the leader renewed before can last.
+    # After a longer silence, every lease that the leader had renewed has expired.
     max_silence: timedelta
-    # The leader fell silent to its workers and to us at once, if most have turned to us by then.
+    # If most workers have turned to other controllers within this time, the leader fell silent to
+    # them and to this controller at once.
     max_departure: timedelta
 
 
 def avoidance_limits(settings: PlatformSettings, operator: OperatorSettings) -> AvoidanceLimits:
     """Calculate the limits of a deployment.
 
-    A leader that falls silent has renewed each worker's lease within the longest heartbeat
-    interval before.
+    A leader has renewed each worker's lease within the longest heartbeat interval before it falls
+    silent.
     """
     longest_interval = settings.heartbeat_interval * HEARTBEAT_JITTER
     first_expiry = settings.lease - longest_interval
     failed_heartbeat = worker_timing.WORKER_ANSWER_TIMEOUT + worker_timing.RETRY_PAUSE
-    told_within = HEARTBEAT_INTERVAL + HEARTBEAT_TIMEOUT
+    peers_informed_within = HEARTBEAT_INTERVAL + HEARTBEAT_TIMEOUT
     return AvoidanceLimits(
         min_silence=max(
             operator.takeover_silence, first_expiry - worker_timing.MAX_FAILED_REDIRECT
         ),
         max_silence=settings.lease + HEARTBEAT_INTERVAL,
-        max_departure=longest_interval + failed_heartbeat + told_within,
+        max_departure=longest_interval + failed_heartbeat + peers_informed_within,
     )
 
 
 def next_in_ring(name: str, names: Collection[str]) -> str:
     """Return the controller that follows another one by name; the first follows the last.
 
-    Workers are taken to go round in this order; where they do not, avoiding a leader saves less.
+    Workers are assumed to try controllers in this order. If they do not, avoiding a leader helps
+    less.
     """
     ring = sorted(names)
     return ring[(ring.index(name) + 1) % len(ring)]
 
 
 def choose_other_controller(name: str, live: Collection[str], names: Collection[str]) -> str | None:
-    """Choose the controller that a worker which has come to `name` is to ask next; None: no one.
+    """Choose the controller that a worker at the controller `name` is to contact next, or None.
 
-    That is the next one if it is live. Else it is one after which a live one follows: the worker
-    pauses there, for only an answer that redirects it to nobody makes it pause.
+    That is the following one if it is live. Otherwise it is a live one that is itself followed by a
+    live one: it redirects the worker nowhere, and only such a response makes a worker pause.
     """
     following = next_in_ring(name, names)
     if following in live:
--- a/roadbend/fleet/cloud_inventory.py
+++ b/roadbend/fleet/cloud_inventory.py
@@ -1,23 +1,23 @@
-"""The cloud's list of our machines, as last read."""
+"""The cloud's list of the cluster's machines, as last read."""
 
 from roadbend.cloud.messages import ListedMachine, MachineStatus
 
-# Machines remembered as having been listed once, beside those that are listed now.
+# Machines that are remembered after they have disappeared from the list.
 MAX_REMEMBERED = 16_384
 
 
 class CloudInventory:
-    """What the cloud last listed, and what it once listed and lists no more."""
+    """The machines that the cloud last listed, and those that have disappeared from its list."""
 
     def __init__(self) -> None:
         self.rows: dict[str, ListedMachine] = {}
-        # How often a list was read.
+        # Number of lists read so far.
         self.reads = 0
         # In the order in which they were first listed.
         self._was_listed: dict[str, None] = {}
 
     def update(self, rows: list[ListedMachine]) -> None:
-        """Replace what is listed by a list that was read anew."""
+        """Replace the listed machines by a newly read list."""
         self.rows = {row.id: row for row in rows}
         self.reads += 1
         self._was_listed.update(dict.fromkeys(self.rows))
@@ -26,15 +26,15 @@
     def _forget_oldest(self, count: int) -> None:
         if count <= 0:
             return
-        gone = [name for name in self._was_listed if name not in self.rows]
-        for name in gone[:count]:
+        removed = [name for name in self._was_listed if name not in self.rows]
+        for name in removed[:count]:
             del self._was_listed[name]
 
     def is_failed(self, machine: str) -> bool:
-        """Whether the cloud lists a machine as failed."""
+        """Return whether the cloud lists a machine as failed."""
         row = self.rows.get(machine)
         return row is not None and row.status == MachineStatus.FAILED
 
     def has_left(self, machine: str) -> bool:
-        """Whether a machine was listed before and is not any more: it is gone."""
+        """Return whether a machine has disappeared from the list, that is, no longer exists."""
         return machine in self._was_listed and machine not in self.rows
--- a/roadbend/fleet/deletions.py
+++ b/roadbend/fleet/deletions.py
@@ -1,4 +1,7 @@
-"""Deletions of machines, gathered: machines fall silent together, and the cloud's calls are few."""
+"""Batched deletions of machines.
+
+Machines often fall silent together, and the number of requests to the cloud is limited.
+"""
 
 from datetime import timedelta
 
@@ -8,38 +11,38 @@
 from roadbend.cloud.client import MAX_DELETIONS, Cloud, CloudBusyError, NoCapacityError
 from roadbend.http.client import NoAnswerError
 
-# For how long deletions are gathered, and how old they may be when they go out: after longer this
-# process paused, and what it found silent may have been heard since.
-GATHER = timedelta(milliseconds=150)
-SEND_WITHIN = timedelta(seconds=3)
+# For how long deletions are collected into a batch, and the maximum age of a batch when it is sent.
+# If it is older, this process paused, and the silent machines may have sent heartbeats since.
+BATCH_WINDOW = timedelta(milliseconds=150)
+MAX_BATCH_AGE = timedelta(seconds=3)
 
 
 class _DeletionBatch:
-    """Deletions that go out in one call."""
+    """Deletions that are sent in one request."""
 
     def __init__(self) -> None:
         self.names: list[str] = []
         self.began = clock.now()
         self.done = trio.Event()
-        # Until the call has succeeded, no machine is certainly gone.
+        # Until the request has succeeded, no machine is certainly deleted.
         self.error: Exception | None = NoAnswerError("not carried out")
 
     def is_recent(self) -> bool:
-        return clock.now() - self.began < SEND_WITHIN
+        return clock.now() - self.began < MAX_BATCH_AGE
 
 
 class Deletions:
-    """Deletes machines; returns only when the cloud has confirmed that they are gone."""
+    """Deletes machines; returns only when the cloud has confirmed the deletion."""
 
     def __init__(self, cloud: Cloud) -> None:
         self._cloud = cloud
         self._open: _DeletionBatch | None = None
 
     async def delete(self, name: str) -> None:
-        """Delete a machine together with others.
+        """Delete a machine, in one request with others.
 
-        Raises what the call raised: `CloudBusyError` if it was not carried out; else it may still
-        be.
+        Raises the error of the request: with `CloudBusyError` it was not executed, with any other
+        it may still be.
         """
         batch = self._open
         if batch is not None and len(batch.names) < MAX_DELETIONS:
@@ -50,13 +53,13 @@
             return
         batch = self._open = _DeletionBatch()
         batch.names.append(name)
-        await clock.pause(GATHER)
+        await clock.pause(BATCH_WINDOW)
         if self._open is batch:
             self._open = None
         await self._send(batch)
 
     async def _send(self, batch: _DeletionBatch) -> None:
-        """Send a batch, and tell everyone who waits for it what became of it."""
+        """Send a batch, and pass its outcome to all callers that wait for it."""
         try:
             await self._cloud.delete_machines(
                 batch.names, urgent=True, precondition=batch.is_recent
--- a/roadbend/fleet/direct_starts.py
+++ b/roadbend/fleet/direct_starts.py
@@ -1,4 +1,4 @@
-"""Bookkeeping of direct starts: which are still wanted, and what became of those that were sent."""
+"""Bookkeeping of direct starts: which are still to be sent, and the outcome of those sent."""
 
 from datetime import datetime
 
@@ -12,7 +12,7 @@
 
 
 def still_wanted(leader: Leader, name: str, starts: Starts, now: datetime) -> Starts:
-    """Return the starts whose attempts are still recorded on the machine and are to run."""
+    """Return the starts whose attempts are still recorded on the machine and should run."""
     recorded = leader.records.attempts_by_machine().get(name, {})
     return [
         (key, attempt)
@@ -26,8 +26,8 @@
     ]
 
 
-def note_starts(leader: Leader, machine: Machine, starts: Starts, now: datetime) -> int:
-    """Note starts before they go out; return the epoch for which they hold."""
+def record_starts(leader: Leader, machine: Machine, starts: Starts, now: datetime) -> int:
+    """Record starts before they are sent; return the epoch for which they are valid."""
     epoch = machine.contact.position.epoch
     for key, attempt in starts:
         start = machine.token.direct_starts[key] = DirectStart(attempt.number, epoch)
@@ -37,17 +37,17 @@
     return epoch
 
 
-def forget_starts(machine: Machine, starts: Starts) -> None:
-    """Forget starts that were not carried out, nor will be."""
-    noted = machine.token.direct_starts
+def remove_starts(machine: Machine, starts: Starts) -> None:
+    """Remove starts that the machine refused, so that it will never execute them."""
+    recorded = machine.token.direct_starts
     for key, attempt in starts:
-        if key in noted and noted[key].attempt == attempt.number:
-            noted[key].refused = True
-            del noted[key]
+        if key in recorded and recorded[key].attempt == attempt.number:
+            recorded[key].refused = True
+            del recorded[key]
 
 
 def acknowledge_starts(machine: Machine, starts: Starts, answer: WorkerHeartbeat) -> None:
-    """Note that the machine's answer is from after the starts were carried out."""
+    """Record that the machine sent a response after it had executed the starts."""
     for key, attempt in starts:
         start = machine.token.direct_starts.get(key)
         if start is not None and start.attempt == attempt.number:
--- a/roadbend/fleet/failure_detector.py
+++ b/roadbend/fleet/failure_detector.py
@@ -1,7 +1,8 @@
-"""Failure detector: tells machines that are dead from those that are only out of reach.
+"""Failure detector: distinguishes failed machines from those that are merely unreachable.
 
-A machine is silent when no answer of ours has reached it for long. A silent machine is asked; where
-nothing speaks for it, it is deleted, or given up when its worker's lease has expired.
+A machine is silent when no response is known to have reached it for some time. A silent machine is
+probed. Without any sign that it is alive it is deleted, or its attempts are marked as terminated
+when its worker's lease has expired.
 """
 
 from collections.abc import Callable, Mapping
@@ -16,28 +17,32 @@
 from roadbend.fleet.deletions import Deletions
 from roadbend.fleet.fencing import Fencing
 from roadbend.fleet.leader import Controller, Leader
-from roadbend.fleet.liveness_policy import ANSWERING_LEASES, RECLAIMED_SILENCE, Unreachable
+from roadbend.fleet.liveness_policy import (
+    ANSWERING_LEASES,
+    RECLAIMED_SILENT_INTERVALS,
+    UnreachableMachine,
+)
 from roadbend.fleet.machine_probe import MachineProbes, Probe
 from roadbend.fleet.machines import Machine
-from roadbend.fleet.process_pauses import NOTE_INTERVAL, ProcessPauses
+from roadbend.fleet.process_pauses import CHECK_INTERVAL, ProcessPauses
 from roadbend.fleet.zone_reachability import ZoneReachability
 from roadbend.http.net import Net
 from roadbend.log import Log
 
 log = Log("fleet")
-# Machines that are looked into, those that wait to be asked or to be looked into again among them;
-# the rest follow as these end.
+# Probes in progress, including those that wait for a connection or pause after a probe; further
+# machines follow as these end.
 MAX_SUSPECTS = 1024
-# How long looking into a machine may take; more says that we ourselves paused.
-PROBE_WITHIN = timedelta(seconds=3)
-# How long a machine that was looked into is left alone.
+# How long a probe may take; if it takes longer, this process itself paused.
+MAX_PROBE_DURATION = timedelta(seconds=3)
+# How long a machine is not probed again after a probe.
 PROBE_PAUSE = timedelta(seconds=2)
-# Whether a peer hears a machine of a partition: partition, machine, now.
-HeardElsewhere = Callable[[str, str, datetime], bool]
+# Returns whether a machine's heartbeats reach a peer, from partition, machine and current time.
+ReachesPeers = Callable[[str, str, datetime], bool]
 
 
 class FailureDetector:
-    """Looks after the silent machines of all partitions that this controller leads."""
+    """Detects failed machines in all partitions that this controller leads."""
 
     def __init__(
         self,
@@ -46,42 +51,42 @@
         cloud: Cloud,
         inventory: CloudInventory,
         reachability: ZoneReachability,
-        heard_elsewhere: HeardElsewhere,
+        reaches_peers: ReachesPeers,
         leaders: Mapping[str, Leader],
     ) -> None:
         self._controller, self._leaders = controller, leaders
         self._inventory, self._reachability = inventory, reachability
-        self._heard_elsewhere = heard_elsewhere
+        self._reaches_peers = reaches_peers
         self._probes = MachineProbes(net, inventory)
         self._fencing = Fencing(controller, Deletions(cloud))
         self._pauses = ProcessPauses(controller.settings.heartbeat_interval / 2)
         self._probing: set[tuple[str, str]] = set()
 
     async def watch(self, nursery: trio.Nursery) -> None:
-        """Look for silent machines every second, and look into them."""
+        """Find silent machines every second, and probe them."""
         last = clock.now()
         while True:
-            await clock.pause(NOTE_INTERVAL)
-            self._pauses.note_time(last)
+            await clock.pause(CHECK_INTERVAL)
+            self._pauses.record_time(last)
             last = clock.now()
             for leader in list(self._leaders.values()):
                 try:
-                    self._look(leader, nursery)
+                    self._start_probes(leader, nursery)
                 except Exception:
-                    # The machines of the other partitions have to be looked after all the same.
+                    # The other partitions still have to be checked.
                     log.crash("failure-detection-failed", partition=leader.partition)
 
     def paused_since(self, instant: datetime) -> bool:
-        """Tell whether this process went on after a pause since an instant."""
+        """Return whether this process has resumed from a pause since an instant."""
         return self._pauses.any_since(instant)
 
-    def _look(self, leader: Leader, nursery: trio.Nursery) -> None:
-        """Begin to look into a partition's silent machines, the longest silent first."""
+    def _start_probes(self, leader: Leader, nursery: trio.Nursery) -> None:
+        """Start to probe a partition's silent machines, the longest silent first."""
         now = clock.now()
         recorded = leader.records.attempts_by_machine()
         known = leader.machines.keys() | recorded.keys()
         silent = [name for name in known if self._is_silent(leader, name, now)]
-        self._reachability.note(leader, recorded.keys(), now)
+        self._reachability.update(leader, recorded.keys(), now)
         since = leader.leadership.acquired_at
         silent_since = {
             name: _acknowledged_at(leader.machines.get(name)) or since for name in silent
@@ -94,9 +99,9 @@
                 nursery.start_soon(self._probe, leader, name)
 
     def _is_silent(self, leader: Leader, name: str, now: datetime) -> bool:
-        """Whether a machine has to be looked into.
+        """Return whether a machine has to be probed.
 
-        What counts is not that it sends heartbeats, but that it receives our answers.
+        What matters is not whether it sends heartbeats, but whether it receives the responses.
         """
         machine = leader.machines.get(name)
         suspected = machine is not None and machine.contact.suspected
@@ -110,33 +115,33 @@
         if self._pauses.silence(last, now) > interval * operator.silent_reports:
             return True
         reclaimed = liveness_policy.is_reclaimed(machine, now)
-        return reclaimed and now - last > interval * RECLAIMED_SILENCE
+        return reclaimed and now - last > interval * RECLAIMED_SILENT_INTERVALS
 
     async def _probe(self, leader: Leader, name: str) -> None:
         try:
             await self._probe_once(leader, name)
         except Exception:
-            # It is looked into again, and the task that runs this must not end the controller.
+            # The machine is probed again later; an error here must not end the controller.
             log.crash("machine-probe-failed", machine=name)
         finally:
             self._probing.discard((leader.partition, name))
 
     async def _probe_once(self, leader: Leader, name: str) -> None:
-        """Ask a silent machine; delete it where nothing speaks for it."""
-        probe = await self._probes.ask(leader, name)
+        """Probe a silent machine; delete it without any sign that it is alive."""
+        probe = await self._probes.probe(leader, name)
         settings = self._controller.settings
         if probe.answered and probe.silence() < settings.lease * ANSWERING_LEASES:
-            # It lives and will send a heartbeat, or end its lease; till then nothing more is put
-            # on it.
+            # It is alive and will send a heartbeat, or its lease will expire; until then it is
+            # given no more tasks.
             await clock.pause(PROBE_PAUSE)
             return
-        if probe.took > PROBE_WITHIN:
-            # Its answers may lie unread: we paused while we asked.
+        if probe.duration > MAX_PROBE_DURATION:
+            # This process paused during the probe, so responses may be waiting unread.
             return
         machine = leader.machines.get(name)
         if machine is not None:
             machine.contact.suspected = False
-            if liveness_policy.is_acknowledged_lately(
+            if liveness_policy.was_recently_acknowledged(
                 machine, probe.acknowledged_at, probe.silence(), settings.heartbeat_interval
             ):
                 return
@@ -152,17 +157,17 @@
 
     def _unreachable(
         self, leader: Leader, machine: Machine | None, probe: Probe, now: datetime
-    ) -> Unreachable:
-        """Return what is known of a machine that did not answer."""
+    ) -> UnreachableMachine:
+        """Collect what is known of a machine that did not answer."""
         heartbeat_at = machine.contact.last_heartbeat_at if machine is not None else None
-        return Unreachable(
+        return UnreachableMachine(
             silence=probe.silence(),
             failed=probe.failed,
             reclaimed=liveness_policy.is_reclaimed(machine, now),
             unacknowledged=heartbeat_at is not None
             and heartbeat_at - probe.silent_since > liveness_policy.UNACKNOWLEDGED_AFTER,
-            heard_by_peers=self._heard_elsewhere(leader.partition, probe.name, now),
-            common_cause=self._reachability.common_cause(leader, probe.name, now),
+            reaches_peers=self._reaches_peers(leader.partition, probe.name, now),
+            common_cause=self._reachability.has_common_cause(leader, probe.name, now),
         )
 
 
--- a/roadbend/fleet/fencing.py
+++ b/roadbend/fleet/fencing.py
@@ -1,4 +1,4 @@
-"""Making sure that a machine runs nothing any more: by its deletion, or by its worker's lease."""
+"""Fencing: ensures that a machine no longer runs anything, by deletion or by lease expiry."""
 
 from roadbend import clock
 from roadbend.cloud.client import CloudBusyError, NoCapacityError
@@ -10,35 +10,35 @@
 from roadbend.log import Log
 
 log = Log("fleet")
-# Most characters of an error that are logged.
-LOGGED_ERROR = 60
+# Characters of an error message that are logged.
+MAX_LOGGED_ERROR_LENGTH = 60
 
 
 class Fencing:
-    """Deletes machines, and gives attempts up whose worker's lease has expired."""
+    """Deletes machines, and marks attempts as terminated whose worker's lease has expired."""
 
     def __init__(self, controller: Controller, deletions: Deletions) -> None:
         self._controller, self._deletions = controller, deletions
 
     async def fence(self, leader: Leader, name: str) -> bool:
-        """Delete a machine; say whether its attempts are certainly terminated."""
+        """Delete a machine; return whether its attempts are certainly terminated."""
         machine = leader.machines.get(name)
         if machine is not None:
-            # From here on no order goes to it, so the deletion can't overtake one.
+            # From here on no orders are sent to it, so the deletion can't overtake one.
             machine.lifecycle.fencing = True
         try:
             await self._deletions.delete(name)
         except CloudBusyError as error:
-            # Not carried out.
-            log.info("machine-fence-refused", **_failure(leader, name, error))
+            # The deletion was not executed.
+            log.info("machine-fence-refused", **_log_fields(leader, name, error))
             if machine is not None:
                 machine.lifecycle.fencing = False
             return False
         except (NoAnswerError, NoCapacityError) as error:
-            log.info("machine-fence-failed", **_failure(leader, name, error))
+            log.info("machine-fence-failed", **_log_fields(leader, name, error))
             if machine is not None:
-                # The deletion may still be carried out: should the machine send a heartbeat again,
-                # it gets nothing new.
+                # The deletion may still be executed, so the machine is given no new tasks should it
+                # send a heartbeat again.
                 machine.lifecycle.draining, machine.lifecycle.fencing = "fence", False
             return False
         log.info("machine-fenced", partition=leader.partition, machine=name)
@@ -46,15 +46,19 @@
         return True
 
     def expire(self, leader: Leader, name: str) -> None:
-        """Give the attempts of a machine up if its worker's lease has expired."""
+        """Mark the attempts of a machine as terminated if its worker's lease has expired."""
         settings, operator = self._controller.settings, self._controller.operator
-        terms = LeaseTimes.of(leader.leadership, settings, operator)
-        expired = is_lease_expired(leader.machines.get(name), terms, clock.now())
+        times = LeaseTimes.of(leader.leadership, settings, operator)
+        expired = is_lease_expired(leader.machines.get(name), times, clock.now())
         if expired and leader.records.attempts_by_machine().get(name):
             log.info("worker-lease-expired", partition=leader.partition, machine=name)
             leader.terminate_attempts(name, TerminationEvidence.LEASE)
 
 
-def _failure(leader: Leader, name: str, error: Exception) -> dict[str, str]:
-    """Return what is logged of a deletion that failed."""
-    return {"partition": leader.partition, "machine": name, "error": str(error)[:LOGGED_ERROR]}
+def _log_fields(leader: Leader, name: str, error: Exception) -> dict[str, str]:
+    """Return the log fields for a failed deletion."""
+    return {
+        "partition": leader.partition,
+        "machine": name,
+        "error": str(error)[:MAX_LOGGED_ERROR_LENGTH],
+    }
--- a/roadbend/fleet/heartbeat_evaluation.py
+++ b/roadbend/fleet/heartbeat_evaluation.py
@@ -1,9 +1,9 @@
-"""Evaluation of a machine's latest heartbeat: what it proves, and which orders it is answered with.
+"""Evaluation of a machine's latest heartbeat: what it proves, and the orders for the response.
 
-Evidence that an attempt is terminated comes only from a heartbeat that carries this leader's token
-and is newer than all before it: such a heartbeat was sent after the response to the last one was
-resolved, so no order of ours, nor of a former leader, is still on its way to the worker. An older
-token proves presence only.
+Only a heartbeat that carries this leader's token and is newer than all before it is evidence that
+an attempt is terminated. It was sent after the worker received, or gave up on, the response to the
+previous one, so no order of this or a former leader is still in transit to the worker. A heartbeat
+with an older token proves only that the attempts it shows are present.
 """
 
 from collections.abc import Callable, Mapping
@@ -29,11 +29,11 @@
 from roadbend.store.records import Attempt, Job
 
 log = Log("fleet")
-# How much longer than its grace period a task may save.
+# For how much longer than its grace period a task may save its checkpoint.
 SAVE_MARGIN = timedelta(seconds=1)
 
 
-def _keeps_nothing(_task: TaskStatus) -> bool:
+def _keeps_no_task(_task: TaskStatus) -> bool:
     return False
 
 
@@ -43,20 +43,21 @@
 
 @dataclass
 class MachineExpectation:
-    """What a leader has recorded on a machine and decided about it, as a heartbeat is evaluated."""
+    """What a leader expects of a machine: the records and its decisions when a heartbeat comes."""
 
     partition: str
-    # The recorded attempts, and the jobs of those that are neither over nor cancelled.
+    # The attempts recorded on the machine, and those of their jobs that are neither ended nor
+    # cancelled.
     recorded: MachineAttempts
     jobs: dict[str, Job]
     stops: Mapping[TaskKey, StopOrder]
-    ended: Terminations
+    terminations: Terminations
     may_start: bool
-    # The attempt of a task that the partition's records name on any machine.
+    # Returns the attempt of a task that the partition's records name, on any machine.
     recorded_attempt: Callable[[TaskKey], Attempt | None]
-    # Whether a task that no record names is left alone for now.
-    keeps_unrecorded: Callable[[TaskStatus], bool] = _keeps_nothing
-    # Whether the start of an attempt that the machine does not show may be sent now.
+    # Returns whether an unrecorded task is left running for now.
+    keeps_unrecorded: Callable[[TaskStatus], bool] = _keeps_no_task
+    # Returns whether the start of an attempt that the machine does not show may be sent now.
     may_send: Callable[[TaskKey, Attempt], bool] = _may_send_any
 
 
@@ -69,17 +70,17 @@
 ) -> list[WorkerOrder]:
     """Return the orders for the response to a machine's latest heartbeat.
 
-    Notes in `expected.ended` what it proves, and in `machine` what it shows.
+    Adds the terminations that it proves to `expected.terminations`, and updates `machine`.
     """
     current = heartbeat.token == token
-    _note_machine(machine, heartbeat, current, now)
+    _update_machine(machine, heartbeat, current, now)
     evaluation = _Evaluation(machine, heartbeat, current, expected, now, [], {})
     for task in heartbeat.tasks:
         evaluation.evaluate_shown(task)
     for key, (job_slice, attempt) in expected.recorded.items():
-        # An attempt that is known to be terminated is not ordered again, though the records name it
-        # yet.
-        if key not in evaluation.seen and key not in expected.ended:
+        # An attempt that is known to be terminated is not started again, although the records still
+        # name it.
+        if key not in evaluation.seen and key not in expected.terminations:
             evaluation.evaluate_absent(key, job_slice.job, attempt)
     machine.tasks = evaluation.seen
     _forget_direct_starts(machine, expected.recorded)
@@ -88,11 +89,11 @@
 
 @dataclass(slots=True)
 class _Evaluation:
-    """One heartbeat as it is evaluated, with what has come of it so far."""
+    """The evaluation of one heartbeat, with its results so far."""
 
     machine: Machine
     heartbeat: WorkerHeartbeat
-    # Whether the heartbeat carries our token.
+    # Whether the heartbeat carries the leader's token.
     current: bool
     expected: MachineExpectation
     now: datetime
@@ -112,41 +113,42 @@
             return
         self.seen[key] = observed = _observe(machine, key, task, self.now)
         if task.state == TaskState.ENDED:
-            if machine.settled(key, task.attempt, self.heartbeat, self.current):
-                _note_end(machine, key, task, self.current, expected.ended)
+            if machine.is_settled(key, task.attempt, self.heartbeat, self.current):
+                _record_termination(machine, key, task, self.current, expected.terminations)
             return
-        if key in expected.ended:
-            expected.ended.withdraw(key, machine.id)
+        if key in expected.terminations:
+            expected.terminations.withdraw(key, machine.id)
         stop = expected.stops.get(key)
         if stop is None or stop.attempt != task.attempt:
             return
         if stop.was_carried_out_after(self.heartbeat.position, machine.token.incarnation):
             return
-        self.orders.append(_stop(task, stop, self.now - observed.since))
+        self.orders.append(_stop_task(task, stop, self.now - observed.since))
         stop.sent_at = self.now
 
     def evaluate_absent(self, key: tuple[str, int], job: str, attempt: Attempt) -> None:
-        """Evaluate a recorded attempt that the heartbeat does not show."""
+        """Evaluate a recorded attempt that is absent from the heartbeat."""
         machine, expected = self.machine, self.expected
-        wanted = _is_wanted(machine, key, expected)
-        if wanted and expected.may_start:
-            # Write-ahead has been done. Repeating an order is harmless: the worker ignores what it
-            # holds, and this attempt has not been forgotten while it is in the records.
+        should_run = _should_run(machine, key, expected)
+        if should_run and expected.may_start:
+            # The attempt was recorded before the first order (write-ahead). Repeating the order is
+            # harmless: the worker ignores an attempt that it already holds, and it is not ordered
+            # to forget an ended one before the end is recorded.
             if expected.may_send(TaskKey(*key), attempt):
                 self.orders.append(StartTask(job, key[1], attempt.number))
         elif (
             self.current
-            and not wanted
-            and machine.settled(key, attempt.number, self.heartbeat, self.current)
+            and not should_run
+            and machine.is_settled(key, attempt.number, self.heartbeat, self.current)
         ):
             evidence = TerminationEvidence.ABSENT
-            expected.ended.add(key, Termination(attempt.number, machine.id, False, evidence))
+            expected.terminations.add(key, Termination(attempt.number, machine.id, False, evidence))
 
 
-def _note_machine(
+def _update_machine(
     machine: Machine, heartbeat: WorkerHeartbeat, current: bool, now: datetime
 ) -> None:
-    """Note what a heartbeat says of the machine as a whole."""
+    """Update a machine with what a heartbeat reports about the machine as a whole."""
     machine.token.confirmed = machine.token.confirmed or current
     machine.address = heartbeat.address
     if heartbeat.notice is not None:
@@ -155,7 +157,7 @@
 
 
 def _forget_direct_starts(machine: Machine, recorded: MachineAttempts) -> None:
-    """Forget direct starts of attempts that the records do not name here any more."""
+    """Forget direct starts of attempts that are no longer recorded on the machine."""
     machine.token.direct_starts = {
         key: start
         for key, start in machine.token.direct_starts.items()
@@ -163,8 +165,8 @@
     }
 
 
-def _is_wanted(machine: Machine, key: tuple[str, int], expected: MachineExpectation) -> bool:
-    """Whether a recorded task is still to run on its machine."""
+def _should_run(machine: Machine, key: tuple[str, int], expected: MachineExpectation) -> bool:
+    """Return whether a recorded task is still to run on its machine."""
     job = expected.jobs.get(key[0])
     held = job is not None and ranges.has(job.allocation.get(expected.partition, ()), key[1])
     lifecycle = machine.lifecycle
@@ -175,9 +177,9 @@
 def _order_for_unrecorded(
     machine: Machine, task: TaskStatus, expected: MachineExpectation
 ) -> WorkerOrder | None:
-    """Return the order for a task that is not in the records, None to leave it alone.
+    """Return the order for an unrecorded task, or None to leave it running.
 
-    Its end has been recorded, or it never should have been there, or the records have lost it.
+    Either its end has been recorded, or it should never have been started, or its record was lost.
     """
     if expected.keeps_unrecorded(task):
         machine.unrecorded_tasks += 1
@@ -201,7 +203,7 @@
 
 
 def _observe(machine: Machine, key: TaskKey, task: TaskStatus, now: datetime) -> ObservedTask:
-    """Return a task as shown now, with since when it has been so."""
+    """Return a task as reported now, with the times from which on it has been in its state."""
     before = machine.tasks.get(key)
     known = before if before and before.attempt == task.attempt else None
     running_since = known.running_since if known else None
@@ -211,22 +213,23 @@
     return ObservedTask(task.attempt, task.state, since, running_since)
 
 
-def _note_end(
-    machine: Machine, key: TaskKey, task: TaskStatus, current: bool, ended: Terminations
+def _record_termination(
+    machine: Machine, key: TaskKey, task: TaskStatus, current: bool, terminations: Terminations
 ) -> None:
-    """Note an end that a heartbeat shows.
+    """Record the termination of a task that a heartbeat shows as ended.
 
-    `done` stays true however old the heartbeat is; any other end is proven by a current one only.
+    The cause `done` is valid however old the heartbeat's token is. Any other end is proven only by
+    a heartbeat with the leader's token.
     """
     if task.cause == EndCause.DONE:
-        ended.add(key, Termination(task.attempt, machine.id, True, EndCause.DONE))
+        terminations.add(key, Termination(task.attempt, machine.id, True, EndCause.DONE))
     elif current:
         cause = task.cause or TerminationEvidence.ENDED
-        ended.add(key, Termination(task.attempt, machine.id, False, cause))
+        terminations.add(key, Termination(task.attempt, machine.id, False, cause))
 
 
-def _stop(task: TaskStatus, stop: StopOrder, shown_for: timedelta) -> StopTask:
-    """Return the order to stop a task, without grace if it saves for longer than it was given."""
+def _stop_task(task: TaskStatus, stop: StopOrder, shown_for: timedelta) -> StopTask:
+    """Return the order to stop a task, without grace once it has overrun its grace period."""
     stuck = task.state == TaskState.FLUSHING and shown_for > stop.grace + SAVE_MARGIN
     grace = clock.ZERO if stuck else stop.grace
     return StopTask(task.job, task.task_index, task.attempt, grace)
--- a/roadbend/fleet/leader.py
+++ b/roadbend/fleet/leader.py
@@ -1,6 +1,6 @@
-"""What this package needs of a partition's leader and of the controller that it belongs to.
+"""Protocols of the partition leader and of its controller, as far as this package uses them.
 
-`roadbend.placement` provides both; it is not imported here, because it uses this package itself.
+`roadbend.placement` implements both. It is not imported here, because it imports this package.
 """
 
 from collections.abc import ItemsView, Mapping
@@ -19,7 +19,7 @@
 
 
 class Controller(Protocol):
-    """What all partitions of a controller share."""
+    """State that all partitions of a controller share."""
 
     settings: PlatformSettings
     operator: OperatorSettings
@@ -34,20 +34,20 @@
         """Return the fencing token for a machine."""
 
     def answer_unchanged(self, data: Any, now: datetime) -> int | None:
-        """Return the token to answer an unread heartbeat with, None if it has to be read."""
+        """Return the token for the response to an unparsed heartbeat, None if it must be parsed."""
 
     async def handle(self, heartbeat: WorkerHeartbeat) -> tuple[int, list[WorkerOrder]] | None:
         """Return token and orders for a heartbeat, None if it is not admitted."""
 
     def begin_incarnation(self, machine: Machine, position: HeartbeatPosition) -> None:
-        """Note that a machine has shown that it restarted."""
+        """Record that a machine has restarted."""
 
 
 class StopSpacing(Protocol):
-    """Whether direct commands to stop may wait."""
+    """Decides whether direct commands to stop may wait."""
 
     def should_delay_stop(self, key: TaskKey, stop: StopOrder, now: datetime) -> bool:
-        """Whether the direct command for a stop may wait."""
+        """Return whether the direct command for a stop may wait."""
 
 
 class LeaderRecords(Protocol):
@@ -57,41 +57,41 @@
         """Return the recorded attempts by machine."""
 
     def live_job(self, job: str) -> Job | None:
-        """Return a job that is neither over nor cancelled."""
+        """Return a job unless it has ended or is cancelled."""
 
 
 class LeaderStops(Protocol):
-    """The tasks that a leader wants stopped."""
+    """The tasks that a leader is to stop."""
 
     def __contains__(self, key: tuple[str, int]) -> bool:
-        """Whether a task is to be stopped."""
+        """Return whether a task is to be stopped."""
 
     def items(self) -> ItemsView[TaskKey, StopOrder]:
         """Return the tasks with their orders."""
 
     def order_all_cancelled(self, now: datetime) -> None:
-        """Stop the tasks of jobs that are over or cancelled."""
+        """Order the tasks of ended or cancelled jobs to be stopped."""
 
 
 class LeaderMachines(Protocol):
-    """Which machines a leader may give work."""
+    """Decides which machines a leader may give tasks."""
 
     def is_usable(self, machine: Machine, now: datetime, silent_after: timedelta) -> bool:
-        """Whether a machine that has not been silent for so long may be given work."""
+        """Return whether a machine may be given tasks; not if it is silent for `silent_after`."""
 
 
 class LeaderStartsInDoubt(Protocol):
-    """The starts that a leader has sent and that may still be carried out."""
+    """The starts in doubt: a leader has sent them, and they may still be executed."""
 
     def record_direct_start(self, machine: Machine, key: TaskKey, start: DirectStart) -> None:
-        """Note a direct start before it is sent."""
+        """Record a direct start before it is sent."""
 
 
 class LeaderUnheldAttempts(Protocol):
-    """The recorded attempts that machines have not shown to hold."""
+    """The unheld attempts: recorded, but their machines have not reported to hold them."""
 
     def may_send(self, machine: str, key: TaskKey, number: int, now: datetime) -> bool:
-        """Whether the start of an attempt may be sent."""
+        """Return whether the start of an attempt may be sent."""
 
 
 class Leader(Protocol):
@@ -103,15 +103,15 @@
 
     @property
     def leadership(self) -> Leadership:
-        """The leadership under which the partition is led."""
+        """The leadership of this term."""
 
     @property
     def lock(self) -> AbstractContextManager[Any]:
-        """Guards the state."""
+        """Guards the leader's state."""
 
     @property
     def machines(self) -> Mapping[str, Machine]:
-        """The registered machines by id."""
+        """The registered machines, by id."""
 
     @property
     def records(self) -> LeaderRecords:
@@ -127,23 +127,23 @@
 
     @property
     def starts_in_doubt(self) -> LeaderStartsInDoubt:
-        """The starts that were sent and may still be carried out."""
+        """The starts that were sent and may still be executed."""
 
     @property
     def unheld(self) -> LeaderUnheldAttempts:
-        """The recorded attempts that machines have not shown to hold."""
+        """The recorded attempts that their machines have not reported to hold."""
 
     @property
     def usable_machines(self) -> LeaderMachines:
-        """Which machines may be given work."""
+        """Decides which machines may be given tasks."""
 
     @property
     def heartbeats(self) -> LeaderHeartbeats:
-        """How it answers heartbeats."""
+        """Handles the heartbeats of the leader's machines."""
 
     @property
     def recovery(self) -> StopSpacing:
-        """What recovery holds back."""
+        """Recovery, which may delay stops."""
 
     def terminate_attempts(self, machine: str, evidence: TerminationEvidence) -> None:
-        """Note evidence from outside a heartbeat that all attempts of a machine are terminated."""
+        """Mark all attempts of a machine as terminated by evidence other than a heartbeat."""
--- a/roadbend/fleet/machine_probe.py
+++ b/roadbend/fleet/machine_probe.py
@@ -1,4 +1,4 @@
-"""Asking a silent machine itself."""
+"""Probes of silent machines."""
 
 from dataclasses import dataclass
 from datetime import datetime, timedelta
@@ -15,26 +15,26 @@
 from roadbend.http.net import Net
 from roadbend.http.server import MalformedError
 
-# Machines asked at once; each takes a connection.
+# Machines probed at once; each needs a connection.
 MAX_PROBES = 96
-# How often a machine is asked, and how long each answer may take.
-PROBE_TRIES = 2
+# Attempts per probe, and the time that each may take.
+PROBE_ATTEMPTS = 2
 PROBE_TIMEOUT = timedelta(seconds=0.7)
 OK = 200
 
 
 @dataclass(frozen=True)
 class Probe:
-    """What asking a silent machine brought."""
+    """The result of probing a silent machine."""
 
     name: str
     answered: bool
     # The cloud lists it as failed.
     failed: bool
-    took: timedelta
-    # When it last received an answer of ours before it was asked.
+    duration: timedelta
+    # When a response had last reached it before the probe.
     acknowledged_at: datetime | None
-    # That, or when our leadership began.
+    # The same, or else when the leadership was acquired.
     silent_since: datetime
 
     def silence(self) -> timedelta:
@@ -43,8 +43,8 @@
 
 
 @dataclass(frozen=True)
-class _KnownBefore:
-    """What was known of a machine before it was asked."""
+class _MachineSnapshot:
+    """What was known of a machine before it was probed."""
 
     machine: Machine
     position: HeartbeatPosition
@@ -53,14 +53,14 @@
 
 
 class MachineProbes:
-    """Asks machines, so many at once."""
+    """Probes machines, a limited number at once."""
 
     def __init__(self, net: Net, inventory: CloudInventory) -> None:
         self._net, self._inventory = net, inventory
         self._connections = trio.CapacityLimiter(MAX_PROBES)
 
-    async def ask(self, leader: Leader, name: str) -> Probe:
-        """Ask a machine once there is a connection for it."""
+    async def probe(self, leader: Leader, name: str) -> Probe:
+        """Probe a machine once a connection is available."""
         async with self._connections:
             machine, listed = leader.machines.get(name), self._inventory.rows.get(name)
             address = machine.address if machine else (listed.address if listed else "")
@@ -68,29 +68,30 @@
             began = clock.now()
             acknowledged_at = machine.contact.acknowledged_at if machine else None
             answered = bool(address) and not failed and await self._inspect(leader, name, address)
-            took = clock.now() - began
+            duration = clock.now() - began
         silent_since = acknowledged_at or leader.leadership.acquired_at
-        return Probe(name, answered, failed, took, acknowledged_at, silent_since)
+        return Probe(name, answered, failed, duration, acknowledged_at, silent_since)
 
     async def _inspect(self, leader: Leader, name: str, address: str) -> bool:
-        """Ask the machine itself; say whether it answered.
+        """Inspect a machine; return whether it answered.
 
-        Its answer is newer than all that it said before we asked. If it counts from further back,
-        or shows a lower token than it has carried, it has restarted.
+        The response is newer than all heartbeats that arrived before the probe. If it shows a lower
+        position than they did, or a lower token than the machine has reported, the machine has
+        restarted.
         """
-        known = _known_before(leader.machines.get(name))
-        for _ in range(PROBE_TRIES):
+        known = _snapshot(leader.machines.get(name))
+        for _ in range(PROBE_ATTEMPTS):
             heartbeat = await inspect_machine(self._net, address, name)
             if heartbeat is None:
                 continue
             if known is not None and leader.machines.get(name) is known.machine:
-                _take_answer(leader, known, heartbeat)
+                _record_answer(leader, known, heartbeat)
             return True
         return False
 
 
 async def inspect_machine(net: Net, address: str, name: str) -> WorkerHeartbeat | None:
-    """Ask the machine at an address once; None unless the machine of this name answers."""
+    """Inspect the machine at an address once; None unless the machine of this name answers."""
     client = Client(net, address, most=1, keep=0)
     try:
         status, body = await client.request("GET", "/inspect", within=PROBE_TIMEOUT)
@@ -100,15 +101,15 @@
     return heartbeat if heartbeat is not None and heartbeat.machine == name else None
 
 
-def _known_before(machine: Machine | None) -> _KnownBefore | None:
+def _snapshot(machine: Machine | None) -> _MachineSnapshot | None:
     if machine is None:
         return None
     token = machine.token
-    return _KnownBefore(machine, machine.contact.position, token.incarnation, token.confirmed)
+    return _MachineSnapshot(machine, machine.contact.position, token.incarnation, token.confirmed)
 
 
-def _take_answer(leader: Leader, known: _KnownBefore, heartbeat: WorkerHeartbeat) -> None:
-    """Note what a machine's answer says, unless it has restarted since it was asked."""
+def _record_answer(leader: Leader, known: _MachineSnapshot, heartbeat: WorkerHeartbeat) -> None:
+    """Record a machine's response, unless its incarnation has changed since the probe began."""
     machine = known.machine
     if machine.token.incarnation != known.incarnation:
         return
--- a/roadbend/fleet/machine_reach.py
+++ b/roadbend/fleet/machine_reach.py
@@ -1,4 +1,4 @@
-"""Whether the machines of a partition that another controller leads can be reached from here."""
+"""Checks whether the machines of another leader's partition are reachable from this controller."""
 
 from collections.abc import Sequence
 from datetime import datetime, timedelta
@@ -11,25 +11,26 @@
 from roadbend.http.net import Net
 from roadbend.store.record_view import RecordView
 
-# Machines of a partition that are asked at the most; a cut of a zone's network shows on any few.
-MAX_ASKED = 8
-# How long a partition that was found out of reach is not asked again.
+# At most so many machines of a partition are probed; a network partition of the zone shows on any
+# few of them.
+MAX_PROBED = 8
+# For how long a partition that was found unreachable is not probed again.
 RETRY_INTERVAL = timedelta(seconds=5)
 
 
 class MachineReach:
-    """Asks machines of a partition with gangs whether they answer."""
+    """Probes some machines of a partition, those that run gangs first."""
 
     def __init__(self, net: Net, inventory: CloudInventory, view: RecordView) -> None:
         self._net, self._inventory, self._view = net, inventory, view
-        # By partition, until when it counts as out of reach.
+        # By partition, until when it counts as unreachable.
         self._out_of_reach: dict[str, datetime] = {}
 
     async def is_reachable(self, partition: str) -> bool:
-        """Tell whether the machines that run a partition's gangs answer us, or nothing runs there.
+        """Return whether a partition's machines with gangs answer, or no machine runs anything.
 
-        All that are asked have to, but for those that have failed: one that is lost to us ends its
-        gang. False, too, while the cloud's list lacks one of them.
+        All probed machines have to answer, except those that have failed: a machine that this
+        controller can't reach would end its gang. Also False while the cloud's list lacks one.
         """
         now = clock.now()
         if now < self._out_of_reach.get(partition, now):
@@ -43,13 +44,13 @@
         return False
 
     def _choose(self, partition: str) -> Sequence[str]:
-        """Choose machines that run gangs, or anything where none does, spread by name."""
+        """Choose machines that run gangs, or else any tasks, evenly spread by name."""
         running = self._view.attempts_by_machine.get(partition, {})
         gangs = self._view.gangs
         with_gangs = [
             name for name, attempts in running.items() if any(job in gangs for job, _ in attempts)
         ]
-        return _spread(sorted(with_gangs or running), MAX_ASKED)
+        return _spread(sorted(with_gangs or running), MAX_PROBED)
 
     async def _all_answer(self, names: Sequence[str]) -> bool:
         silent = []
@@ -65,8 +66,8 @@
         return not silent
 
 
-def _spread(names: Sequence[str], most: int) -> Sequence[str]:
-    """Return at most so many of some names, evenly spread."""
-    if len(names) <= most:
+def _spread(names: Sequence[str], max_count: int) -> Sequence[str]:
+    """Return at most `max_count` of the names, evenly spread."""
+    if len(names) <= max_count:
         return names
-    return [names[at * len(names) // most] for at in range(most)]
+    return [names[at * len(names) // max_count] for at in range(max_count)]
--- a/roadbend/fleet/machines.py
+++ b/roadbend/fleet/machines.py
@@ -1,4 +1,4 @@
-"""Machines of a partition as its leader knows them, and which of their heartbeats are admitted."""
+"""A leader's state of its partition's machines, and the rules for admitting their heartbeats."""
 
 from dataclasses import dataclass, field
 from datetime import datetime, timedelta
@@ -14,21 +14,22 @@
 from roadbend.fleet.terminations import TaskKey
 from roadbend.wire_values import INTEGER_LIMIT
 
-# A worker whose heartbeat was answered sends the next one within this share of the interval, and
-# within this time of a change; one whose answer was lost waits 4 s and tries another controller.
+# A worker that receives the response to its heartbeat sends the next one within HEARTBEAT_JITTER
+# times the interval, plus SEND_DELAY_MARGIN. A worker whose response was lost times out after 4 s
+# and tries another controller.
 HEARTBEAT_JITTER = 1.25
-ANSWERED_WITHIN = timedelta(seconds=0.7)
+SEND_DELAY_MARGIN = timedelta(seconds=0.7)
 # Greater than the epoch of any heartbeat.
-NO_EPOCH = INTEGER_LIMIT
+ABOVE_ALL_EPOCHS = INTEGER_LIMIT
 
 
 @dataclass
 class ObservedTask:
-    """A task as the machine last showed it."""
+    """A task as the machine last reported it."""
 
     attempt: int
     state: TaskState | str
-    # Since when it has been in this state.
+    # When it was first reported in this state.
     since: datetime
     running_since: datetime | None = None
 
@@ -37,20 +38,23 @@
 class DirectStart:
     """A direct command to start an attempt.
 
-    It may be carried out late, so that absence or end of the attempt proves nothing before it is
-    known what became of the command: answered, with the machine's position then; or fenced, by a
-    token that the machine must show first, since with it the command is refused.
+    The machine may execute it late. That the attempt is absent or ended therefore proves nothing
+    until the outcome of the command is known: it is acknowledged, with the machine's position at
+    that time, or it is fenced by a higher token, with which the machine refuses the command.
     """
 
     attempt: int
     epoch: int
     acknowledged_position: HeartbeatPosition | None = None
     fenced: bool = False
-    # The machine refused the command: it was not carried out, nor will be.
+    # The machine refused the command and will never execute it.
     refused: bool = False
 
     def is_settled(self, heartbeat: WorkerHeartbeat, current: bool) -> bool:
-        """Whether what a heartbeat shows of the attempt is final; `current`: it has our token."""
+        """Return whether the attempt's state in a heartbeat is final.
+
+        `current`: the heartbeat carries the leader's token.
+        """
         if heartbeat.position.epoch > self.epoch:
             return True
         if self.fenced:
@@ -59,10 +63,10 @@
         return acknowledged is not None and heartbeat.position > acknowledged
 
     def may_be_carried_out(self, machine: "Machine", _now: datetime) -> bool:
-        """Whether the machine may still carry the command out.
+        """Return whether the machine may still execute the command.
 
-        Unlike `is_settled`, which tells what a heartbeat proves of the attempt: a command that was
-        answered has been carried out.
+        `is_settled` is about what a heartbeat proves of the attempt. This is about the command
+        itself: one that was acknowledged has been executed already.
         """
         if self.refused or self.acknowledged_position is not None:
             return False
@@ -73,58 +77,60 @@
 
 @dataclass(slots=True)
 class HeartbeatContact:
-    """What heartbeats tell of contact with a machine, and when its lease began."""
+    """Contact with a machine, as inferred from its heartbeats, and the start of its lease."""
 
-    # Of the newest heartbeat admitted.
+    # Position of the newest admitted heartbeat.
     position: HeartbeatPosition = NO_HEARTBEAT_YET
     last_heartbeat_at: datetime | None = None
-    # The lease counts from no later than this: when the last heartbeat came that is or may be
-    # answered with 200, for a lease counts from when that heartbeat was sent; or when the last
-    # direct start went out, for a machine that had just restarted would carry it out.
+    # An upper bound for the start of the worker's lease. The lease starts when the worker sends a
+    # heartbeat that is answered with 200, so this is when the last heartbeat arrived that is or may
+    # be answered so. It is also the time of the last direct start, as a machine that has just
+    # restarted would execute that.
     lease_started_at: datetime | None = None
-    # When something last showed that an answer of ours reached the machine. One that sends
-    # heartbeats without receiving our answers looks healthy by `last_heartbeat_at` alone.
+    # When there was last evidence that a response reached the machine. A machine that sends
+    # heartbeats but does not receive the responses looks healthy by `last_heartbeat_at` alone.
     acknowledged_at: datetime | None = None
-    # A heartbeat came that was not newer than the last: a late copy, or the machine restarted.
+    # A heartbeat arrived that was not newer than the last one: it was delivered late or twice, or
+    # the machine has restarted.
     suspected: bool = False
 
     def is_responsive(self, now: datetime, silent_after: timedelta) -> bool:
-        """Whether an answer of ours reached the machine within this time."""
+        """Return whether a response is known to have reached the machine within this time."""
         return self.acknowledged_at is not None and now - self.acknowledged_at < silent_after
 
     def advance_to(self, position: HeartbeatPosition, now: datetime) -> None:
-        """Advance to a newer heartbeat, which is, or may be, answered."""
+        """Advance to the position of a newer heartbeat that is or may be answered."""
         self.position = position
         self.lease_started_at = now
 
     def is_latest(self, heartbeat: WorkerHeartbeat) -> bool:
-        """Whether nothing newer of the machine has been admitted than this heartbeat."""
+        """Return whether this is the newest heartbeat admitted from the machine."""
         return self.position == heartbeat.position
 
     def record_heartbeat(self, now: datetime, heartbeat_interval: timedelta) -> None:
-        """Note when a heartbeat came, and infer whether the one before it was answered."""
+        """Record the arrival of a heartbeat, and infer whether the previous one was answered."""
         last, self.last_heartbeat_at = self.last_heartbeat_at, now
-        if last is None or now - last < heartbeat_interval * HEARTBEAT_JITTER + ANSWERED_WITHIN:
+        if last is None or now - last < heartbeat_interval * HEARTBEAT_JITTER + SEND_DELAY_MARGIN:
             self.acknowledged_at = now
 
 
 @dataclass(slots=True)
 class MachineToken:
-    """How far a machine follows our fencing token, and which direct starts may be under way."""
+    """The fencing token of a machine, and the direct starts that may still be in transit."""
 
-    # It has carried our token: former leaders' orders can't reach it any more.
+    # The machine has reported the leader's token, so it refuses the orders of former leaders.
     confirmed: bool = False
-    # Created in this term and not seen before: it takes work from its first heartbeat on.
+    # Created in this term and not seen before: it may be given tasks from its first heartbeat on.
     newly_created: bool = False
-    # How often the machine was seen to restart, and how often it was fenced; part of the token, so
-    # that incarnations are told apart.
+    # Number of the machine's known restarts and of the times its token was raised. It is part of
+    # the token, which distinguishes the incarnations.
     incarnation: int = 0
     direct_starts: dict[tuple[str, int], DirectStart] = field(default_factory=dict)
 
     def advance(self) -> None:
-        """Go on to the next incarnation, whose token the machine has to confirm first.
+        """Advance to the next incarnation, whose token the machine has to confirm first.
 
-        Direct starts that are under way carry a lower token, so they are fenced.
+        Direct starts in transit carry a lower token, so they are fenced.
         """
         self.incarnation += 1
         self.confirmed = self.newly_created = False
@@ -134,32 +140,32 @@
 
 @dataclass(slots=True)
 class MachineLifecycle:
-    """Why a machine is leaving, if it is."""
+    """Whether a machine is about to be removed, and why."""
 
-    # When the cloud reclaims it, if it has given notice.
+    # When the cloud reclaims it, if there is a reclaim notice.
     reclaim_at: datetime | None = None
     # Why it is being drained.
     draining: str | None = None
-    # Its deletion is under way: no order goes to it, so that the deletion can't overtake one.
+    # Its deletion is in progress: no orders are sent to it, as the deletion could overtake them.
     fencing: bool = False
 
 
 @dataclass(slots=True)
 class HeartbeatEvaluationCache:
-    """The last evaluated heartbeat, by which one that says the same is answered unread."""
+    """The last evaluated heartbeat. The next one need not be parsed if it reports the same."""
 
     reported_tasks: UnreadTasks | None = None
-    # Count of changes to the machine's records then; None: the next heartbeat is read in full.
+    # Version of the machine's records at the time; None: the next heartbeat is parsed in full.
     unchanged_version: int | None = None
 
     def invalidate(self) -> None:
-        """Have the next heartbeat read in full, because what it is answered may have changed."""
+        """Have the next heartbeat parsed in full, because the response may differ."""
         self.unchanged_version = None
 
 
 @dataclass
 class Machine:
-    """A machine of a partition, as the partition's leader knows it."""
+    """A partition leader's state of one machine."""
 
     id: str
     address: str
@@ -170,12 +176,12 @@
     token: MachineToken = field(default_factory=MachineToken)
     lifecycle: MachineLifecycle = field(default_factory=MachineLifecycle)
     last_evaluation: HeartbeatEvaluationCache = field(default_factory=HeartbeatEvaluationCache)
-    # What the records leave free on it, and the version of the records that it was computed from.
+    # Free capacity according to the records, with the version of the records it is computed from.
     free: tuple[int, float, float, float] | None = None
     tasks: dict[TaskKey, ObservedTask] = field(default_factory=dict)
-    # Sizes of the images that it is thought to have, in GB, the most recently used one last.
+    # Sizes in GB of the images that are presumably cached on it, most recently used last.
     images: dict[str, float] = field(default_factory=dict)
-    # Jobs of which a task failed here, and when it last did.
+    # Jobs of which a task failed here, with the time of the latest failure.
     failures: dict[str, datetime] = field(default_factory=dict)
     empty_since: datetime | None = None
     unrecorded_tasks: int = 0
@@ -183,9 +189,8 @@
     def admit(self, heartbeat: WorkerHeartbeat, token: int, now: datetime) -> bool:
         """Admit a heartbeat that is newer than all before it and of the known incarnation.
 
-        The one place where the machine's position moves on: what is read of this heartbeat later
-        holds only as long as `contact.is_latest`. Where it is not admitted, the machine itself has
-        to be asked.
+        Later use of the heartbeat is valid only while `contact.is_latest` holds. If it is not
+        admitted, the machine has to be probed.
         """
         contact = self.contact
         if heartbeat.position <= contact.position or (
@@ -196,43 +201,44 @@
         contact.advance_to(heartbeat.position, now)
         return True
 
-    def settled(
+    def is_settled(
         self, key: tuple[str, int], attempt: int, heartbeat: WorkerHeartbeat, current: bool
     ) -> bool:
-        """Whether what a heartbeat shows of an attempt is final, as far as direct starts go."""
+        """Return whether no direct start can change what a heartbeat shows of an attempt."""
         start = self.token.direct_starts.get(key)
         if start is None or start.attempt != attempt:
             return True
         return start.is_settled(heartbeat, current)
 
     def raise_token(self) -> None:
-        """Raise the token, because nobody knows what became of a direct start.
+        """Raise the machine's token, because the outcome of a direct start is unknown.
 
-        Nothing more is started here before the machine shows the new token.
+        Nothing more is started here until the machine reports the new token.
         """
         self.token.advance()
         self.last_evaluation = HeartbeatEvaluationCache()
 
     def follow_token(self, incarnation: int) -> None:
-        """Go on from the token of our term that a peer has raised the machine's to.
+        """Adopt the higher token of this term that a peer has sent to the machine.
 
-        A controller does so before it confirms a cancellation while we can't be asked.
+        A controller raises the token before it confirms a cancellation while the leader is
+        unreachable.
         """
         self.token.advance()
         self.token.incarnation = incarnation
         self.last_evaluation = HeartbeatEvaluationCache()
 
     def record_restart(self, position: HeartbeatPosition) -> None:
-        """Begin a new incarnation, which counts its heartbeats anew from this position."""
+        """Record that the machine restarted; its heartbeats now count from this position."""
         self.contact.position, self.contact.suspected = position, False
         self.token.advance()
         for start in self.token.direct_starts.values():
-            start.epoch = NO_EPOCH
+            start.epoch = ABOVE_ALL_EPOCHS
         self.tasks, self.images, self.unrecorded_tasks = {}, {}, 0
         self.last_evaluation = HeartbeatEvaluationCache()
 
     def record_image(self, image: str, gb: float, cache_gb: float) -> None:
-        """Note that an image was used; the most recently used images stay in the cache."""
+        """Record that an image was used; the most recently used images stay in the cache."""
         self.images.pop(image, None)
         self.images[image] = gb
         while len(self.images) > 1 and sum(self.images.values()) > cache_gb:
@@ -240,9 +246,9 @@
 
 
 class StopReceipt(NamedTuple):
-    """A machine's answer to a direct command to stop: it has carried the command out."""
+    """A machine's response to a direct command to stop, which it has executed."""
 
-    # Of the machine, as its leader counts them, when the command went out.
+    # The machine's incarnation, as its leader counts them, when the command was sent.
     incarnation: int
     # The machine's position when it answered.
     position: HeartbeatPosition
@@ -250,24 +256,24 @@
 
 @dataclass
 class StopOrder:
-    """The decision to stop an attempt, why, and when and by which way it last went out."""
+    """The decision to stop an attempt, its reason, and when it was last sent on each path."""
 
     attempt: int
     grace: timedelta
     reason: str
     decided_at: datetime
     machine: str
-    # When the answer to a heartbeat last carried the order.
+    # When the order was last sent in the response to a heartbeat.
     sent_at: datetime | None = None
-    # When a direct command last did, and its answer.
+    # When it was last sent as a direct command, and the response to that.
     sent_directly_at: datetime | None = None
     receipt: StopReceipt | None = None
 
     def was_carried_out_after(self, heartbeat: HeartbeatPosition, incarnation: int) -> bool:
-        """Whether the machine has carried the order out since it sent a heartbeat.
+        """Return whether the machine has executed the order since it sent a heartbeat.
 
-        Such a heartbeat can't show it, and its answer need not carry the order again. Without that
-        proof it does: the direct command may be lost.
+        Such a heartbeat can't show the effect yet, and its response need not repeat the order.
+        Without a receipt the response repeats it, as the direct command may be lost.
         """
         receipt = self.receipt
         if receipt is None or receipt.incarnation != incarnation:
@@ -275,7 +281,7 @@
         return receipt.position > heartbeat
 
     def continue_from(self, former: "StopOrder") -> None:
-        """Take over when an order that says the same went out."""
+        """Copy the send times and the receipt of a former order if it is the same."""
         if (former.attempt, former.grace, former.machine) == (
             self.attempt,
             self.grace,
--- a/roadbend/fleet/messages.py
+++ b/roadbend/fleet/messages.py
@@ -1,7 +1,7 @@
-"""Messages between workers and controllers: typed, with strict reading and their wire form.
+"""Messages between workers and controllers: types, strict parsing, and encoding for the wire.
 
-The only module of this package that knows the names that the workers' protocol uses. Everything
-else works with the types below; orders become maps as they go out.
+The only module of this package that knows the field names of the worker protocol. Everything else
+works with the types below; orders are converted to maps when they are sent.
 """
 
 from collections.abc import Iterable
@@ -13,41 +13,42 @@
 from roadbend.http.server import MalformedError
 from roadbend.wire_values import INTEGER_LIMIT, flag, number, text, whole
 
-# A reclaim notice of more than a month says nothing.
+# Longer reclaim notices, of more than a month, are cut to this.
 MAX_NOTICE_S = 30 * 86400.0
-# Enough for the widest job that users may submit.
+# Enough for the job with the most tasks that users may submit.
 MAX_TASK_INDEX_DIGITS = 7
 
 
 class TaskState(StrEnum):
-    """State of a task on its machine; a worker may send others, which stay plain text."""
+    """State of a task on its machine; unknown states that a worker sends stay strings."""
 
     FETCHING = "fetching"
-    # A task of a gang that waits on its machine for the others to be ready.
+    # A task of a gang that waits for the gang's other tasks to be ready.
     GATHERING = "gathering"
     RUNNING = "running"
-    # Told to stop, and saving.
+    # The task was ordered to stop and is saving a checkpoint.
     FLUSHING = "flushing"
     ENDED = "ended"
 
 
 class EndCause(StrEnum):
-    """Why a task ended; a worker may send others, which stay plain text."""
+    """Why a task ended; unknown causes that a worker sends stay strings."""
 
     DONE = "done"
     STOPPED = "stopped"
     ERROR = "error"
-    # The start was refused: no room, another attempt of the task is here, or no such job.
+    # The worker refused the start: not enough free capacity, it runs another attempt of the task,
+    # or it does not know the job.
     NO_ROOM = "no_room"
     BUSY = "busy"
     UNKNOWN = "unknown"
-    # A task of a gang: others of the gang ended, or did not come in time.
+    # A task of a gang: other tasks of the gang ended, or were not ready in time.
     PEERS = "peers"
     ALONE = "alone"
 
 
 class OrderVerb(StrEnum):
-    """What an order tells a worker to do."""
+    """What an order makes a worker do."""
 
     RUN = "run"
     KILL = "kill"
@@ -59,20 +60,20 @@
 
 
 class HeartbeatPosition(NamedTuple):
-    """Position of a heartbeat among all of its worker: the larger one is the newer heartbeat."""
+    """Position of a heartbeat in its worker's sequence; a newer heartbeat has a larger one."""
 
-    # Grows each time the worker's lease expires.
+    # Incremented each time the worker's lease expires.
     epoch: int
-    # Grows with every heartbeat and every answer to a direct command within an epoch.
+    # Incremented within an epoch with every heartbeat and every response to a direct command.
     sequence: int
 
 
-# Before every heartbeat of a machine.
+# Less than the position of any heartbeat.
 NO_HEARTBEAT_YET = HeartbeatPosition(0, -1)
 
 
 class TaskStatus(NamedTuple):
-    """A task as a heartbeat shows it."""
+    """A task as reported in a heartbeat."""
 
     job: str
     task_index: int
@@ -82,7 +83,7 @@
     saved: bool
 
 
-# A heartbeat's list of tasks as it was decoded: only compared with others, never looked into.
+# A heartbeat's decoded but unparsed list of tasks; only compared with other such lists.
 UnreadTasks = list[object]
 
 
@@ -98,16 +99,16 @@
     position: HeartbeatPosition
     # The highest fencing token that the worker has seen.
     token: int
-    # Seconds until the cloud reclaims the machine, if it has said so.
+    # Seconds until the cloud reclaims the machine, if there is a reclaim notice.
     notice: float | None
     tasks: tuple[TaskStatus, ...]
-    # The tasks as they came, to compare the next heartbeat with.
+    # The unparsed tasks, to compare the next heartbeat with.
     reported_tasks: UnreadTasks
 
 
 @dataclass(frozen=True)
 class StartTask:
-    """Order to start an attempt; a worker that holds the attempt already ignores it."""
+    """Order to start an attempt; a worker that already holds the attempt ignores it."""
 
     job: str
     task_index: int
@@ -118,8 +119,8 @@
 class StopTask:
     """Order to stop an attempt.
 
-    A task that saves checkpoints does so if the grace period is long enough for it. None: of an
-    attempt that no record names nothing is to be saved.
+    A task that saves checkpoints does so if the grace period is long enough. Without a grace period
+    (None) nothing is saved; this is for attempts that no record names.
     """
 
     job: str
@@ -130,7 +131,7 @@
 
 @dataclass(frozen=True)
 class ForgetTask:
-    """Order to leave an ended attempt out of further heartbeats."""
+    """Order to omit an ended attempt from further heartbeats."""
 
     job: str
     task_index: int
@@ -147,7 +148,7 @@
 
 
 def split_task(name: str) -> tuple[str, int]:
-    """Return job and task index of a task's name on the wire."""
+    """Split a task's name on the wire into its job and task index."""
     job, slash, task_index = name.rpartition("/")
     if (
         not slash
@@ -161,7 +162,7 @@
 
 
 def parse_heartbeat(data: Any) -> WorkerHeartbeat:
-    """Read a decoded heartbeat; raise `MalformedError` if anything in it is not as promised."""
+    """Parse a decoded heartbeat; raise `MalformedError` if it violates the protocol."""
     if not isinstance(data, dict):
         raise MalformedError("report: expected a map")
     rows = data.get("legs")
@@ -203,12 +204,12 @@
 
 
 def sender_zone(data: Any) -> Any:
-    """Return the zone that an unread heartbeat names, as it came: it may be of any type."""
+    """Return the zone of an unparsed heartbeat, unchecked: it may be of any type."""
     return data.get("yard") if isinstance(data, dict) else None
 
 
 def sender_machine(data: dict[str, Any]) -> str | None:
-    """Return the machine that an unread heartbeat names, None if it names none."""
+    """Return the machine of an unparsed heartbeat, or None if the field is no string."""
     machine = data.get("hitch")
     return machine if isinstance(machine, str) else None
 
@@ -221,10 +222,10 @@
     reported_tasks: UnreadTasks | None,
     address: str,
 ) -> HeartbeatPosition | None:
-    """Return the position of an unread heartbeat that says what the previous one said.
+    """Return the position of an unparsed heartbeat that reports the same as the previous one.
 
-    None: it differs in more than its position, is not newer, or is of another epoch, and has to be
-    read in full.
+    Return None if it differs in more than its position, is not newer, or is of another epoch, so
+    that it has to be parsed in full.
     """
     epoch, sequence = data.get("stint"), data.get("tick")
     if (
@@ -241,13 +242,13 @@
     return HeartbeatPosition(epoch, sequence)
 
 
-# The wire form of what controllers send.
+# Encoding of what controllers send.
 
 Body = dict[str, Any]
 
 
 def order_to_wire(order: WorkerOrder) -> Body:
-    """Return an order as the worker's protocol has it."""
+    """Return an order in the form of the worker protocol."""
     row: Body = {
         "verb": _VERBS[type(order)].value,
         "leg": f"{order.job}/{order.task_index}",
@@ -259,12 +260,12 @@
 
 
 def heartbeat_answer(token: int, orders: Iterable[WorkerOrder] = ()) -> Body:
-    """Return the body of the answer that a heartbeat is accepted with."""
+    """Return the body of the response to an accepted heartbeat."""
     return {"baton": token, "orders": [order_to_wire(order) for order in orders]}
 
 
 def direct_command(token: int, epoch: int, orders: Iterable[WorkerOrder] = ()) -> Body:
-    """Return the body of a direct command, which holds for one epoch of the worker."""
+    """Return the body of a direct command, which is valid for one epoch of the worker."""
     return {
         "baton": token,
         "stint": epoch,
@@ -273,5 +274,5 @@
 
 
 def redirect(controller: str) -> Body:
-    """Return the body of the answer that sends a worker to another controller."""
+    """Return the body of the response that redirects a worker to another controller."""
     return {"dispatcher": controller}
--- a/roadbend/fleet/process_pauses.py
+++ b/roadbend/fleet/process_pauses.py
@@ -1,4 +1,4 @@
-"""Pauses of this process, which are no silence of the machines."""
+"""Pauses of this process, which must not count as silence of the machines."""
 
 from collections import deque
 from datetime import datetime, timedelta
@@ -7,39 +7,41 @@
 from roadbend.log import Log
 
 log = Log("fleet")
-# How often the time is to be noted.
-NOTE_INTERVAL = timedelta(seconds=1)
+# How often the time is to be recorded.
+CHECK_INTERVAL = timedelta(seconds=1)
 MAX_REMEMBERED = 64
 
 
 class ProcessPauses:
-    """When this process went on after a pause, lately, and how long the pause was."""
+    """Recent pauses of this process: when each ended, and its duration."""
 
-    def __init__(self, shortest: timedelta) -> None:
-        """Note pauses that are longer than `shortest`."""
-        self._shortest = shortest
+    def __init__(self, min_pause: timedelta) -> None:
+        """Record pauses that are longer than `min_pause`."""
+        self._min_pause = min_pause
         self._pauses: deque[tuple[datetime, timedelta]] = deque(maxlen=MAX_REMEMBERED)
 
-    def note_time(self, last: datetime) -> None:
-        """Note the time, when `NOTE_INTERVAL` was to pass since `last`.
+    def record_time(self, last: datetime) -> None:
+        """Record the time; `CHECK_INTERVAL` should have passed since `last`.
 
-        Where far more did, this process paused while its clocks ran on, and all machines look
-        silent; what they sent is still to be read.
+        If far more has passed, this process was paused while its clocks ran on. All machines look
+        silent then, as their heartbeats are still unread.
         """
         now = clock.now()
-        paused = now - last - NOTE_INTERVAL
-        if paused > self._shortest:
+        paused = now - last - CHECK_INTERVAL
+        if paused > self._min_pause:
             log.info("process-paused", paused_s=f"{paused.total_seconds():.1f}")
             self._pauses.append((now, paused))
 
     def any_since(self, instant: datetime) -> bool:
-        """Tell whether a pause ended after an instant."""
+        """Return whether a pause ended after an instant."""
         return bool(self._pauses) and self._pauses[-1][0] > instant
 
     def silence(self, since: datetime, now: datetime) -> timedelta:
-        """Return how long others have been silent, less our own pauses.
+        """Return how long others have been silent, minus the pauses of this process.
 
-        Under a load that makes us late all the time, the seconds in which we did listen add up, so
-        that dead machines are still found.
+        Under a load that constantly delays this process, the time outside the pauses still adds up,
+        so that failed machines are detected.
         """
-        return now - since - sum((long for at, long in self._pauses if at > since), clock.ZERO)
+        return (
+            now - since - sum((duration for at, duration in self._pauses if at > since), clock.ZERO)
+        )
--- a/roadbend/fleet/service.py
+++ b/roadbend/fleet/service.py
@@ -1,4 +1,4 @@
-"""The workers' interface of a controller, and what it does for machines beside that."""
+"""The worker interface of a controller, and its other services for machines."""
 
 from collections.abc import Mapping
 from datetime import datetime
@@ -20,12 +20,12 @@
 from roadbend.partitions.unserved import UnservedQuestion
 from roadbend.peers.links import Peers
 
-# Most characters of an error that a worker is told.
-ANSWERED_ERROR = 200
+# Characters of an error message in the response to a worker.
+MAX_ERROR_LENGTH = 200
 
 
 class Fleet:
-    """The workers' interface of a controller."""
+    """The worker interface of a controller."""
 
     def __init__(
         self,
@@ -47,12 +47,12 @@
             cloud=cloud,
             inventory=self.inventory,
             reachability=self.reachability,
-            heard_elsewhere=self.heard_elsewhere,
+            reaches_peers=self.reaches_peers,
             leaders=leaders,
         )
 
     async def handle_heartbeat(self, request: Request) -> Response:
-        """Answer a worker's heartbeat, or send the worker to the leader of its partition."""
+        """Answer a worker's heartbeat, or redirect the worker to the leader of its partition."""
         now = clock.now()
         election = self._controller.election
         try:
@@ -68,14 +68,14 @@
                     return Response(200, messages.heartbeat_answer(token))
             heartbeat = messages.parse_heartbeat(data)
         except (MalformedError, TypeError) as error:
-            # A zone of a type that can't be looked up is a `TypeError`.
-            return _refused(400, str(error)[:ANSWERED_ERROR])
+            # A zone of an unhashable type raises `TypeError` at the lookup of the leader.
+            return _refused(400, str(error)[:MAX_ERROR_LENGTH])
         if leader is not None and election.leadership(heartbeat.zone) == leader.leadership:
             return await self._answer(leader, heartbeat, now)
         return self._redirect(heartbeat, now, clock.from_steady_s(request.sent_after_s))
 
     async def _answer(self, leader: Leader, heartbeat: WorkerHeartbeat, now: datetime) -> Response:
-        """Answer a heartbeat of a partition that we lead."""
+        """Answer a heartbeat of a partition that this controller leads."""
         election = self._controller.election
         if not election.may_renew(now):
             return _refused(503, "no state")
@@ -83,26 +83,26 @@
         if answer is None:
             return _refused(503, "old report")
         if not election.may_renew(clock.now()):
-            # It waited for what the heartbeat called for; what we may answer is judged when the
-            # answer goes out.
+            # Handling may have waited; whether the lease may be renewed is checked again right
+            # before the response is sent.
             return _refused(503, "no state")
         return Response(200, messages.heartbeat_answer(*answer))
 
     def _redirect(
         self, heartbeat: WorkerHeartbeat, now: datetime, sent_after: datetime
     ) -> Response:
-        """Send the worker to the leader of its partition, and note that we hear it."""
+        """Redirect the worker to the leader of its partition, and record its heartbeat."""
         election = self._controller.election
         if heartbeat.zone not in election.partitions():
             return _refused(503, "no such part")
-        self.foreign_heartbeats.note(heartbeat, now, sent_after)
+        self.foreign_heartbeats.record(heartbeat, now, sent_after)
         target = self._choose_redirect(heartbeat.zone, now)
         if target is None:
             return _refused(503, "no owner yet")
         return Response(421, messages.redirect(target))
 
     def _choose_redirect(self, partition: str, now: datetime) -> str | None:
-        """Choose the controller to which a worker is redirected; None: it asks the next one."""
+        """Choose the controller to redirect a worker to; None: it tries the next one itself."""
         name = self._controller.settings.name
         leader = self._controller.election.leader_of(partition)
         if leader == name:
@@ -116,24 +116,25 @@
         return None if other == next_in_ring(name, names) else other
 
     def count_unserved(self, question: UnservedQuestion, now: datetime) -> int:
-        """Count which machines of a silent leader have lately turned to us."""
+        """Count the machines of a silent leader that have recently turned to this controller."""
         return len(self._find_unserved(question, now))
 
     def _find_unserved(self, question: UnservedQuestion, now: datetime) -> set[str]:
-        """Return which machines of a silent leader have lately turned to us.
+        """Return the machines of a silent leader that have recently turned to this controller.
 
-        After a pause of this process none has: what came meanwhile looks as if it came now.
+        None right after a pause of this process: heartbeats that arrived during the pause look as
+        if they arrived now.
         """
         if self.failure_detector.paused_since(now - UNSERVED_ROUND):
             return set()
         return self.foreign_heartbeats.find_unserved(question, now)
 
     def foreign_machines(self, now: datetime) -> dict[str, tuple[str, ...]]:
-        """Return the machines of other leaders' partitions that we hear, by partition."""
+        """Return the machines of other leaders that send heartbeats here, by partition."""
         return self.foreign_heartbeats.machines(now, self._leaders)
 
-    def heard_elsewhere(self, partition: str, machine: str, now: datetime) -> bool:
-        """Whether a peer tells that it hears a machine of a partition."""
+    def reaches_peers(self, partition: str, machine: str, now: datetime) -> bool:
+        """Return whether a peer reports that it receives a machine's heartbeats."""
         return any(machine in names for names in self._peers.heard_machines(partition, now))
 
 
--- a/roadbend/fleet/silent_leaders.py
+++ b/roadbend/fleet/silent_leaders.py
@@ -1,7 +1,7 @@
-"""Know which partitions' leaders are silent to us and to most of their workers.
+"""Detects leaders that are silent to this controller and to most of their workers.
 
-A worker that is redirected to such a leader waits for its answer in vain, and its lease may end
-meanwhile, although another controller has acquired the partition.
+A worker that is redirected to such a leader waits for a response that never comes. Its lease may
+expire meanwhile, although another controller has acquired the partition.
 """
 
 from collections.abc import Callable
@@ -20,20 +20,20 @@
 
 CHECK_INTERVAL = timedelta(seconds=1)
 
-# Returns the machines that have turned to this controller lately.
+# Returns the machines that have recently turned to this controller.
 FindUnserved = Callable[[UnservedQuestion, datetime], set[str]]
 
 
 @dataclass
 class _Silence:
-    """A leader's silence, and what its workers do meanwhile."""
+    """A leader's silence, and the state of its workers meanwhile."""
 
     leader: LeaderRecord
     since: datetime
-    # Whether its workers lost it when we did.
-    is_for_all: bool = False
-    # Whether most of its workers have lately turned to us or to live peers.
-    most_turned: bool = False
+    # Whether its workers lost contact with it when this controller did.
+    is_lost_by_workers: bool = False
+    # Whether most of its workers have recently turned to this controller or to live peers.
+    most_unserved: bool = False
     is_logged: bool = False
 
 
@@ -48,34 +48,34 @@
         self._silences: dict[str, _Silence] = {}
 
     async def watch(self) -> None:
-        """Look at all leaders every second, for ever."""
+        """Check all leaders every second, forever."""
         while True:
             await clock.pause(CHECK_INTERVAL)
             try:
                 self.check(clock.now())
             except Exception:
-                # Without this watch, workers are redirected to their silent leaders.
+                # If this loop ended, workers would again be redirected to silent leaders.
                 log.crash("silent-leader-check-failed")
 
     def check(self, now: datetime) -> None:
-        """Note which leaders are silent, and how many of their workers have turned to others."""
+        """Update which leaders are silent, and how many of their workers are unserved."""
         for partition in {*self._controller.view.partition_leaders, *self._silences}:
             silence = self._current_silence(partition, now)
             if silence is None:
                 self._silences.pop(partition, None)
             else:
                 self._silences[partition] = silence
-                self._note_workers(partition, silence, now)
+                self._update_workers(partition, silence, now)
 
     def is_avoided(self, partition: str, now: datetime) -> bool:
-        """Tell whether workers of a partition are not to be redirected to its leader."""
+        """Return whether workers of a partition must not be redirected to its leader."""
         silence = self._silences.get(partition)
         if silence is None or self._current_silence(partition, now) is not silence:
             return False
         return self._is_avoided(silence, now)
 
     def _current_silence(self, partition: str, now: datetime) -> _Silence | None:
-        """Return what is known of the silence of a partition's leader; None: it is not silent."""
+        """Return the silence of a partition's leader; None if it is not silent."""
         known = self._silences.get(partition)
         leader = self._latest_leader(partition)
         since = None if leader is None else self._silent_since(leader, now)
@@ -86,10 +86,10 @@
         return _Silence(leader, since)
 
     def _latest_leader(self, partition: str) -> LeaderRecord | None:
-        """Return the latest leader that may answer workers, as far as it is known.
+        """Return the latest known leader that may answer workers.
 
-        Where its record is gone, or names us before we lead the partition, workers still hold the
-        leases that it renewed.
+        That is the former leader while its record is deleted, or names this controller before it
+        leads the partition: workers still hold the leases that the former leader renewed.
         """
         leader = self._controller.view.partition_leaders.get(partition)
         if leader is not None and leader.controller != self._controller.settings.name:
@@ -98,22 +98,22 @@
         return None if known is None else known.leader
 
     def _silent_since(self, leader: LeaderRecord, now: datetime) -> datetime | None:
-        """Return when a leader that is silent now was last heard; None: it is not, or never was."""
+        """Return when a silent leader last sent a peer heartbeat; None if not silent, or never."""
         link = self._peers.links.get(leader.controller)
         if link is None or link.alive(now):
             return None
         return link.known.heard_at
 
-    def _note_workers(self, partition: str, silence: _Silence, now: datetime) -> None:
+    def _update_workers(self, partition: str, silence: _Silence, now: datetime) -> None:
         machines = self._controller.view.attempts_by_machine.get(partition, {})
         question = UnservedQuestion(partition, silence.leader.term, silence.since, machines)
-        turned = self._find_unserved(question, now)
+        unserved = self._find_unserved(question, now)
         for names in self._peers.heard_machines(partition, now):
-            turned.update(name for name in names if name in machines)
+            unserved.update(name for name in names if name in machines)
         share = self._controller.operator.takeover_share
-        silence.most_turned = len(turned) > len(machines) * share
-        if silence.most_turned and now - silence.since <= self._limits.max_departure:
-            silence.is_for_all = True
+        silence.most_unserved = len(unserved) > len(machines) * share
+        if silence.most_unserved and now - silence.since <= self._limits.max_departure:
+            silence.is_lost_by_workers = True
         if self._is_avoided(silence, now) and not silence.is_logged:
             silence.is_logged = True
             log.info(
@@ -122,10 +122,10 @@
                 leader=silence.leader.controller,
                 term=silence.leader.term,
                 running_machines=len(machines),
-                unserved_machines=len(turned),
+                unserved_machines=len(unserved),
             )
 
     def _is_avoided(self, silence: _Silence, now: datetime) -> bool:
         limits = self._limits
         within_limits = limits.min_silence <= now - silence.since < limits.max_silence
-        return silence.is_for_all and silence.most_turned and within_limits
+        return silence.is_lost_by_workers and silence.most_unserved and within_limits
--- a/roadbend/fleet/terminations.py
+++ b/roadbend/fleet/terminations.py
@@ -1,8 +1,8 @@
-"""Attempts that are known to be terminated while their records still name them.
+"""Attempts that are known to be terminated but are still in the records.
 
-Two things must never happen to such an attempt: it is not ordered to start again, since the next
-attempt may begin elsewhere as soon as the end is recorded; and its end is not recorded once a later
-heartbeat shows it alive. Everyone who orders a start asks here first.
+Such an attempt must not be started again, since the next attempt may begin elsewhere as soon as the
+termination is recorded; and its termination must not be recorded once a later heartbeat shows the
+attempt alive. All code that sends starts checks here first.
 """
 
 from collections.abc import Callable, Iterable, Iterator
@@ -24,14 +24,14 @@
 
 
 class TerminationEvidence(StrEnum):
-    """What proves that an attempt is terminated, where its machine gave no cause of its end.
+    """Evidence that an attempt is terminated, where its machine reported no cause.
 
     docs/meetings.md, "When an attempt counts as gone", says when each of them holds.
     """
 
-    # A current heartbeat showed it ended, and no cause.
+    # A heartbeat with the leader's token showed it as ended, without a cause.
     ENDED = "ended"
-    # A current heartbeat lacked it.
+    # It was absent from a heartbeat with the leader's token.
     ABSENT = "absent"
     # The cloud confirmed the deletion of its machine.
     DELETED = "deleted"
@@ -41,10 +41,10 @@
 
 @dataclass(frozen=True)
 class Termination:
-    """Evidence that an attempt is not running on its machine any more.
+    """The termination of an attempt: it no longer runs on its machine.
 
-    `cause` is the cause of the end that the machine reported, or what else proves it. A worker may
-    report causes that are not known; they stay plain text.
+    `cause` is the cause that the machine reported, or else the evidence. Unknown causes that a
+    worker reports stay strings.
     """
 
     attempt: int
@@ -54,14 +54,14 @@
 
 
 class Terminations:
-    """The terminations that one leader knows of and that are not in the records yet, by task."""
+    """A leader's known terminations that are not yet recorded, by task."""
 
     def __init__(self) -> None:
         self._ends: dict[TaskKey, Termination] = {}
-        # Grows with every termination that is noted or withdrawn.
+        # Number of terminations added or withdrawn so far.
         self.changes = 0
-        # What a transaction records that is on its way, or of which nobody knows whether it was
-        # carried out: it may be in the records already.
+        # Terminations in a transaction that is in progress or in doubt: they may be in the records
+        # already.
         self._in_transaction: frozenset[tuple[str, int]] = frozenset()
 
     def __contains__(self, key: tuple[str, int]) -> bool:
@@ -81,7 +81,7 @@
         return list(self._ends.items())
 
     def add(self, key: tuple[str, int], end: Termination) -> None:
-        """Note a termination; the first one of a task stands, unless the task turns out done."""
+        """Add a termination; the first one of a task is kept, unless a later one says `done`."""
         known = self._ends.get(TaskKey(*key))
         if known is not None and (known.done or not end.done):
             return
@@ -97,22 +97,22 @@
         )
 
     def begin_transaction(self, keys: Iterable[tuple[str, int]]) -> None:
-        """Note which terminations go out to be recorded.
+        """Mark the terminations that a transaction is about to record.
 
-        From now on they can't be withdrawn, for the next attempt may begin elsewhere before we know
-        that they were recorded.
+        They can't be withdrawn from now on, because the next attempt may begin elsewhere before
+        this leader knows the transaction's outcome.
         """
         self._in_transaction = frozenset(keys)
 
     def end_transaction(self) -> None:
-        """Note that the record view shows what became of the transaction."""
+        """Mark the transaction as finished: the record view shows its outcome."""
         self._in_transaction = frozenset()
 
     def withdraw(self, key: tuple[str, int], shown_by: str) -> None:
         """Withdraw a termination, because a later heartbeat shows the attempt alive.
 
-        What is done stays done, and what may be recorded already stays terminated. The heartbeat
-        may also be one that was held back, of an epoch that is over by now.
+        A task that is done stays done, and a termination that may be recorded already is kept. The
+        heartbeat may also be a delayed one of an epoch that has ended.
         """
         end = self._ends.get(TaskKey(*key))
         if end is None or end.done:
@@ -133,5 +133,5 @@
         )
 
     def keep_only(self, is_recorded: Callable[[TaskKey, Termination], bool]) -> None:
-        """Drop what the records do not name any more."""
+        """Drop the terminations of attempts that the records no longer name."""
         self._ends = {key: end for key, end in self._ends.items() if is_recorded(key, end)}
--- a/roadbend/fleet/token_raise.py
+++ b/roadbend/fleet/token_raise.py
@@ -1,7 +1,7 @@
-"""Raise the fencing token that a machine has seen, for a leader that can't be asked.
+"""Raises the fencing token of a machine on behalf of its unreachable leader.
 
-From then on the machine refuses whatever was sent under the lower token. The leader goes on from
-the raised token once a heartbeat shows it (`Machine.follow_token`), so no lease is lost.
+From then on the machine refuses all commands under the lower token. The leader adopts the raised
+token once a heartbeat shows it (`Machine.follow_token`), so no lease is lost.
 """
 
 from datetime import timedelta
@@ -13,14 +13,14 @@
 from roadbend.http.server import MalformedError
 from roadbend.store import records
 
-# How many incarnations of a machine a token can number.
+# How many incarnations of a machine a token can distinguish.
 MAX_INCARNATIONS = records.INCARNATION_MASK - 1
 RAISE_TIMEOUT = timedelta(milliseconds=500)
 EXECUTED = 200
 
 
 def next_token(token: int, term: int) -> int | None:
-    """Return the next token of a term; None if a token is not of that term, or its last."""
+    """Return the next token of a term; None if `token` is of another term, or the term's last."""
     if token >> records.INCARNATION_BITS != term:
         return None
     if token & records.INCARNATION_MASK >= MAX_INCARNATIONS:
@@ -29,7 +29,7 @@
 
 
 async def raise_token(net: Net, shown: WorkerHeartbeat, address: str, term: int) -> bool:
-    """Raise the token of the machine that has just shown its state; return whether it follows."""
+    """Raise the token of a machine that was just inspected; return whether it confirms it."""
     token = next_token(shown.token, term)
     if token is None:
         return False
--- a/roadbend/fleet/zone_reachability.py
+++ b/roadbend/fleet/zone_reachability.py
@@ -1,4 +1,4 @@
-"""Zone reachability: tells a network partition from machines that are dead."""
+"""Zone reachability: distinguishes a network partition from failed machines."""
 
 from collections.abc import Iterable
 from datetime import datetime
@@ -7,57 +7,59 @@
 from roadbend.fleet.cloud_inventory import CloudInventory
 from roadbend.fleet.leader import Controller, Leader
 
-# For how many of the workers' leases machines of a zone that can't be reached are kept.
-CUT_LEASES = 6
-# With fewer machines than this, silence says nothing of a zone.
-FEWEST_OF_A_CUT = 3
-# A machine is silent for a zone's sake after so many heartbeat intervals; of the count of machines
-# that fell silent together it is after fewer.
+# For how many worker leases the machines of an unreachable zone are kept.
+MAX_UNREACHABLE_LEASES = 6
+# With fewer machines than this, their silence says nothing about the zone.
+MIN_MACHINES_OF_UNREACHABLE_ZONE = 3
+# A machine counts as silent after so many heartbeat intervals in the decision whether its zone is
+# unreachable. In the count of machines that fell silent together it does so after fewer.
 SILENT_INTERVALS = 2.2
-QUIET_INTERVALS = 1.3
-# So many intervals after leadership was acquired every machine has had time for a heartbeat.
+RECENTLY_SILENT_INTERVALS = 1.3
+# After so many intervals of leadership every machine has had time for a heartbeat.
 SETTLED_INTERVALS = 3
-# So many silent machines fell silent together: for a zone that is not cut off by then, and else.
-FEWEST_QUIET = 2
-FEWEST_OF_A_COMMON_CAUSE = 3
-# After so many leases without our answers a machine's lease has ended long since.
-ENDED_LEASES = 1.3
+# At least so many machines must be silent to have fallen silent together: while their zone is not
+# marked as unreachable and a large share of it is silent, and in all other cases.
+MIN_SILENT_BEFORE_UNREACHABLE = 2
+MIN_SILENT_OF_COMMON_CAUSE = 3
+# After so many leases without a response a machine's lease has certainly expired.
+EXPIRED_LEASES = 1.3
 
 
-class _Quiet(NamedTuple):
-    """How many machines of a partition are silent."""
+class _SilenceCounts(NamedTuple):
+    """Number of silent and of known machines of a partition."""
 
     silent: int
     known: int
-    # All silent ones are spot machines, and there are others.
+    # All silent machines are spot machines, and not all known ones are.
     only_spot: bool
 
 
-class _Cut(NamedTuple):
-    """A partition most of whose machines are silent."""
+class _UnreachableZone(NamedTuple):
+    """A zone most of whose machines are silent."""
 
     since: datetime
-    # Which; the records cease to name them as their leases end.
+    # The silent machines. They are kept here because the records cease to name machines whose
+    # leases expire.
     machines: frozenset[str]
 
 
 class ZoneReachability:
-    """Which partitions' machines can't be reached together."""
+    """Tracks the partitions whose zones are unreachable as a whole."""
 
     def __init__(self, controller: Controller, inventory: CloudInventory) -> None:
         self._controller, self._inventory = controller, inventory
-        self._quiet: dict[str, _Quiet] = {}
-        self._cut: dict[str, _Cut] = {}
+        self._silence_counts: dict[str, _SilenceCounts] = {}
+        self._unreachable: dict[str, _UnreachableZone] = {}
 
-    def note(self, leader: Leader, recorded: Iterable[str], now: datetime) -> None:
-        """Note whether most of a partition's machines are silent: then its zone can't be reached.
+    def update(self, leader: Leader, recorded: Iterable[str], now: datetime) -> None:
+        """Update whether most of a partition's machines are silent, so its zone is unreachable.
 
-        Machines count that the records name and that a new leader has not heard at all. Otherwise a
-        leader that acquires a partition while its zone is cut off would delete all of its machines,
-        which go on working inside.
+        This includes recorded machines from which a new leader has received no heartbeat at all.
+        Otherwise a leader that acquires a partition during a network partition of its zone would
+        delete all of its machines, which are still running their tasks.
         """
-        self._quiet[leader.partition] = self._count_quiet(leader, now)
-        since, before = self._cut.get(leader.partition, _Cut(now, frozenset()))
+        self._silence_counts[leader.partition] = self._count_silent(leader, now)
+        since, before = self._unreachable.get(leader.partition, _UnreachableZone(now, frozenset()))
         interval = self._controller.settings.heartbeat_interval
         silent_after = interval * SILENT_INTERVALS
         known = leader.machines.keys() | recorded | before
@@ -69,64 +71,67 @@
         settled = now - leader.leadership.acquired_at > interval * SETTLED_INTERVALS
         if (
             settled
-            and len(known) >= FEWEST_OF_A_CUT
+            and len(known) >= MIN_MACHINES_OF_UNREACHABLE_ZONE
             and len(silent) > self._controller.operator.fence_share * len(known)
         ):
-            self._cut[leader.partition] = _Cut(since, frozenset(silent))
+            self._unreachable[leader.partition] = _UnreachableZone(since, frozenset(silent))
         else:
-            self._cut.pop(leader.partition, None)
+            self._unreachable.pop(leader.partition, None)
 
     def is_unreachable(self, partition: str, now: datetime) -> bool:
-        """Whether a partition's zone can't be reached, and has not been so for long.
+        """Return whether a partition's zone is unreachable, for less than the maximum time.
 
-        Until then no machine is created there, and none of its machines deleted.
+        During this time no machine is created there, and none of its machines is deleted.
         """
-        cut = self._cut.get(partition)
-        return cut is not None and now - cut.since < self._controller.settings.lease * CUT_LEASES
-
-    def common_cause(self, leader: Leader, name: str, now: datetime) -> bool:
-        """Whether this silence is rather the network's than the machine's.
-
-        So it is if several fell silent together: deleting machines that are only cut off costs more
-        than waiting. Told apart are waves in which the cloud reclaims spot machines: only spot
-        machines are silent, or they have left the inventory.
+        zone = self._unreachable.get(partition)
+        return (
+            zone is not None
+            and now - zone.since < self._controller.settings.lease * MAX_UNREACHABLE_LEASES
+        )
+
+    def has_common_cause(self, leader: Leader, name: str, now: datetime) -> bool:
+        """Return whether a machine's silence is more likely caused by the network.
+
+        This is so if several machines fell silent together, since deleting machines that are merely
+        unreachable costs more than waiting. It is not so when the cloud reclaims spot machines in a
+        wave: then only spot machines are silent, or the machines have left the inventory.
         """
         if self.is_unreachable(leader.partition, now):
             return True
         operator = self._controller.operator
-        quiet = self._quiet.get(leader.partition) or self._count_quiet(leader, now)
+        counts = self._silence_counts.get(leader.partition) or self._count_silent(leader, now)
         if (
-            quiet.silent >= FEWEST_QUIET
-            and quiet.silent > operator.fence_share * quiet.known
-            and leader.partition not in self._cut
+            counts.silent >= MIN_SILENT_BEFORE_UNREACHABLE
+            and counts.silent > operator.fence_share * counts.known
+            and leader.partition not in self._unreachable
         ):
             return True
-        if self._is_lease_over(leader, name, now) or self._inventory.has_left(name):
+        if self._has_lease_expired(leader, name, now) or self._inventory.has_left(name):
             return False
         if (
-            quiet.silent < FEWEST_OF_A_COMMON_CAUSE
-            or quiet.silent < operator.common_share * quiet.known
+            counts.silent < MIN_SILENT_OF_COMMON_CAUSE
+            or counts.silent < operator.common_share * counts.known
         ):
             return False
-        return not quiet.only_spot
+        return not counts.only_spot
 
-    def _is_lease_over(self, leader: Leader, name: str, now: datetime) -> bool:
-        """Whether a machine's lease has ended long since, so that its tasks are gone anyway."""
+    def _has_lease_expired(self, leader: Leader, name: str, now: datetime) -> bool:
+        """Return whether a machine's lease has expired, so that its tasks have stopped anyway."""
         machine = leader.machines.get(name)
         if machine is None or machine.contact.acknowledged_at is None:
             return True
         silence = now - machine.contact.acknowledged_at
-        return silence > self._controller.settings.lease * ENDED_LEASES
+        return silence > self._controller.settings.lease * EXPIRED_LEASES
 
-    def _count_quiet(self, leader: Leader, now: datetime) -> _Quiet:
-        """Count the machines that are silent, of those that were heard."""
-        after = self._controller.settings.heartbeat_interval * QUIET_INTERVALS
-        known = quiet = spot = quiet_spot = 0
+    def _count_silent(self, leader: Leader, now: datetime) -> _SilenceCounts:
+        """Count the silent machines among those that were ever acknowledged."""
+        after = self._controller.settings.heartbeat_interval * RECENTLY_SILENT_INTERVALS
+        known = silent = spot = silent_spot = 0
         for machine in leader.machines.values():
             acknowledged_at = machine.contact.acknowledged_at
             if acknowledged_at is None:
                 continue
             known, spot = known + 1, spot + machine.spot
             if now - acknowledged_at > after:
-                quiet, quiet_spot = quiet + 1, quiet_spot + machine.spot
-        return _Quiet(quiet, known, quiet_spot == quiet and spot != known)
+                silent, silent_spot = silent + 1, silent_spot + machine.spot
+        return _SilenceCounts(silent, known, silent_spot == silent and spot != known)
